--- a/Makefile
+++ b/Makefile
@@ -11,7 +11,7 @@
 	touch $(BIN)/ruff
 
 # The second run by itself: what it measures are times, and full cores beside it make statements late.
-TIMED = tests/test_mysql_fates.py tests/test_mysql_proof.py tests/test_mysql_sessions.py
+TIMED = tests/test_mysql_error_mapping.py tests/test_mysql_proof.py tests/test_mysql_sessions.py
 # By itself as well: each run is a dozen processes, judged by real time.
 SOAK = tests/soak
 test: setup
@@ -28,7 +28,7 @@
 
 # Stand-in servers, a stand-in roster and a sidecar on loopback, and a short mixed day through them.
 demo: setup
-	$(BIN)/python -m micadeck.standins.demo
+	$(BIN)/python -m micadeck.stand_ins.demo
 
 # Minutes on pinned cores, outside CI; what it prints stands in docs/library.md.
 bench: setup
--- a/benchmarks/consul_lists.py
+++ b/benchmarks/consul_lists.py
@@ -41,7 +41,7 @@
 
 @contextlib.contextmanager
 def consul(core: int, instances: int = 0) -> Iterator[str]:
-    with rig.process(core, sys.executable, "-m", "micadeck.standins.consul", str(instances)) as child:
+    with rig.process(core, sys.executable, "-m", "micadeck.stand_ins.consul", str(instances)) as child:
         yield child.stdout.readline().strip()
 
 
@@ -70,7 +70,7 @@
 def flips(seconds: float) -> None:
     with contextlib.ExitStack() as stack:
         world = stack.enter_context(
-            rig.process(1, sys.executable, "-m", "micadeck.standins.world", str(NODES))
+            rig.process(1, sys.executable, "-m", "micadeck.stand_ins.world", str(NODES))
         )
         servers = json.loads(world.stdout.readline())["servers"]
         for name in servers:
--- a/benchmarks/incidents.py
+++ b/benchmarks/incidents.py
@@ -21,8 +21,8 @@
 from micadeck.incidents.archive import Archive
 from micadeck.incidents.kinds import Span
 from micadeck.incidents.series import ill
-from micadeck.incidents.story import Story, tell
-from micadeck.standins.incident_days import BEGIN, QUIET, TROUBLES, Day, S, play
+from micadeck.incidents.timeline import Story, tell
+from micadeck.stand_ins.incident_days import BEGIN, QUIET, TROUBLES, Day, S, play
 
 NEAR_S = 5.0
 BASELINE_SHARE, BASELINE_S = 0.02, 2
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -28,7 +28,7 @@
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import MOST_BODY, Request, Response
 from micadeck.httpx import AsyncMicadeckTransport
-from micadeck.library.outgoing import Wanted, worded
+from micadeck.library.request_validation import Wanted, worded
 from micadeck.network import LoopNetwork
 
 Ask = Callable[[], Awaitable[None]]
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -15,8 +15,8 @@
 
 import uvloop
 
-from micadeck.standins.hostile import LOADS, Load, Played, Side, play
-from micadeck.standins.hostile.stage import ASKED, SETTLES_S
+from micadeck.stand_ins.hostile import LOADS, Load, Played, Side, play
+from micadeck.stand_ins.hostile.daemon_under_load import ASKED, SETTLES_S
 
 PEAK_MB = 48.0
 SETTLED_MB = 30.0
--- a/benchmarks/mysql_wire.py
+++ b/benchmarks/mysql_wire.py
@@ -25,8 +25,8 @@
 import uvloop
 
 from micadeck.mysql.auth import Verifier, native_stored
-from micadeck.mysql.link import Credentials, Link
 from micadeck.mysql.protocol.answers import Kind, Part, Row
+from micadeck.mysql.server_connection import Credentials, Link
 from micadeck.network import LoopNetwork
 
 AT_ONCE = 16
@@ -37,7 +37,7 @@
 
 @contextmanager
 def standin(core: int, *arguments: str) -> Iterator[str]:
-    with rig.process(core, sys.executable, "-m", "micadeck.standins.mysql", *arguments) as child:
+    with rig.process(core, sys.executable, "-m", "micadeck.stand_ins.mysql", *arguments) as child:
         yield child.stdout.readline().split()[-1]
 
 
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -58,7 +58,7 @@
 
 @contextmanager
 def servers(core: int, count: int) -> Iterator[list[str]]:
-    with process(core, sys.executable, "-m", "micadeck.standins.world", str(count), "forget") as child:
+    with process(core, sys.executable, "-m", "micadeck.stand_ins.world", str(count), "forget") as child:
         yield list(json.loads(child.stdout.readline())["servers"].values())
 
 
--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from magpiemux import compiled
+from micadeck.policy import compiled
 
 _REQUIREMENTS = Path(__file__).parent / "compile-requirements.txt"
 _WITHIN_S = 300
@@ -24,20 +24,21 @@
     """Raise OSError or subprocess.SubprocessError if it can't be done."""
     with tempfile.TemporaryDirectory(dir=target.parent) as made:
         work = Path(made)
-        package = work / "magpiemux"
-        package.mkdir()
-        (package / "__init__.py").touch()
+        package = work / compiled.PACKAGE_PATH
+        package.mkdir(parents=True)
+        for each in (package.parent, package):
+            (each / "__init__.py").touch()
         for name in compiled.MODULES:
             shutil.copy(compiled.ROOT / f"{name}.py", package)
         _run(sys.executable, "-m", "pip", "-q", "--disable-pip-version-check", "install", "-r", _REQUIREMENTS)
-        sources = [f"magpiemux/{name}.py" for name in compiled.MODULES]
+        sources = [str(compiled.PACKAGE_PATH / f"{name}.py") for name in compiled.MODULES]
         _run(sys.executable, "-m", "mypyc", *sources, cwd=work)
-        for each in (work / "build", work / ".mypy_cache", *package.glob("*.py")):
+        for each in (work / "build", work / ".mypy_cache", *package.parent.rglob("*.py")):
             shutil.rmtree(each) if each.is_dir() else each.unlink()
         _run(
             sys.executable,
             "-c",
-            "import magpiemux.balancer as b; assert b.__file__.endswith('.so')",
+            "import micadeck.policy.balancer as b; assert b.__file__.endswith('.so')",
             cwd=work,
         )
         for old in target.parent.iterdir():
@@ -53,7 +54,7 @@
 
 def main() -> None:
     target = compiled.folder()
-    if (target / "magpiemux").is_dir():
+    if (target / compiled.PACKAGE_PATH).is_dir():
         return
     target.parent.mkdir(exist_ok=True)
     try:
--- a/micadeck/config.py
+++ b/micadeck/config.py
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from magpiemux import Settings
-from magpiemux.adapter import settings_from_wire
 from micadeck.engine import Listing
-from micadeck.membership.roster import parse_listing
+from micadeck.membership.discovery_watcher import parse_listing
 from micadeck.network import Address, parse_address
+from micadeck.policy import Settings
+from micadeck.simulator_adapter import settings_from_wire
 
 if TYPE_CHECKING:
     from micadeck.fleet.config import FleetConfig
--- a/micadeck/daemon.py
+++ b/micadeck/daemon.py
@@ -12,13 +12,13 @@
 
 import uvloop
 
-from magpiemux import IS_COMPILED
 from micadeck.config import Config, ConfigError, ConfigUnread, load
-from micadeck.memory.keeper import MemoryKeeper
+from micadeck.memory.monitor import MemoryKeeper
 from micadeck.memory.resident import MB, anonymous_bytes
 from micadeck.network import LoopNetwork
 from micadeck.operations import Beside
-from micadeck.operations.starting import StartCalledOff, StartWait
+from micadeck.operations.startup_retry import StartCalledOff, StartWait
+from micadeck.policy import IS_COMPILED
 from micadeck.sidecar import Sidecar
 from micadeck.signals import ProcessSignals
 
--- a/micadeck/engine/__init__.py
+++ b/micadeck/engine/__init__.py
@@ -5,8 +5,8 @@
 each must do.
 """
 
-from micadeck.engine.account import Account, Ends
 from micadeck.engine.engine import Engine, IdInUse
+from micadeck.engine.outcome_counters import Account, Ends
 from micadeck.engine.ports import (
     Carrier,
     Cause,
--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -10,8 +10,13 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import (
+from micadeck.engine.outcome_counters import Account
+from micadeck.engine.ports import Carrier, Cause, Listing, Messages, Request, Source, Waiter
+from micadeck.engine.send_guard import LATE_US, InvariantLog, Violation
+from micadeck.memory.budget import MemoryAccount, Stage
+from micadeck.network import Network
+from micadeck.policy import Balancer, Settings
+from micadeck.policy.settings import (
     Action,
     AnswerStarted,
     AttemptEnded,
@@ -40,11 +45,6 @@
     Tell,
     TimerFired,
 )
-from micadeck.engine.account import Account
-from micadeck.engine.gate import LATE_US, InvariantLog, Violation
-from micadeck.engine.ports import Carrier, Cause, Listing, Messages, Request, Source, Waiter
-from micadeck.memory.account import MemoryAccount, Stage
-from micadeck.network import Network
 
 _PROBE_WITHIN_US = 1_000_000
 _SHED_RETRY_US = 500_000  # when a request that was refused for memory may come again
--- a/micadeck/engine/ports.py
+++ b/micadeck/engine/ports.py
@@ -10,8 +10,8 @@
 from enum import Enum, unique
 from typing import Any, Protocol
 
-from magpiemux.interface import ListedServer, ListKind, Outcome, ServersListed, ServiceClass
 from micadeck.network import Address
+from micadeck.policy.settings import ListedServer, ListKind, Outcome, ServersListed, ServiceClass
 
 # ---------------------------------------------------------------------------------------------------
 # Towards fronts
--- a/micadeck/fleet/__init__.py
+++ b/micadeck/fleet/__init__.py
@@ -6,8 +6,8 @@
 
 from micadeck.fleet.claims import Claim, Facts, State
 from micadeck.fleet.core import Changed, Fleet, Output
+from micadeck.fleet.encryption import Dropped, Keys, Seal
 from micadeck.fleet.messages import Rumour
-from micadeck.fleet.seal import Dropped, Keys, Seal
 from micadeck.fleet.settings import FleetSettings
 from micadeck.fleet.view import Count, View
 
--- a/micadeck/fleet/config.py
+++ b/micadeck/fleet/config.py
@@ -9,7 +9,7 @@
 
 from micadeck.errors import MicadeckError
 from micadeck.fleet.claims import MOST_NAME, Name
-from micadeck.fleet.seal import Keys
+from micadeck.fleet.encryption import Keys
 from micadeck.fleet.settings import FleetSettings
 from micadeck.network import Address, parse_address
 
--- a/micadeck/fleet/core.py
+++ b/micadeck/fleet/core.py
@@ -18,6 +18,7 @@
 
 from micadeck.fleet.claims import Claim, Facts, State
 from micadeck.fleet.compare import Comparison
+from micadeck.fleet.encryption import Keys, Seal
 from micadeck.fleet.gossip import Gossip
 from micadeck.fleet.messages import (
     Ack,
@@ -32,7 +33,6 @@
     WithNews,
     size,
 )
-from micadeck.fleet.seal import Keys, Seal
 from micadeck.fleet.settings import FleetSettings
 from micadeck.fleet.view import Count, View
 from micadeck.network import Address
--- a/micadeck/fleet/host.py
+++ b/micadeck/fleet/host.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
-from magpiemux.interface import ServerState
 from micadeck.engine import Listing
 from micadeck.fleet.claims import Facts, State
 from micadeck.fleet.config import FleetConfig
 from micadeck.fleet.core import Changed, Fleet, Output
 from micadeck.fleet.messages import Rumour
 from micadeck.network import Address, Network, Timer
-from micadeck.peers import Peers
+from micadeck.peer_datagrams import Peers
+from micadeck.policy.settings import ServerState
 
 _GONE = {ServerState.DRAINING: "draining", ServerState.GONE: "gone"}
 _WORDS = {State.ALIVE: "is there", State.DEAD: "is taken for dead", State.LEFT: "has left"}
--- a/micadeck/http/pipe.py
+++ b/micadeck/http/body_stream.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from micadeck.memory.account import MemoryAccount, Stage
+from micadeck.memory.budget import MemoryAccount, Stage
 
 MOST_KEPT = 64 << 10  # of a body, that is kept whole; a larger one is passed on while it comes
 _MOST_KEPT_WHEN_SHORT = 8 << 10
--- a/micadeck/http/client.py
+++ b/micadeck/http/client.py
@@ -10,9 +10,9 @@
 from enum import Enum, unique
 from typing import cast
 
+from micadeck.http.body_stream import MOST_KEPT, Budget, Pipe
 from micadeck.http.h1 import LAST_CHUNK, Request, Response, ResponseReader, chunk
-from micadeck.http.pipe import MOST_KEPT, Budget, Pipe
-from micadeck.memory.account import Kind
+from micadeck.memory.budget import Kind
 from micadeck.network import Network, Stream, Timer
 
 _ANSWER_TIMEOUT_S = 0.25  # without a byte, once an answer has begun to come
--- a/micadeck/http/h1.py
+++ b/micadeck/http/h1.py
@@ -13,9 +13,9 @@
 
 import httptools
 
+from micadeck.http.body_stream import MOST_KEPT, Pipe
 from micadeck.http.framing import MOST_HEADERS, FramingCount, TooManyHeaders
-from micadeck.http.pipe import MOST_KEPT, Pipe
-from micadeck.memory.account import HEADER_COST, REQUEST_COST
+from micadeck.memory.budget import HEADER_COST, REQUEST_COST
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/micadeck/http/frontend.py
+++ b/micadeck/http/listener.py
@@ -9,11 +9,10 @@
 from itertools import chain, islice
 from typing import cast
 
-from magpiemux.interface import Settings
 from micadeck.engine import Cause, Engine, IdInUse
-from micadeck.engine.gate import Violation
-from micadeck.http import answers
-from micadeck.http.generations import STRAY_US, Generations
+from micadeck.engine.send_guard import Violation
+from micadeck.http import error_responses
+from micadeck.http.body_stream import Budget, Pipe
 from micadeck.http.h1 import (
     CONTINUE,
     LAST_CHUNK,
@@ -25,11 +24,12 @@
     chunk,
     head_of,
 )
-from micadeck.http.incoming import BadRequest, read_request
-from micadeck.http.pipe import Budget, Pipe
-from micadeck.http.resting import Resting, rest_for_s
-from micadeck.memory.account import OPEN_REQUEST_COST, Kind
+from micadeck.http.idle_connections import Resting, rest_for_s
+from micadeck.http.request_validation import BadRequest, read_request
+from micadeck.http.settings_versions import STRAY_US, Generations
+from micadeck.memory.budget import OPEN_REQUEST_COST, Kind
 from micadeck.network import Address, Listener, Network, Stream, Timer
+from micadeck.policy.settings import Settings
 
 _ACCEPTED_AT_ONCE = 8  # connections, before those that are open get their turn
 _READ_AT_ONCE = 8 << 10
@@ -143,17 +143,17 @@
 
     def served(self, response: Response) -> None:
         if response.stream is None:
-            self.answer(*answers.served(response))
+            self.answer(*error_responses.served(response))
         else:
             self._owed = None
             response.stream.end()  # what the client has not taken yet still goes out
 
     def refused(self, retry_after_us: int) -> None:
-        self.answer(*answers.refused(retry_after_us))
+        self.answer(*error_responses.refused(retry_after_us))
 
     def failed(self, cause: Cause, may_have_run: bool) -> None:
         if self._download is None:
-            self.answer(*answers.failed(cause))
+            self.answer(*error_responses.failed(cause))
         else:
             self._owed = None
             self.cut()  # so that nobody takes the part that went out for the whole
@@ -166,7 +166,7 @@
         if self._transport.is_closing() or not self._frontend.engine.started(owed):
             return False
         self._download = response
-        headers = answers.begun(response)
+        headers = error_responses.begun(response)
         self._is_chunked = stream.length is None and request.version == "1.1"
         self._closes = self._frontend.is_draining or not request.keep_alive or self._upload is not None
         if stream.length is not None:
@@ -728,7 +728,7 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """What clients have not taken of their answers."""
+        """What clients have not taken of their error_responses."""
         return sum(each.unsent_bytes for each in self.connections())
 
     def closed(self, connection: ClientSide) -> None:
--- a/micadeck/http/incoming.py
+++ b/micadeck/http/request_validation.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from magpiemux.interface import Repeat
 from micadeck.engine import ports
-from micadeck.http.generations import Generations
+from micadeck.http.body_stream import Pipe
 from micadeck.http.h1 import Headers, Request, Response
-from micadeck.http.pipe import Pipe
+from micadeck.http.settings_versions import Generations
+from micadeck.policy.settings import Repeat
 
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _TIMEOUT = re.compile(rb"[0-9]{1,5}(\.[0-9]{0,9})?")
--- a/micadeck/http/generations.py
+++ b/micadeck/http/settings_versions.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from magpiemux.interface import Repeat, ServiceClass, Settings
+from micadeck.policy.settings import Repeat, ServiceClass, Settings
 
 _LEARNT_US = 1_200_000  # from reading new settings to clients that follow them
 STRAY_US = 300_000  # how much later a request by the old ones may still be on its way
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from magpiemux.interface import Outcome, ReportSource, ServerState, Settings
 from micadeck.engine import Done, Listing
-from micadeck.engine.gate import Denial, send_denial
+from micadeck.engine.send_guard import Denial, send_denial
+from micadeck.http.body_stream import MOST_KEPT, Budget
 from micadeck.http.client import BEYOND_TIME_S, ClientConnection, Failure
 from micadeck.http.h1 import MOST_BODY, Request, Response
-from micadeck.http.incoming import Incoming
-from micadeck.http.pipe import MOST_KEPT, Budget
-from micadeck.http.reuse import ReuseDelay
+from micadeck.http.request_validation import Incoming
+from micadeck.http.reuse_delay import ReuseDelay
 from micadeck.network import Address, Network, Timer
+from micadeck.policy.settings import Outcome, ReportSource, ServerState, Settings
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
 _LARGEST_FIGURE = 1e9  # of a load report; what is larger is nonsense
--- a/micadeck/httpx.py
+++ b/micadeck/httpx.py
@@ -12,10 +12,10 @@
 
 import httpx
 
-from magpiemux.interface import Repeat
 from micadeck.http.h1 import MOST_BODY
 from micadeck.library import Answer, Micadeck
-from micadeck.library.outgoing import new_id
+from micadeck.library.request_validation import new_id
+from micadeck.policy.settings import Repeat
 
 _REPEAT_BY_FORM = {("GET", False): Repeat.SAFE, ("POST", True): Repeat.KEYED, ("POST", False): Repeat.UNSAFE}
 
--- a/micadeck/incidents/__main__.py
+++ b/micadeck/incidents/__main__.py
@@ -20,7 +20,7 @@
 from rich.table import Table
 
 from micadeck.incidents.archive import Archive, Found, load
-from micadeck.incidents.story import Incident, Story, tell
+from micadeck.incidents.timeline import Incident, Story, tell
 
 _FOLDERS = click.argument("given", nargs=-1, required=True, type=click.Path(path_type=Path))
 _WIDE = 200  # where nobody's screen sets a width
--- a/micadeck/incidents/causes.py
+++ b/micadeck/incidents/causes.py
@@ -12,12 +12,12 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from magpiemux.interface import Outcome
 from micadeck.incidents.archive import Start
 from micadeck.incidents.clocks import Clocks
+from micadeck.incidents.endpoint_states import States
 from micadeck.incidents.kinds import OUTCOMES, Listed
 from micadeck.incidents.series import BIN_US, Ran, Series, ill
-from micadeck.incidents.states import States
+from micadeck.policy.settings import Outcome
 
 BEFORE_US = 8_000_000  # what came no longer before the onset may have caused it
 AFTER_US = 2_000_000  # or is seen so much later: records are a second wide
--- a/micadeck/incidents/console.py
+++ b/micadeck/incidents/console.py
@@ -14,9 +14,9 @@
 from textual.widgets import DataTable, Footer, Static
 
 from micadeck.incidents.archive import load, paths
-from micadeck.incidents.board import Board
+from micadeck.incidents.console_model import Board
 from micadeck.incidents.report import cause_line, clock, printable, title
-from micadeck.incidents.story import tell
+from micadeck.incidents.timeline import tell
 
 _LOOK_AGAIN_S = 2.0
 
--- a/micadeck/incidents/board.py
+++ b/micadeck/incidents/console_model.py
@@ -11,9 +11,9 @@
 import numpy as np
 import numpy.typing as npt
 
+from micadeck.incidents.endpoint_states import AGREE, UNKNOWN
 from micadeck.incidents.series import BIN_US, ill
-from micadeck.incidents.states import AGREE, UNKNOWN
-from micadeck.incidents.story import Incident, Story
+from micadeck.incidents.timeline import Incident, Story
 
 STATES = ("ready", "draining", "gone", "ejected")
 _BARS = " ▁▂▃▄▅▆▇█"
--- a/micadeck/incidents/observer.py
+++ b/micadeck/incidents/observer.py
@@ -12,8 +12,25 @@
 from hashlib import blake2b
 from typing import Any, Protocol
 
-from magpiemux import Settings
-from magpiemux.interface import (
+from micadeck.incidents.kinds import (
+    OUTCOMES,
+    VERSION,
+    Attempt,
+    ClassCount,
+    End,
+    Head,
+    Kind,
+    Listed,
+    Message,
+    Record,
+    ServerCount,
+    Span,
+    State,
+    packed,
+    trimmed,
+)
+from micadeck.policy import Settings
+from micadeck.policy.settings import (
     Action,
     AttemptEnded,
     Event,
@@ -32,23 +49,6 @@
     SettingsChanged,
     Tell,
 )
-from micadeck.incidents.kinds import (
-    OUTCOMES,
-    VERSION,
-    Attempt,
-    ClassCount,
-    End,
-    Head,
-    Kind,
-    Listed,
-    Message,
-    Record,
-    ServerCount,
-    Span,
-    State,
-    packed,
-    trimmed,
-)
 
 MOST_TIMES = 256  # of a class in a span
 _LONGEST = (1 << 32) - 1  # of a time
--- a/micadeck/incidents/recording.py
+++ b/micadeck/incidents/recording.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from magpiemux import Settings
 from micadeck.incidents.frames import MARK, Encoder
 from micadeck.incidents.kinds import Phase, Record
 from micadeck.incidents.observer import Decides, LooksOn, Observer
 from micadeck.incidents.segments import Limits, Rotation
 from micadeck.incidents.writer import Writer
 from micadeck.network import Network, Timer
+from micadeck.policy import Settings
 
 _SPAN_S = 1.0
 
--- a/micadeck/incidents/report.py
+++ b/micadeck/incidents/report.py
@@ -14,11 +14,11 @@
 from hdrh.histogram import HdrHistogram
 
 from micadeck.incidents.archive import Found
-from micadeck.incidents.board import STATES, Board
+from micadeck.incidents.console_model import STATES, Board
+from micadeck.incidents.endpoint_states import Held
 from micadeck.incidents.kinds import times_of
 from micadeck.incidents.series import BIN_US
-from micadeck.incidents.states import Held
-from micadeck.incidents.story import Incident, Story
+from micadeck.incidents.timeline import Incident, Story
 
 _LONGEST_US = 120_000_000
 _MOST_ROWS = 200  # of what changed around an incident
--- a/micadeck/incidents/series.py
+++ b/micadeck/incidents/series.py
@@ -12,10 +12,10 @@
 import numpy as np
 import numpy.typing as npt
 
-from magpiemux.interface import Outcome
 from micadeck.incidents.archive import Start
 from micadeck.incidents.clocks import Clocks
 from micadeck.incidents.kinds import OUTCOMES, Phase, Span
+from micadeck.policy.settings import Outcome
 
 BIN_US = 1_000_000
 _DELIVERED, _REJECTED, _UNSENT = map(OUTCOMES.index, (Outcome.DELIVERED, Outcome.REJECTED, Outcome.UNSENT))
--- a/micadeck/incidents/story.py
+++ b/micadeck/incidents/timeline.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field, replace
 
 from micadeck.incidents.archive import Archive, Found, Start
-from micadeck.incidents.audit import Verdict, audit
 from micadeck.incidents.causes import Cause, Scene, causes
 from micadeck.incidents.changes import Episode, episodes
 from micadeck.incidents.clocks import Clocks, align
+from micadeck.incidents.endpoint_states import States, outcasts, states
 from micadeck.incidents.kinds import End
+from micadeck.incidents.rule_check import Verdict, audit
 from micadeck.incidents.series import BIN_US, Ran, Series, placed, ran, series
-from micadeck.incidents.states import States, outcasts, states
 
 MOST_DAMAGES = 3  # of a file, that are told one by one
 LEAD_S = 6  # attempts that go badly no longer than this before clients feel it belong to the same incident
--- a/micadeck/library/__init__.py
+++ b/micadeck/library/__init__.py
@@ -5,8 +5,8 @@
 """
 
 from micadeck.library.answer import Answer, FailedError, Kind, RefusedError, UnservedError
+from micadeck.library.background_loop import ForkedError, NotStartedError
 from micadeck.library.balancer import Micadeck
-from micadeck.library.worker import ForkedError, NotStartedError
 
 __all__ = [
     "Answer",
--- a/micadeck/library/answer.py
+++ b/micadeck/library/answer.py
@@ -6,7 +6,7 @@
 from enum import Enum, unique
 
 from micadeck.engine import Cause
-from micadeck.http import answers
+from micadeck.http import error_responses
 from micadeck.http.h1 import Headers, Response
 
 
@@ -63,16 +63,16 @@
 
 
 def served(response: Response) -> Answer:
-    return Answer(Kind.SERVED, *answers.served(response), "", may_have_run=True)
+    return Answer(Kind.SERVED, *error_responses.served(response), "", may_have_run=True)
 
 
 def refused(retry_after_us: int, reason: str = "no room for it now") -> Answer:
     advice = retry_after_us / 1e6 if retry_after_us > 0 else None
-    return Answer(Kind.REFUSED, *answers.refused(retry_after_us), reason, retry_after_s=advice)
+    return Answer(Kind.REFUSED, *error_responses.refused(retry_after_us), reason, retry_after_s=advice)
 
 
 def failed(cause: Cause, may_have_run: bool, reason: str = "") -> Answer:
-    worded = answers.failed(cause)
+    worded = error_responses.failed(cause)
     return Answer(Kind.FAILED, *worded, reason or _REASONS[cause], may_have_run=may_have_run)
 
 
--- a/micadeck/library/worker.py
+++ b/micadeck/library/background_loop.py
@@ -13,11 +13,11 @@
 from micadeck.config import Config
 from micadeck.engine import Cause, IdInUse
 from micadeck.http.h1 import Response
-from micadeck.http.incoming import Incoming
+from micadeck.http.request_validation import Incoming
 from micadeck.library import answer as answers
 from micadeck.library.answer import Answer
 from micadeck.library.engine import WaiterFirstEngine
-from micadeck.library.mailbox import Mailbox
+from micadeck.library.loop_inbox import Mailbox
 from micadeck.network import LoopNetwork
 from micadeck.operations import Life, Phase
 from micadeck.sidecar import Core
--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -14,13 +14,13 @@
 from typing import Any
 
 from micadeck.config import Config, ConfigError, parse
-from micadeck.http.incoming import BadRequest, Incoming
+from micadeck.http.request_validation import BadRequest, Incoming
 from micadeck.library import answer as answers
 from micadeck.library.answer import Answer
+from micadeck.library.background_loop import NotStartedError, Worker
 from micadeck.library.loglines import LogLines
-from micadeck.library.mailbox import Mailbox
-from micadeck.library.outgoing import Malformed, Reader, Wanted, read_wanted
-from micadeck.library.worker import NotStartedError, Worker
+from micadeck.library.loop_inbox import Mailbox
+from micadeck.library.request_validation import Malformed, Reader, Wanted, read_wanted
 
 _SILENT_S = 1.0  # past a request's time without an answer from the engine: it is failed for it
 _LOG_WITHIN_S = 0.5
--- a/micadeck/library/engine.py
+++ b/micadeck/library/engine.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from magpiemux.interface import AttemptEnded, Event, Outcome, RequestArrived
 from micadeck.engine import Engine
+from micadeck.policy.settings import AttemptEnded, Event, Outcome, RequestArrived
 
 _PAUSE_US = 1_000
 
--- a/micadeck/library/outgoing.py
+++ b/micadeck/library/request_validation.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from magpiemux.interface import Repeat, ServiceClass, Settings
 from micadeck.http.framing import MOST_HEAD, MOST_HEADERS
-from micadeck.http.generations import Generations
 from micadeck.http.h1 import MOST_BODY, Headers, Request
-from micadeck.http.incoming import BadRequest, Incoming, key_of, read_request
+from micadeck.http.request_validation import BadRequest, Incoming, key_of, read_request
+from micadeck.http.settings_versions import Generations
+from micadeck.policy.settings import Repeat, ServiceClass, Settings
 
 _NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _VALUE = re.compile(rb"[\t -~\x80-\xff]*")
--- a/micadeck/membership/consul/config.py
+++ b/micadeck/membership/consul/config.py
@@ -14,7 +14,7 @@
 from micadeck.keys import key_and_text
 from micadeck.membership.consul.protocol import Ask, Mode
 from micadeck.membership.consul.states import Names
-from micadeck.membership.merge import Trust
+from micadeck.membership.endpoint_merge import Trust
 from micadeck.network import Address, parse_address
 
 _HOURS = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])-([01][0-9]|2[0-3]):([0-5][0-9])")
--- a/micadeck/membership/consul/view.py
+++ b/micadeck/membership/consul/view.py
@@ -16,7 +16,7 @@
 from micadeck.membership.consul.entries import parse_catalog, parse_health
 from micadeck.membership.consul.protocol import ConsulError
 from micadeck.membership.consul.states import Health, Names, Restarts, Word, more_cautious, word_of
-from micadeck.membership.merge import Caution, Sighting
+from micadeck.membership.endpoint_merge import Caution, Sighting
 from micadeck.network import Address
 
 ENTRIES_AT_ONCE = 32
--- a/micadeck/membership/calls.py
+++ b/micadeck/membership/discovery_client.py
@@ -16,7 +16,7 @@
 
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import Request, Response
-from micadeck.membership.vigil import DIAL_WITHIN_S, Patience
+from micadeck.membership.watch_health import DIAL_WITHIN_S, Patience
 from micadeck.network import Address, Network
 
 _PATH = "/catalog/members"
--- a/micadeck/membership/roster.py
+++ b/micadeck/membership/discovery_watcher.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from magpiemux.interface import ListedServer, ServerState
 from micadeck.engine import Entry, Listing
-from micadeck.membership.calls import CallFailed, Calls
-from micadeck.membership.vigil import Vigil
+from micadeck.membership.discovery_client import CallFailed, Calls
+from micadeck.membership.watch_health import Vigil
 from micadeck.network import Address, Network, Timer, parse_address
+from micadeck.policy.settings import ListedServer, ServerState
 
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 _MOST_CALLS = 8  # at once; more fail unasked
--- a/micadeck/membership/merge.py
+++ b/micadeck/membership/endpoint_merge.py
@@ -34,9 +34,9 @@
 from dataclasses import dataclass, field, replace
 from enum import IntEnum, unique
 
-from magpiemux.interface import ListedServer, ServerState
 from micadeck.engine import Entry, Listing
 from micadeck.network import Address, place
+from micadeck.policy.settings import ListedServer, ServerState
 
 
 @unique
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -13,14 +13,14 @@
 from collections.abc import Callable, Iterable
 from itertools import islice
 
-from magpiemux.interface import ServerState
 from micadeck.engine import Entry, Listing
 from micadeck.membership.consul import Agents, ConsulClient, ConsulError, Heard, ServiceWatch, watch
 from micadeck.membership.consul.config import ConsulConfig, Service
-from micadeck.membership.merge import TO_THE_LETTER, Caution, Merge, Sighting, sighting_of
-from micadeck.membership.roster import Roster
-from micadeck.membership.vigil import AGAIN_S
+from micadeck.membership.discovery_watcher import Roster
+from micadeck.membership.endpoint_merge import TO_THE_LETTER, Caution, Merge, Sighting, sighting_of
+from micadeck.membership.watch_health import AGAIN_S
 from micadeck.network import Address, Network, Timer
+from micadeck.policy.settings import ServerState
 
 # Sources beside the services; no service's name has a space.
 ROSTER = "the roster"
--- a/micadeck/membership/vigil.py
+++ b/micadeck/membership/watch_health.py
@@ -29,8 +29,8 @@
 import random
 from dataclasses import dataclass, replace
 
-from magpiemux.balancer import ASK_AGAIN_TOLD
-from magpiemux.interface import TOLD_US
+from micadeck.policy.balancer import ASK_AGAIN_TOLD
+from micadeck.policy.settings import TOLD_US
 
 TOLD_S = TOLD_US / 1e6
 AGAIN_S = ASK_AGAIN_TOLD * TOLD_S  # the longest wait after a failed call
--- a/micadeck/memory/keeper.py
+++ b/micadeck/memory/monitor.py
@@ -6,7 +6,7 @@
 import gc
 from collections.abc import Callable
 
-from micadeck.memory.account import Kind, MemoryAccount, Stage
+from micadeck.memory.budget import Kind, MemoryAccount, Stage
 from micadeck.memory.resident import MB, anonymous_bytes
 from micadeck.network import Network, Timer
 
--- a/micadeck/mysql/config.py
+++ b/micadeck/mysql/config.py
@@ -10,19 +10,19 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from magpiemux import Settings
-from magpiemux.interface import ListedServer, Repeat
 from micadeck.engine import Entry, Listing
 from micadeck.keys import key_and_text
 from micadeck.membership.consul.config import ConsulConfig, ConsulConfigError
 from micadeck.membership.consul.config import load as load_consul
 from micadeck.mysql.auth import User, Verifier, parse_native
-from micadeck.mysql.carrier import CarrierLimits
-from micadeck.mysql.front import FrontLimits
-from micadeck.mysql.link import Credentials
+from micadeck.mysql.listener import FrontLimits
 from micadeck.mysql.pool import Limits
 from micadeck.mysql.routes import Rule
+from micadeck.mysql.server_connection import Credentials
+from micadeck.mysql.transport import CarrierLimits
 from micadeck.network import Address, parse_address
+from micadeck.policy import Settings
+from micadeck.policy.settings import ListedServer, Repeat
 
 _Name = Annotated[str, Meta(pattern=r"^[^\r\n\x00]{1,80}$")]
 _Count = Annotated[int, Meta(ge=1, le=10**9)]
--- a/micadeck/mysql/front.py
+++ b/micadeck/mysql/listener.py
@@ -13,10 +13,8 @@
 
 from micadeck.engine import Cause, Engine
 from micadeck.mysql.auth import Admitted, Check, Denied, Gate, Say, Step, User, Users, new_salt
-from micadeck.mysql.carrier import Answer, Call, Carrier, StatementRequest
 from micadeck.mysql.charsets import names_of
-from micadeck.mysql.fates import TABLE, Befell, Fate, Transaction, Was, was
-from micadeck.mysql.link import Link
+from micadeck.mysql.error_mapping import TABLE, Befell, Fate, Transaction, Was, was
 from micadeck.mysql.protocol.answers import (
     Definition,
     DefinitionsEnd,
@@ -41,9 +39,11 @@
 from micadeck.mysql.protocol.packets import PacketReader, TooLarge, frame
 from micadeck.mysql.protocol.wire import Cursor, ProtocolError, lenenc
 from micadeck.mysql.routes import Routes
+from micadeck.mysql.server_connection import Link
 from micadeck.mysql.session import Handle, Session, TooMuch
 from micadeck.mysql.statements import Kind as Does
 from micadeck.mysql.statements import Pin, Reader, Refusal, Statement
+from micadeck.mysql.transport import Answer, Call, Carrier, StatementRequest
 from micadeck.network import Address, Listener, Network, Timer
 
 OFFERED = (
--- a/micadeck/mysql/routes.py
+++ b/micadeck/mysql/routes.py
@@ -12,8 +12,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from magpiemux.interface import Repeat, ServiceClass
 from micadeck.mysql.statements import Kind, Statement
+from micadeck.policy.settings import Repeat, ServiceClass
 
 
 @dataclass(frozen=True, slots=True)
--- a/micadeck/mysql/service.py
+++ b/micadeck/mysql/service.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from micadeck.engine import Engine, Listing, Source
-from micadeck.membership.roster import Roster
+from micadeck.membership.discovery_watcher import Roster
 from micadeck.membership.sources import Sources
 from micadeck.mysql.auth import Users
-from micadeck.mysql.carrier import Carrier
 from micadeck.mysql.config import MysqlConfig
-from micadeck.mysql.front import Front
+from micadeck.mysql.listener import Front
 from micadeck.mysql.routes import Routes
+from micadeck.mysql.transport import Carrier
 from micadeck.network import Network
 
 _LOOK_AGAIN_S = 0.01
--- a/micadeck/mysql/carrier.py
+++ b/micadeck/mysql/transport.py
@@ -12,18 +12,18 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from magpiemux.interface import Outcome, ServerState, Settings
 from micadeck.engine import Done, Listing, Request
 from micadeck.mysql.auth import LoginFailed
-from micadeck.mysql.link import FULL_AT_LOGIN, Credentials, Link, Lost
 from micadeck.mysql.pool import Full, Limits, Pool, Use
 from micadeck.mysql.protocol.answers import AnswerReader, Definition, Kind, Part, Row, Words
 from micadeck.mysql.protocol.constants import Command, ErrorCode
 from micadeck.mysql.protocol.messages import Err, Ok, Prepared
+from micadeck.mysql.server_connection import FULL_AT_LOGIN, Credentials, Link, Lost
 from micadeck.mysql.session import Handle, Session, must_reset, put
 from micadeck.mysql.statements import Statement
 from micadeck.network import Address, Network, Timer
-from micadeck.network.own_time import within_own_time
+from micadeck.network.scheduling_delay import within_own_time
+from micadeck.policy.settings import Outcome, ServerState, Settings
 
 _OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 _PING = bytes((Command.PING,))
--- a/micadeck/network/__init__.py
+++ b/micadeck/network/__init__.py
@@ -4,8 +4,8 @@
 the system's clocks and sockets.  A virtual clock and an in-memory network can take its place in a simulation.
 """
 
+from micadeck.network.interfaces import Address, Apart, Listener, Network, Stream, Timer, parse_address, place
 from micadeck.network.loop import LoopNetwork, OnLoop
-from micadeck.network.port import Address, Apart, Listener, Network, Stream, Timer, parse_address, place
 
 __all__ = [
     "Address",
--- a/micadeck/network/loop.py
+++ b/micadeck/network/loop.py
@@ -14,7 +14,7 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Any, TypeVar
 
-from micadeck.network.port import Address, Apart
+from micadeck.network.interfaces import Address, Apart
 
 _BACKLOG = 1_024
 _ENDS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # also behind bytes that nobody has read
@@ -233,7 +233,9 @@
         self.stream = _stream
 
     def apart(self, name: str) -> Apart:
-        from micadeck.network.apart import LoopApart  # nothing of it is loaded where it is not asked for
+        from micadeck.network.thread_loop import (
+            LoopApart,  # nothing of it is loaded where it is not asked for
+        )
 
         return LoopApart(name)
 
--- a/micadeck/network/own_time.py
+++ b/micadeck/network/scheduling_delay.py
@@ -10,7 +10,7 @@
 from collections.abc import Coroutine
 from typing import Any, TypeVar
 
-from micadeck.network.port import Network
+from micadeck.network.interfaces import Network
 
 _STEPS = 25  # in which the time is looked at; on an event loop that is in time, each is one round
 _MOST_COUNTED = 1.5  # of a step, however long it took to come round
--- a/micadeck/operations/__init__.py
+++ b/micadeck/operations/__init__.py
@@ -5,10 +5,10 @@
 sidecar, `ids` what is open there.
 """
 
-from micadeck.operations.apart import DoorApart
-from micadeck.operations.beside import Beside, share_of
-from micadeck.operations.figures import Counts, report
-from micadeck.operations.ids import OpenIds
-from micadeck.operations.life import LetGo, Life, Phase
+from micadeck.operations.admin_thread import DoorApart
+from micadeck.operations.hot_restart import Beside, share_of
+from micadeck.operations.lifecycle import LetGo, Life, Phase
+from micadeck.operations.request_id_registry import OpenIds
+from micadeck.operations.statsd_report import Counts, report
 
 __all__ = ["Beside", "Counts", "DoorApart", "LetGo", "Life", "OpenIds", "Phase", "report", "share_of"]
--- a/micadeck/operations/door.py
+++ b/micadeck/operations/admin_server.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 from micadeck.network import Address, Listener, Network, Timer
-from micadeck.operations.calls import BadCall, CallReader, Staffed, answer, refusal
+from micadeck.operations.admin_protocol import BadCall, CallReader, Staffed, answer, refusal
 
 MOST_CALLERS = 16  # descriptors that the sidecar sets aside for them
 _CALL_WITHIN_S = 3.0  # a caller that has not finished its line by then is cut off
--- a/micadeck/operations/apart.py
+++ b/micadeck/operations/admin_thread.py
@@ -13,9 +13,9 @@
 from typing import Protocol
 
 from micadeck.network import Address, Apart, Network
-from micadeck.operations.calls import Staffed
-from micadeck.operations.door import Door
-from micadeck.operations.life import Phase
+from micadeck.operations.admin_protocol import Staffed
+from micadeck.operations.admin_server import Door
+from micadeck.operations.lifecycle import Phase
 
 
 class Sidecar(Staffed, Protocol):
--- a/micadeck/operations/beside.py
+++ b/micadeck/operations/hot_restart.py
@@ -12,7 +12,7 @@
 import re
 from pathlib import Path
 
-from micadeck.operations.ids import OpenIds
+from micadeck.operations.request_id_registry import OpenIds
 
 _TRIES = 5
 _SAFE = re.compile(r"[^A-Za-z0-9_-]")
--- a/micadeck/operations/starting.py
+++ b/micadeck/operations/startup_retry.py
@@ -8,7 +8,7 @@
 
 import errno
 
-from micadeck.operations.margins import KILLED_AFTER_S, LONGEST_DEADLINE_S
+from micadeck.operations.shutdown_budget import KILLED_AFTER_S, LONGEST_DEADLINE_S
 
 WAITED_FOR_S = 30.0
 # A process of before holds its address no longer than that after it was told to end.
--- a/magpiemux/__init__.py
+++ b/micadeck/policy/__init__.py
@@ -1,11 +1,11 @@
 """Magpiemux: the decisions of a sidecar balancer, by best-of-k with redraw."""
 
-from magpiemux import compiled
+from micadeck.policy import compiled
 
 IS_COMPILED = compiled.take_up(__path__)
 
-from magpiemux.balancer import Balancer  # noqa: E402  # of what was taken up
-from magpiemux.interface import Settings  # noqa: E402
+from micadeck.policy.balancer import Balancer  # noqa: E402  # of what was taken up
+from micadeck.policy.settings import Settings  # noqa: E402
 
 __all__ = ["IS_COMPILED", "Balancer", "Settings"]
 __version__ = "0.1.0"
--- a/magpiemux/balancer.py
+++ b/micadeck/policy/balancer.py
@@ -1,6 +1,6 @@
 """All decisions of a sidecar balancer, by best-of-k with redraw.
 
-Types, events and actions: magpiemux/interface.py.  The reasons for each departure: docs/design.md.
+Types, events and actions: micadeck/policy/settings.py.  The reasons for each departure: docs/design.md.
 
 Per request: draw k random distinct ready servers and send to the one with the fewest of this balancer's own
 requests in flight; on a full answer draw again, wider.  Every attempt leaves through `_send` and every final
@@ -15,7 +15,8 @@
 import random
 from dataclasses import dataclass, field
 
-from magpiemux.interface import (
+from micadeck.policy.decaying_rate import Rate
+from micadeck.policy.settings import (
     TOLD_US,
     Action,
     AnswerStarted,
@@ -47,9 +48,8 @@
     SettingsChanged,
     TimerFired,
 )
-from magpiemux.rate import Rate
-from magpiemux.slow_start import plausible_start
-from magpiemux.traffic import Mix
+from micadeck.policy.slow_start import plausible_start
+from micadeck.policy.traffic import Mix
 
 # ---------------------------------------------------------------------------------------------------
 # Constants: ratios of what the settings give or of what was observed
--- a/magpiemux/compiled.py
+++ b/micadeck/policy/compiled.py
@@ -12,8 +12,12 @@
 import sysconfig
 from pathlib import Path
 
-MODULES = ("balancer", "interface", "rate", "slow_start", "traffic")
+MODULES = ("balancer", "decaying_rate", "settings", "slow_start", "traffic")
 ROOT = Path(__file__).parent
+PACKAGE_PATH = Path("micadeck", "policy")
+"""Where the compiled modules lie below the folder of one build."""
+
+_INTERPRETED_VARIABLES = ("MICADECK_INTERPRETED", "MAGPIEMUX_INTERPRETED")  # the second: the former name
 
 
 def folder() -> Path:
@@ -21,15 +25,15 @@
     digest = hashlib.blake2b(sysconfig.get_config_var("SOABI").encode(), digest_size=12)
     for name in MODULES:
         digest.update((ROOT / f"{name}.py").read_bytes())
-    return ROOT.parent / ".compiled" / digest.hexdigest()
+    return ROOT.parent.parent / ".compiled" / digest.hexdigest()
 
 
 def take_up(paths: list[str]) -> bool:
     """Put it before the sources on a package's `__path__`, if it is there; say whether it was.
 
-    `MAGPIEMUX_INTERPRETED` in the environment keeps to the sources: tests replace parts of them.
+    `MICADECK_INTERPRETED` in the environment keeps to the sources: tests replace parts of them.
     """
-    if os.environ.get("MAGPIEMUX_INTERPRETED"):
+    if any(os.environ.get(name) for name in _INTERPRETED_VARIABLES):
         return False
     try:
         found = folder()
@@ -38,8 +42,8 @@
         AttributeError,
     ):  # installed without sources, or an interpreter without a name for its ABI
         return False
-    if not (found / "magpiemux").is_dir():
+    if not (found / PACKAGE_PATH).is_dir():
         return False
-    paths.insert(0, str(found / "magpiemux"))
+    paths.insert(0, str(found / PACKAGE_PATH))
     sys.path.append(str(found))  # what the modules share
     return True
--- a/magpiemux/interface.py
+++ b/micadeck/policy/settings.py
@@ -18,7 +18,7 @@
 """What discovery has, and could be reached for, counts as told so long after, whatever became of the calls.
 
 The one clock of all that is asked of discovery: each wait before a call and each limit on one is a part of
-it (`micadeck.membership.vigil` adds them up), however long the settings allow for asking.
+it (`micadeck.membership.watch_health` adds them up), however long the settings allow for asking.
 """
 
 # ---------------------------------------------------------------------------------------------------
--- a/magpiemux/slow_start.py
+++ b/micadeck/policy/slow_start.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from magpiemux.interface import TOLD_US
+from micadeck.policy.settings import TOLD_US
 
 LONGEST_STEP_US = 2 * 3_600 * 1_000_000  # no step of a clock is taken for longer: what is older is old
 
--- a/magpiemux/traffic.py
+++ b/micadeck/policy/traffic.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from magpiemux.interface import ServiceClass
-from magpiemux.rate import Rate
+from micadeck.policy.decaying_rate import Rate
+from micadeck.policy.settings import ServiceClass
 
 
 @dataclass(slots=True, eq=False)
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -9,28 +9,28 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from magpiemux import IS_COMPILED
-from magpiemux.interface import Discovery
 from micadeck.config import Config
 from micadeck.engine import Engine
-from micadeck.http.frontend import ClientLimits, Frontend
-from micadeck.http.pipe import Budget
+from micadeck.http.body_stream import Budget
+from micadeck.http.listener import ClientLimits, Frontend
 from micadeck.http.upstream import Upstream
-from micadeck.membership.roster import Roster
-from micadeck.memory.account import Kind, MemoryAccount, Stage
+from micadeck.membership.discovery_watcher import Roster
+from micadeck.memory.budget import Kind, MemoryAccount, Stage
 from micadeck.memory.resident import MB, open_descriptors
 from micadeck.network import Address, Network, place
 from micadeck.operations import Beside, Counts, DoorApart, LetGo, Life, OpenIds, Phase, report, share_of
-from micadeck.operations.margins import FLUSH_S, KILLED_AFTER_S, answered_by
-from micadeck.operations.starting import StartCalledOff, StartWait
-from micadeck.peers import Peers
+from micadeck.operations.shutdown_budget import FLUSH_S, KILLED_AFTER_S, answered_by
+from micadeck.operations.startup_retry import StartCalledOff, StartWait
+from micadeck.peer_datagrams import Peers
+from micadeck.policy import IS_COMPILED
+from micadeck.policy.settings import Discovery
 
 if TYPE_CHECKING:
-    from magpiemux import Balancer, Settings
     from micadeck.fleet.host import FleetHost
     from micadeck.incidents.recording import Recording
     from micadeck.membership.sources import Sources
     from micadeck.mysql.service import MysqlService
+    from micadeck.policy import Balancer, Settings
     from micadeck.traces.record import Recorder
 
 _RESERVED = 48  # descriptors for everything but clients and servers
@@ -106,7 +106,7 @@
     def _recorded(self, config: Config) -> Recorder | None:
         """Record what the decisions hear; without the wish for it, nothing of it is loaded."""
         if IS_COMPILED:  # the compiled types can't be written down
-            self._log("trace: no recording: the decisions are compiled, set MAGPIEMUX_INTERPRETED")
+            self._log("trace: no recording: the decisions are compiled, set MICADECK_INTERPRETED")
             return None
         from micadeck.traces.record import Recorder
 
--- a/micadeck/simulation/__main__.py
+++ b/micadeck/simulation/__main__.py
@@ -11,10 +11,10 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from micadeck.simulation.many import Failure, Tally, play_many
 from micadeck.simulation.scenario import Scenario, draw, orders, read, write
+from micadeck.simulation.seed_sweep import Failure, Tally, play_many
 from micadeck.simulation.shrink import shrink
-from micadeck.simulation.world import Result, play
+from micadeck.simulation.simulated_day import Result, play
 
 _SHOWN = 20  # failures
 
--- a/micadeck/simulation/consul.py
+++ b/micadeck/simulation/consul.py
@@ -10,7 +10,7 @@
 from micadeck.simulation.loop import Host
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Machine, Wire
-from micadeck.standins.consul import NODE, StandInConsul, State
+from micadeck.stand_ins.consul import NODE, StandInConsul, State
 
 SERVICE = "tariff"
 _PLACE = ("10.2.1.1", 8500)
--- a/micadeck/simulation/roster.py
+++ b/micadeck/simulation/roster.py
@@ -9,7 +9,7 @@
 from micadeck.simulation.loop import Host
 from micadeck.simulation.network import EPOCH_US, VirtualNetwork
 from micadeck.simulation.wire import Machine, Wire
-from micadeck.standins.roster import StandInRoster
+from micadeck.stand_ins.discovery_server import StandInRoster
 
 
 class Discovery(StandInRoster):
--- a/micadeck/simulation/many.py
+++ b/micadeck/simulation/seed_sweep.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from micadeck.simulation.scenario import Kind, draw
-from micadeck.simulation.world import Result, play
+from micadeck.simulation.simulated_day import Result, play
 
 _AT_ONCE = 25  # seeds that a process plays before it reports
 
--- a/magpiemux/adapter.py
+++ b/micadeck/simulator_adapter.py
@@ -1,7 +1,7 @@
 """Puts balancers on the simulator's wire: a map of names, and no decision.
 
-Run as `python -m magpiemux.adapter`.  Input that breaks the wire's grammar ends the process with one line on
-standard error and exit code 2.
+Run as `python -m micadeck.simulator_adapter`.  Input that breaks the wire's grammar ends the process with one
+line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TextIO
 
-from magpiemux.balancer import Balancer
-from magpiemux.interface import (
+from micadeck.policy.balancer import Balancer
+from micadeck.policy.settings import (
     Action,
     AnswerStarted,
     AttemptEnded,
--- a/micadeck/standins/__init__.py
+++ b/micadeck/stand_ins/__init__.py
@@ -4,7 +4,7 @@
 own. Nothing else of the package imports them.
 """
 
-from micadeck.standins.roster import StandInRoster
-from micadeck.standins.servers import Heard, Mode, StandInServer
+from micadeck.stand_ins.discovery_server import StandInRoster
+from micadeck.stand_ins.http_server import Heard, Mode, StandInServer
 
 __all__ = ["Heard", "Mode", "StandInRoster", "StandInServer"]
--- a/micadeck/standins/consul/__init__.py
+++ b/micadeck/stand_ins/consul/__init__.py
@@ -1,11 +1,11 @@
 """A stand-in for Consul: catalogue, health, keys and blocking queries on one port, faults on command.
 
 Written from https://developer.hashicorp.com/consul/api-docs (agent, catalog, health, kv, status, blocking
-queries, consistency).  `python -m micadeck.standins.consul` prints its address, and serves till input ends.
+queries, consistency).  `python -m micadeck.stand_ins.consul` prints its address, and serves till input ends.
 `PUT /_standin/fault` with `{"kind": ..., "times": N}` makes the next N reads go wrong; see `Fault`.
 """
 
-from micadeck.standins.consul.server import Fault, StandInConsul
-from micadeck.standins.consul.state import NODE, State
+from micadeck.stand_ins.consul.server import Fault, StandInConsul
+from micadeck.stand_ins.consul.state import NODE, State
 
 __all__ = ["NODE", "Fault", "StandInConsul", "State"]
--- a/micadeck/standins/consul/__main__.py
+++ b/micadeck/stand_ins/consul/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m micadeck.standins.consul [INSTANCES]`: prints its address, and serves till its input ends.
+"""`python -m micadeck.stand_ins.consul [INSTANCES]`: prints its address, and serves till its input ends.
 
 With a number, the service `tariff` has so many instances, at ports of 10.0.0.0/16 where nobody listens.
 """
@@ -8,8 +8,8 @@
 import asyncio
 import sys
 
-from micadeck.standins.consul.server import StandInConsul
-from micadeck.standins.consul.state import NODE
+from micadeck.stand_ins.consul.server import StandInConsul
+from micadeck.stand_ins.consul.state import NODE
 
 
 async def _main(instances: int) -> None:
--- a/micadeck/standins/consul/server.py
+++ b/micadeck/stand_ins/consul/server.py
@@ -13,7 +13,7 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from micadeck.standins.consul.state import HOST, NODE, State
+from micadeck.stand_ins.consul.state import HOST, NODE, State
 
 _WAIT_S, _WAIT_MOST_S = 300.0, 600.0
 
--- a/micadeck/standins/demo.py
+++ b/micadeck/stand_ins/demo.py
@@ -1,4 +1,4 @@
-"""A short mixed day on loopback: `python -m micadeck.standins.demo`, or `make demo`.
+"""A short mixed day on loopback: `python -m micadeck.stand_ins.demo`, or `make demo`.
 
 Stand-in servers and a roster run in one process, a Consul that lends two more servers and a sidecar in
 others, and clients here.  One server of the roster drains, one of Consul, one dies, one joins cold.  The four
@@ -23,7 +23,7 @@
 import httptools
 import uvloop
 
-from micadeck.standins import mysql_demo
+from micadeck.stand_ins import mysql_demo
 
 HOST = "127.0.0.1"
 DAY_S = 8.0
@@ -131,7 +131,7 @@
     @staticmethod
     async def start(count: int) -> World:
         child = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "micadeck.standins.world", str(count),
+            sys.executable, "-m", "micadeck.stand_ins.world", str(count),
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, limit=1 << 24,
         )  # fmt: skip
         assert child.stdout is not None
@@ -153,7 +153,7 @@
     @staticmethod
     async def start() -> Consul:
         child = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "micadeck.standins.consul",
+            sys.executable, "-m", "micadeck.stand_ins.consul",
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
         )  # fmt: skip
         assert child.stdout is not None
--- a/micadeck/standins/hostile/__init__.py
+++ b/micadeck/stand_ins/hostile/__init__.py
@@ -3,7 +3,7 @@
 `loads` is the table of what they do, `peers` does it, `stage` runs the daemon beside it and reads its memory.
 """
 
-from micadeck.standins.hostile.loads import LOADS, Load, Side
-from micadeck.standins.hostile.stage import Played, play
+from micadeck.stand_ins.hostile.daemon_under_load import Played, play
+from micadeck.stand_ins.hostile.loads import LOADS, Load, Side
 
 __all__ = ["LOADS", "Load", "Played", "Side", "play"]
--- a/micadeck/standins/hostile/stage.py
+++ b/micadeck/stand_ins/hostile/daemon_under_load.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from micadeck.standins.hostile.loads import Load, Side
-from micadeck.standins.hostile.peers import (
+from micadeck.stand_ins.hostile.loads import Load, Side
+from micadeck.stand_ins.hostile.peers import (
     ANSWERS,
     HOST,
     Flood,
--- a/micadeck/standins/hostile/loads.py
+++ b/micadeck/stand_ins/hostile/loads.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import StrEnum, unique
 
-from micadeck.standins.hostile.peers import ANSWERS, HANGS, ID, Crowd, Flood, whole
+from micadeck.stand_ins.hostile.peers import ANSWERS, HANGS, ID, Crowd, Flood, whole
 
 _MANY = 560  # clients: over what a daemon with 640 descriptors has room for
 _FEW = 60
--- a/micadeck/standins/incident_days.py
+++ b/micadeck/stand_ins/incident_days.py
@@ -13,8 +13,12 @@
 from itertools import count
 from typing import Any
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import (
+from micadeck.incidents.archive import Archive, File, Found, assemble
+from micadeck.incidents.frames import MARK, Encoder, NotRecords, Segment, read
+from micadeck.incidents.kinds import Head, Record
+from micadeck.incidents.observer import Observer
+from micadeck.policy import Balancer, Settings
+from micadeck.policy.settings import (
     Action,
     AttemptEnded,
     Cancel,
@@ -34,10 +38,6 @@
     SetTimer,
     TimerFired,
 )
-from micadeck.incidents.archive import Archive, File, Found, assemble
-from micadeck.incidents.frames import MARK, Encoder, NotRecords, Segment, read
-from micadeck.incidents.kinds import Head, Record
-from micadeck.incidents.observer import Observer
 
 MS = 1_000
 S = 1_000_000
--- a/micadeck/standins/mysql/__main__.py
+++ b/micadeck/stand_ins/mysql/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in MySQL server until it is interrupted: `python -m micadeck.standins.mysql --port 3306`."""
+"""Runs a stand-in MySQL server until it is interrupted: `python -m micadeck.stand_ins.mysql --port 3306`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from micadeck.mysql.protocol.messages import Column, Eof
 from micadeck.mysql.protocol.wire import lenenc, lenenc_int
-from micadeck.standins.mysql import Fault, Point, StandInMysql, What
+from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
 
 
 def _fault(text: str) -> Fault:
--- a/micadeck/standins/mysql/server.py
+++ b/micadeck/stand_ins/mysql/server.py
@@ -31,7 +31,7 @@
 from micadeck.mysql.protocol.messages import Column, Eof, Err, Ok, Prepared
 from micadeck.mysql.protocol.packets import PacketReader, frame
 from micadeck.mysql.protocol.wire import Cursor, lenenc, lenenc_int
-from micadeck.standins.mysql.sql import Busy, Database, Result, SqlError, SqlSession, Value
+from micadeck.stand_ins.mysql.sql import Busy, Database, Result, SqlError, SqlSession, Value
 
 HOST = "127.0.0.1"
 _OFFERED = (
--- a/micadeck/standins/mysql_demo.py
+++ b/micadeck/stand_ins/mysql_demo.py
@@ -13,12 +13,12 @@
 
 from micadeck.mysql.auth import Verifier
 from micadeck.mysql.config import parse
-from micadeck.mysql.link import Credentials, Link
 from micadeck.mysql.protocol.answers import Kind, Part, Row
+from micadeck.mysql.server_connection import Credentials, Link
 from micadeck.mysql.service import MysqlService
 from micadeck.network import LoopNetwork
-from micadeck.standins.mysql import Fault, Point, StandInMysql, What
-from micadeck.standins.roster import StandInRoster
+from micadeck.stand_ins.discovery_server import StandInRoster
+from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
 
 HOST = "127.0.0.1"
 PASSWORD = b"desk"
--- a/micadeck/standins/world.py
+++ b/micadeck/stand_ins/world.py
@@ -1,6 +1,6 @@
 """Stand-in servers and a roster in a process of their own, told what to do by lines of JSON.
 
-`python -m micadeck.standins.world COUNT` prints a line with the addresses, then answers each line on its
+`python -m micadeck.stand_ins.world COUNT` prints a line with the addresses, then answers each line on its
 standard input with one on its standard output, until the input ends:
 
     {"do": "mode", "server": "s-0", "mode": "hangs", "takes_s": 0.2}
@@ -25,8 +25,8 @@
 
 import uvloop
 
-from micadeck.standins.roster import StandInRoster
-from micadeck.standins.servers import Mode, StandInServer
+from micadeck.stand_ins.discovery_server import StandInRoster
+from micadeck.stand_ins.http_server import Mode, StandInServer
 
 
 class World:
--- a/micadeck/traces/__init__.py
+++ b/micadeck/traces/__init__.py
@@ -9,6 +9,6 @@
 import os
 import sys
 
-if "magpiemux" not in sys.modules:
+if "micadeck.policy" not in sys.modules:
     # The types of compiled decisions can be neither written down nor read.
-    os.environ.setdefault("MAGPIEMUX_INTERPRETED", "1")
+    os.environ.setdefault("MICADECK_INTERPRETED", "1")
--- a/micadeck/traces/__main__.py
+++ b/micadeck/traces/__main__.py
@@ -16,7 +16,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from magpiemux import Balancer
+from micadeck.policy import Balancer
 from micadeck.traces.format import Trace, TraceError, decode
 from micadeck.traces.replay import Foreign, Make, compare, spans, totals
 
@@ -47,23 +47,23 @@
 def _build(folder: str) -> Make:
     """The decisions of another tree, beside this one's."""
     loaded: dict[str, ModuleType] = {}
-    kept = {name: module for name, module in sys.modules.items() if name.split(".")[0] == "magpiemux"}
+    kept = {name: module for name, module in sys.modules.items() if name.split(".")[0] == "micadeck"}
     for name in kept:
         del sys.modules[name]
     sys.path.insert(0, folder)
     try:
-        for part in ("magpiemux", "magpiemux.interface", "magpiemux.balancer"):
+        for part in ("micadeck.policy", "micadeck.policy.settings", "micadeck.policy.balancer"):
             loaded[part] = importlib.import_module(part)
-        _resolve(loaded["magpiemux.interface"])
+        _resolve(loaded["micadeck.policy.settings"])
     except ImportError as fault:
         click.echo(f"micadeck: trace: {folder}: {fault}", err=True)
         raise SystemExit(2) from None
     finally:
         sys.path.remove(folder)
-        for name in [each for each in sys.modules if each.split(".")[0] == "magpiemux"]:
+        for name in [each for each in sys.modules if each.split(".")[0] == "micadeck"]:
             del sys.modules[name]
         sys.modules.update(kept)
-    balancer, interface = loaded["magpiemux.balancer"].Balancer, loaded["magpiemux.interface"]
+    balancer, interface = loaded["micadeck.policy.balancer"].Balancer, loaded["micadeck.policy.settings"]
     return lambda given, seed: Foreign(balancer, interface, given, seed)
 
 
@@ -103,7 +103,7 @@
 @click.option("--span", default=0.25, type=click.FloatRange(0.01), help="Seconds for each point.")
 def draw_command(path: str, picture: str, span: float) -> None:
     """The day as a PNG."""
-    from micadeck.traces.draw import draw
+    from micadeck.traces.plot import draw
 
     draw(list(spans(_read(path), span)), Path(picture), Path(path).name)
 
--- a/micadeck/traces/format.py
+++ b/micadeck/traces/format.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from magpiemux import Settings
-from magpiemux.interface import (
+from micadeck.policy import Settings
+from micadeck.policy.settings import (
     AnswerStarted,
     AttemptEnded,
     Event,
--- a/micadeck/traces/record.py
+++ b/micadeck/traces/record.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import Action, Event
+from micadeck.policy import Balancer, Settings
+from micadeck.policy.settings import Action, Event
 from micadeck.traces.format import Encoder
 
 _AT_ONCE = 1 << 16  # bytes before they are written
--- a/micadeck/traces/replay.py
+++ b/micadeck/traces/replay.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import (
+from micadeck.policy import Balancer, Settings
+from micadeck.policy.settings import (
     Action,
     AttemptEnded,
     Event,
--- a/tests/mutants.py
+++ b/tests/broken_builds.py
@@ -7,14 +7,14 @@
 from typing import Any
 from unittest import mock
 
-from magpiemux import balancer
-from magpiemux.interface import Group, Outcome, Rules, ServerState
 from micadeck.engine import Engine
-from micadeck.http import frontend
+from micadeck.http import listener
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import Response
 from micadeck.http.upstream import Upstream
-from micadeck.membership import vigil
+from micadeck.membership import watch_health
+from micadeck.policy import balancer
+from micadeck.policy.settings import Group, Outcome, Rules, ServerState
 
 Mutant = Callable[[], contextlib.AbstractContextManager[Any]]
 
@@ -24,7 +24,7 @@
 
 
 def _answers_twice() -> contextlib.AbstractContextManager[Any]:
-    answer = frontend.ClientSide.answer
+    answer = listener.ClientSide.answer
 
     def twice(self: Any, status: int, headers: Any, body: bytes) -> None:
         transport = self._transport
@@ -32,12 +32,12 @@
         if status == 502 and transport is not None:
             transport.write(b"HTTP/1.1 502 Again\r\nContent-Length: 0\r\n\r\n")
 
-    return mock.patch.object(frontend.ClientSide, "answer", twice)
+    return mock.patch.object(listener.ClientSide, "answer", twice)
 
 
 def _forgets_answers() -> contextlib.AbstractContextManager[Any]:
     """A failure is never told."""
-    return mock.patch.object(frontend.ClientSide, "failed", lambda self, cause, may_have_run: None)
+    return mock.patch.object(listener.ClientSide, "failed", lambda self, cause, may_have_run: None)
 
 
 def _drops_are_unsent() -> contextlib.AbstractContextManager[Any]:
@@ -180,11 +180,11 @@
     """Watches whose calls wait for twenty seconds, as they once did; no drawn day lasts that long."""
 
     def allow(self: Any, allowed_us: int, grace_us: int) -> None:
-        self.waiting = vigil.Patience(20_000, 22.0, 22.0, 22.0, 22.0, 1, False)
+        self.waiting = watch_health.Patience(20_000, 22.0, 22.0, 22.0, 22.0, 1, False)
         self.second = self.waiting
-        self.first = vigil.Patience(0, 5.0, 5.0, 5.0, 5.0, 1, False)
+        self.first = watch_health.Patience(0, 5.0, 5.0, 5.0, 5.0, 1, False)
 
-    return mock.patch.object(vigil.Vigil, "allow", allow)
+    return mock.patch.object(watch_health.Vigil, "allow", allow)
 
 
 # Each with the rules, any of which it has to be found by.
--- a/tests/worlds.py
+++ b/tests/child_process_peers.py
@@ -65,7 +65,7 @@
 @contextmanager
 def world(count: int) -> Iterator[WorldProcess]:
     child = subprocess.Popen(
-        [sys.executable, "-m", "micadeck.standins.world", str(count)],
+        [sys.executable, "-m", "micadeck.stand_ins.world", str(count)],
         cwd=ROOT,
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,22 +6,22 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-os.environ["MAGPIEMUX_INTERPRETED"] = "1"  # parts of the decisions are replaced here
+os.environ["MICADECK_INTERPRETED"] = "1"  # parts of the decisions are replaced here
 
+import embedding_parity
 import loopback
 import pytest
-import ways
 
 
 def pytest_generate_tests(metafunc: pytest.Metafunc) -> None:
-    if metafunc.module.__name__ in ways.SUITE:
-        everywhere = metafunc.function.__name__ not in ways.HTTP_ONLY
-        given = list(ways.WAYS if everywhere else ways.WAYS[:1])
+    if metafunc.module.__name__ in embedding_parity.SUITE:
+        everywhere = metafunc.function.__name__ not in embedding_parity.HTTP_ONLY
+        given = list(embedding_parity.WAYS if everywhere else embedding_parity.WAYS[:1])
         if (
-            metafunc.module.__name__ in ways.WITH_CONSUL
-            and metafunc.function.__name__ not in ways.ROSTER_ONLY
+            metafunc.module.__name__ in embedding_parity.WITH_CONSUL
+            and metafunc.function.__name__ not in embedding_parity.ROSTER_ONLY
         ):
-            given += ways.CONSUL_WAYS
+            given += embedding_parity.CONSUL_WAYS
         metafunc.parametrize("way", given, indirect=True)
 
 
@@ -58,12 +58,12 @@
 
 
 def _is_no_request(item: pytest.Item) -> bool:
-    if not isinstance(item, pytest.Function) or item.function.__name__ not in ways.RAW:
+    if not isinstance(item, pytest.Function) or item.function.__name__ not in embedding_parity.RAW:
         return False
     given = item.callspec.params
     raw = given["raw"]
     assert isinstance(raw, bytes)
-    return not ways.takes(str(given["way"]), raw)
+    return not embedding_parity.takes(str(given["way"]), raw)
 
 
 @pytest.fixture(autouse=True)  # a name added to a test's fixtures at collection is not set up
--- a/tests/told_stage.py
+++ b/tests/discovery_stage.py
@@ -17,7 +17,7 @@
 from helpers import S, settings
 
 from micadeck.engine import Engine, Listing
-from micadeck.membership.roster import Roster
+from micadeck.membership.discovery_watcher import Roster
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.roster import Discovery
--- a/tests/ways.py
+++ b/tests/embedding_parity.py
@@ -16,14 +16,14 @@
 
 from micadeck.asgi import MicadeckMiddleware
 from micadeck.config import Config
-from micadeck.http.frontend import ClientLimits
 from micadeck.http.h1 import Request, RequestReader
+from micadeck.http.listener import ClientLimits
 from micadeck.library import Micadeck
 from micadeck.network import LoopNetwork
 from micadeck.sidecar import Sidecar
 
 WAYS = ("daemon", "library", "middleware")
-SUITE = ("test_frontend", "test_program", "test_resting", "test_sidecar", "test_upstream")
+SUITE = ("test_frontend", "test_program", "test_idle_connections", "test_sidecar", "test_upstream")
 # The daemon's tests that meet the list of servers run again with Consul in the roster's place, and beside it.
 CONSUL_WAYS = ("daemon by consul", "daemon by both")
 WITH_CONSUL = ("test_sidecar", "test_upstream")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any, TypeVar
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import (
+from micadeck.policy import Balancer, Settings
+from micadeck.policy.settings import (
     Action,
     AttemptEnded,
     Event,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,9 +17,9 @@
 import uvloop
 
 from micadeck.config import parse
-from micadeck.http.frontend import ClientLimits
-from micadeck.http.reuse import LEAST_REST_US
-from micadeck.standins.consul import NODE, StandInConsul, State
+from micadeck.http.listener import ClientLimits
+from micadeck.http.reuse_delay import LEAST_REST_US
+from micadeck.stand_ins.consul import NODE, StandInConsul, State
 
 way = "daemon"  # how the stage's balancer is reached; `ways` says which there are
 members = "roster"  # who tells it of servers: the roster, Consul, or both
@@ -431,7 +431,7 @@
         if members == "consul":
             del config["discovery"]
     log: list[str] = []
-    from ways import STARTED  # it is made of what stands here
+    from embedding_parity import STARTED  # it is made of what stands here
 
     made = parse(config)
     if "consul" in config:
--- a/tests/mysql_stage.py
+++ b/tests/mysql_stage.py
@@ -18,8 +18,8 @@
 from micadeck.mysql.config import MysqlConfig, parse
 from micadeck.mysql.service import MysqlService
 from micadeck.network import LoopNetwork
-from micadeck.standins.mysql import StandInMysql
-from micadeck.standins.roster import StandInRoster
+from micadeck.stand_ins.discovery_server import StandInRoster
+from micadeck.stand_ins.mysql import StandInMysql
 
 PASSWORD = "desk-secret"
 ROWS = [("0101", 5, "live horses"), ("0202", 12, "beef"), ("0303", 0, None)]
--- a/tests/processes/several.py
+++ b/tests/processes/several.py
@@ -127,7 +127,7 @@
                 stderr=log,
                 env={
                     "BALANCER_CONFIG": str(config),
-                    "MAGPIEMUX_INTERPRETED": "1",
+                    "MICADECK_INTERPRETED": "1",
                     "TMPDIR": str(self.folder),
                 },
             )
--- a/tests/shim/test_failing_calls.py
+++ b/tests/shim/test_failing_calls.py
@@ -16,8 +16,8 @@
 import pytest
 from loopback import play
 
-from micadeck.standins.hostile.loads import LOADS
-from micadeck.standins.hostile.stage import Daemon, is_served
+from micadeck.stand_ins.hostile.daemon_under_load import Daemon, is_served
+from micadeck.stand_ins.hostile.loads import LOADS
 
 SOURCE = Path(__file__).parent / "failing_calls.c"
 COMPILER = shutil.which("cc")
--- a/tests/cold_tier.py
+++ b/tests/slow_start_fleet.py
@@ -15,8 +15,8 @@
 
 from helpers import S, settings
 
-from magpiemux import Balancer
-from magpiemux.interface import (
+from micadeck.policy import Balancer
+from micadeck.policy.settings import (
     AttemptEnded,
     ListedServer,
     ListKind,
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -26,8 +26,8 @@
 from soak_plan import DEADLINES_S, HOST, MEMORY_S, REPEATS, Event, Fault, Kind, Plan, draw_plan
 from soak_server import LAG_S, Log
 
-from micadeck.standins.hostile.stage import anonymous_mb
-from micadeck.standins.roster import StandInRoster
+from micadeck.stand_ins.discovery_server import StandInRoster
+from micadeck.stand_ins.hostile.daemon_under_load import anonymous_mb
 
 ROOT = Path(__file__).parent.parent.parent
 HERE = Path(__file__).parent
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -9,9 +9,9 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from magpiemux import Balancer
-from magpiemux.interface import AttemptEnded as Ended
-from magpiemux.interface import (
+from micadeck.policy import Balancer
+from micadeck.policy.settings import AttemptEnded as Ended
+from micadeck.policy.settings import (
     Cancel,
     CloseIdle,
     Event,
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 import pytest
+from embedding_parity import Host
 from loopback import OK, Answer, Client, Heard, ScriptedDiscovery, ScriptedServer, line, play, request, until
 from starlette.applications import Starlette
 from starlette.requests import Request
 from starlette.responses import PlainTextResponse
 from starlette.routing import Route
 from test_program import GOOD
-from ways import Host
 
 from micadeck import Kind, Micadeck
 from micadeck.asgi import MicadeckMiddleware
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,9 +13,9 @@
 import pytest
 from loopback import HOST, PATIENCE_S, Client, Stage, played, read_head, request, rested, soon, stage, until
 
-from micadeck.http.frontend import ClientLimits
+from micadeck.http.body_stream import MOST_KEPT, Budget, Pipe
 from micadeck.http.h1 import Request, RequestReader, Response, ResponseReader
-from micadeck.http.pipe import MOST_KEPT, Budget, Pipe
+from micadeck.http.listener import ClientLimits
 
 LARGE = 4 << 20
 DOOR = {"operator": f"{HOST}:0"}
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -16,11 +16,11 @@
 import pytest
 from helpers import S, settings
 
-from magpiemux.interface import ListedServer, ServerState
 from micadeck.engine import Engine, Entry, Listing
 from micadeck.engine.ports import Cause
-from micadeck.http.incoming import Incoming
+from micadeck.http.request_validation import Incoming
 from micadeck.http.upstream import Upstream
+from micadeck.policy.settings import ListedServer, ServerState
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Wire
--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -11,9 +11,9 @@
 import pytest
 from helpers import Stage, settings
 
-from magpiemux.interface import ListedServer, ListKind, ServersListed, ServerState
 from micadeck.membership.consul.view import ENTRIES_AT_ONCE, ServiceView
-from micadeck.membership.merge import Caution, Merge, Sighting
+from micadeck.membership.endpoint_merge import Caution, Merge, Sighting
+from micadeck.policy.settings import ListedServer, ListKind, ServersListed, ServerState
 
 FEW, MANY = 100, 3_000
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -5,8 +5,8 @@
 import pytest
 from helpers import S, settings
 
-from magpiemux import Balancer
-from magpiemux.interface import (
+from micadeck.policy import Balancer
+from micadeck.policy.settings import (
     AttemptEnded,
     ListedServer,
     ListKind,
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -13,10 +13,10 @@
 
 from micadeck.cli import main
 from micadeck.incidents.archive import Archive, Start
-from micadeck.incidents.board import Board
 from micadeck.incidents.console import ConsoleApp
+from micadeck.incidents.console_model import Board
 from micadeck.incidents.kinds import ClassCount, Head, Listed, Record, ServerCount, Span, State
-from micadeck.incidents.story import tell
+from micadeck.incidents.timeline import tell
 
 S = 1_000_000
 
--- a/tests/test_consul_client.py
+++ b/tests/test_consul_client.py
@@ -15,7 +15,7 @@
 
 from micadeck.membership.consul import Agents, Ask, ConsulClient, ConsulError, parse_health
 from micadeck.network import LoopNetwork, parse_address
-from micadeck.standins.consul import NODE, Fault, StandInConsul
+from micadeck.stand_ins.consul import NODE, Fault, StandInConsul
 
 TARIFF = "/v1/health/service/tariff"
 
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -15,15 +15,15 @@
 import pytest
 from loopback import CLASSES, HOST, Client, ScriptedDiscovery, consul_config, line, play, soon, until
 
-from magpiemux.interface import ListedServer, ServerState
 from micadeck.config import ConfigError, parse
 from micadeck.engine import Entry, Listing
 from micadeck.membership.consul.config import load
 from micadeck.membership.sources import Sources
 from micadeck.network import LoopNetwork
+from micadeck.policy.settings import ListedServer, ServerState
 from micadeck.sidecar import Sidecar
-from micadeck.standins.consul import NODE, Fault, StandInConsul, State
-from micadeck.standins.servers import Mode, StandInServer
+from micadeck.stand_ins.consul import NODE, Fault, StandInConsul, State
+from micadeck.stand_ins.http_server import Mode, StandInServer
 
 GRACE_S = 0.5
 MAINTENANCE = "_service_maintenance:"
--- a/tests/test_consul_show.py
+++ b/tests/test_consul_show.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 import pytest
+from child_process_peers import ROOT
 from loopback import HOST, play, soon, until
 from test_consul_source import put
-from worlds import ROOT
 
 from micadeck.membership.consul.config import ConsulConfigError, load, parse
-from micadeck.standins.consul import NODE, StandInConsul
+from micadeck.stand_ins.consul import NODE, StandInConsul
 
 GOOD: dict[str, Any] = {"agents": [f"{HOST}:8500"], "services": [{"name": "tariff"}]}
 
--- a/tests/test_consul_source.py
+++ b/tests/test_consul_source.py
@@ -10,11 +10,11 @@
 
 from loopback import play, soon, until
 
-from magpiemux.interface import ServerState
 from micadeck.membership.consul import Agents, Ask, ConsulClient, Heard, ServiceWatch, watch
-from micadeck.membership.merge import Merge, Trust
+from micadeck.membership.endpoint_merge import Merge, Trust
 from micadeck.network import LoopNetwork, parse_address
-from micadeck.standins.consul import NODE, Fault, StandInConsul
+from micadeck.policy.settings import ServerState
+from micadeck.stand_ins.consul import NODE, Fault, StandInConsul
 
 MS = 0.001
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from micadeck.standins import mysql_demo
-from micadeck.standins.demo import CORES, TAKES_S, Asked, judge
+from micadeck.stand_ins import mysql_demo
+from micadeck.stand_ins.demo import CORES, TAKES_S, Asked, judge
 
 DRAIN = {"do": "list", "server": "s-1", "state": "leaving", "at": 10.0}
 ADD = {"do": "add", "server": "s-new", "at": 10.0}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 from loopback import HOST, Heard, ScriptedDiscovery, ScriptedServer, line, play, reply, soon, until
 
 from micadeck.engine import Listing
-from micadeck.membership.roster import Roster, parse_listing
+from micadeck.membership.discovery_watcher import Roster, parse_listing
 from micadeck.network import LoopNetwork, parse_address
 
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import MS, S, Stage, names, settings
 
-from magpiemux.interface import Log, Outcome
+from micadeck.policy.settings import Log, Outcome
 
 Fails = Callable[[str, random.Random], Outcome | None]
 
--- a/tests/test_merge.py
+++ b/tests/test_endpoint_merge.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from magpiemux.interface import ListedServer, ServerState
 from micadeck.engine import Entry, Listing
-from micadeck.membership.merge import Caution, Merge, Sighting, Trust
+from micadeck.membership.endpoint_merge import Caution, Merge, Sighting, Trust
+from micadeck.policy.settings import ListedServer, ServerState
 
 READY, DOUBTFUL, DRAINS = Caution
 A, B = ("10.0.0.1", 80), ("10.0.0.2", 80)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,10 +10,10 @@
 import pytest
 from loopback import CLASSES
 
-from magpiemux.adapter import settings_from_wire
-from magpiemux.interface import AttemptEnded, Event, ListedServer, Outcome, RequestArrived
 from micadeck.engine import Cause, Engine, Entry, IdInUse, Listing, Request
 from micadeck.library.engine import WaiterFirstEngine
+from micadeck.policy.settings import AttemptEnded, Event, ListedServer, Outcome, RequestArrived
+from micadeck.simulator_adapter import settings_from_wire
 
 MS = 1_000
 
--- a/tests/test_failing_streams.py
+++ b/tests/test_failing_streams.py
@@ -9,7 +9,7 @@
 import pytest
 from loopback import OK, played, request, soon, stage, until
 
-from micadeck.http import frontend, upstream
+from micadeck.http import listener, upstream
 from micadeck.network import loop
 
 
@@ -88,7 +88,7 @@
 
     async with stage(OK) as scene:
         client = await scene.client()
-        monkeypatch.setattr(frontend, "read_request", broken)
+        monkeypatch.setattr(listener, "read_request", broken)
         client.send(request("lodge"))
         assert (await client.answer()).status == 500
         monkeypatch.undo()
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -11,16 +11,16 @@
 import pytest
 from helpers import S
 
-from magpiemux.interface import ListedServer, ServerState
 from micadeck import errors
 from micadeck.config import ConfigError, parse
 from micadeck.engine import Entry, Listing
 from micadeck.fleet.config import FleetConfig, FleetConfigError, load
+from micadeck.fleet.encryption import Keys, Seal
 from micadeck.fleet.host import FleetHost
 from micadeck.fleet.messages import Ask
-from micadeck.fleet.seal import Keys, Seal
 from micadeck.fleet.settings import FleetSettings
-from micadeck.peers import Peers
+from micadeck.peer_datagrams import Peers
+from micadeck.policy.settings import ListedServer, ServerState
 from micadeck.sidecar import Core
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -9,8 +9,8 @@
 import pytest
 from loopback import OK, Heard, play, request, soon, stage, until
 
-from micadeck.http.frontend import ClientLimits
 from micadeck.http.h1 import MOST_BODY
+from micadeck.http.listener import ClientLimits
 
 
 @pytest.mark.parametrize(
--- a/tests/test_held_up_end.py
+++ b/tests/test_held_up_end.py
@@ -12,7 +12,7 @@
 from loopback import Heard, play, request, soon
 from test_program import GOOD, program
 
-from micadeck.operations.margins import FLUSH_S, HOLD_UP_S, KILLED_AFTER_S, SPARE_S, answered_by
+from micadeck.operations.shutdown_budget import FLUSH_S, HOLD_UP_S, KILLED_AFTER_S, SPARE_S, answered_by
 
 DEADLINE_S = 0.4
 KILL_S = DEADLINE_S + KILLED_AFTER_S
--- a/tests/test_httpx.py
+++ b/tests/test_httpx.py
@@ -8,9 +8,9 @@
 
 import httpx
 import pytest
+from child_process_peers import world
 from loopback import CLASSES, HOST, OK, ScriptedServer, line, play, soon
 from test_program import GOOD
-from worlds import world
 
 from micadeck import Answer, Kind, Micadeck
 from micadeck.http.h1 import MOST_BODY
--- a/tests/test_resting.py
+++ b/tests/test_idle_connections.py
@@ -7,8 +7,8 @@
 import pytest
 from loopback import OK, Client, Stage, play, request, soon, stage, until
 
-from micadeck.http.frontend import ClientLimits
-from micadeck.http.resting import Resting, rest_for_s
+from micadeck.http.idle_connections import Resting, rest_for_s
+from micadeck.http.listener import ClientLimits
 
 ROOM = 160
 
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -15,13 +15,12 @@
 from click.testing import CliRunner
 from test_records import watched
 
-from magpiemux.interface import ListedServer, ListKind
 from micadeck.cli import main
 from micadeck.incidents.archive import Archive, Start, load
-from micadeck.incidents.audit import audit
-from micadeck.incidents.board import Board
 from micadeck.incidents.changes import episodes
 from micadeck.incidents.clocks import Clocks
+from micadeck.incidents.console_model import Board
+from micadeck.incidents.endpoint_states import UNKNOWN
 from micadeck.incidents.frames import MARK, Encoder, read
 from micadeck.incidents.kinds import (
     Attempt,
@@ -37,10 +36,11 @@
     State,
 )
 from micadeck.incidents.report import html
+from micadeck.incidents.rule_check import audit
 from micadeck.incidents.segments import SegmentName
-from micadeck.incidents.states import UNKNOWN
-from micadeck.incidents.story import Story, tell
-from micadeck.standins.incident_days import BEGIN, Day, S, play
+from micadeck.incidents.timeline import Story, tell
+from micadeck.policy.settings import ListedServer, ListKind
+from micadeck.stand_ins.incident_days import BEGIN, Day, S, play
 
 # When it went wrong
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -12,14 +12,14 @@
 from typing import Any
 
 import pytest
+from child_process_peers import WorldProcess, world
 from loopback import CLASSES, HOST, play, until
-from worlds import WorldProcess, world
 
 import micadeck.library.balancer
 from micadeck import Answer, FailedError, Kind, Micadeck, RefusedError
 from micadeck.config import ConfigError
 from micadeck.http.h1 import MOST_BODY
-from micadeck.http.reuse import LEAST_REST_US
+from micadeck.http.reuse_delay import LEAST_REST_US
 from micadeck.library import NotStartedError
 
 GRACE_S = 0.5  # after word of a drain
--- a/tests/test_library_process.py
+++ b/tests/test_library_process.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 import pytest
+from child_process_peers import WorldProcess, world
 from loopback import Client, play, request, soon, until
 from test_program import ROOT
-from worlds import WorldProcess, world
 
 SETUP = """
 import json, os, sys, threading, time
--- a/tests/test_outgoing.py
+++ b/tests/test_library_request_validation.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 from loopback import CLASSES
 
-from magpiemux.adapter import settings_from_wire
-from magpiemux.interface import ServiceClass
-from micadeck.http.incoming import BadRequest
-from micadeck.library.outgoing import Reader, Wanted, _plain, read_wanted, worded
+from micadeck.http.request_validation import BadRequest
+from micadeck.library.request_validation import Reader, Wanted, _plain, read_wanted, worded
+from micadeck.policy.settings import ServiceClass
+from micadeck.simulator_adapter import settings_from_wire
 
 SETTINGS = settings_from_wire({"lanes": CLASSES, "realms": [{"name": "acme"}], "discovery": "on_request"})
 READER = Reader(SETTINGS)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -5,8 +5,8 @@
 import pytest
 from loopback import play as played_by
 
-from micadeck.standins.hostile import LOADS, Side, play
-from micadeck.standins.hostile.stage import ASKED, MEMORY_MB
+from micadeck.stand_ins.hostile import LOADS, Side, play
+from micadeck.stand_ins.hostile.daemon_under_load import ASKED, MEMORY_MB
 
 SECONDS = 1.5
 SETTLES_S = 4.0
--- a/tests/test_memory_account.py
+++ b/tests/test_memory_budget.py
@@ -11,12 +11,12 @@
 from loopback import OK, play, reply, request, stage, until
 from test_program import GOOD
 
-from magpiemux.interface import Outcome
 from micadeck.config import parse
-from micadeck.memory.account import ENTERED_AT_BOOKED, LEFT_AT, Kind, MemoryAccount, Stage
-from micadeck.memory.keeper import MemoryKeeper
+from micadeck.memory.budget import ENTERED_AT_BOOKED, LEFT_AT, Kind, MemoryAccount, Stage
+from micadeck.memory.monitor import MemoryKeeper
 from micadeck.memory.resident import MB
 from micadeck.network import LoopNetwork
+from micadeck.policy.settings import Outcome
 from micadeck.sidecar import Core
 
 LIMIT = 100 * MB
@@ -201,8 +201,8 @@
 ) -> None:
     lines: list[str] = []
     resident = [at(0.12)]
-    monkeypatch.setattr("micadeck.memory.keeper.anonymous_bytes", lambda: resident[0])
-    monkeypatch.setattr("micadeck.memory.keeper.trim_heap", lambda: None)
+    monkeypatch.setattr("micadeck.memory.monitor.anonymous_bytes", lambda: resident[0])
+    monkeypatch.setattr("micadeck.memory.monitor.trim_heap", lambda: None)
     account = MemoryAccount(LIMIT)
     keeper = MemoryKeeper(_Clock(), account, lines.append)  # type: ignore[arg-type]
     keeper.start()
@@ -227,8 +227,8 @@
         trims[0] += 1
         resident[0] = used[0]
 
-    monkeypatch.setattr("micadeck.memory.keeper.anonymous_bytes", lambda: resident[0])
-    monkeypatch.setattr("micadeck.memory.keeper.trim_heap", trim)
+    monkeypatch.setattr("micadeck.memory.monitor.anonymous_bytes", lambda: resident[0])
+    monkeypatch.setattr("micadeck.memory.monitor.trim_heap", trim)
     account = MemoryAccount(LIMIT)
     clock = _Clock()
     keeper = MemoryKeeper(clock, account, lambda _: None)  # type: ignore[arg-type]
--- a/tests/test_crossings.py
+++ b/tests/test_message_races.py
@@ -32,7 +32,7 @@
     until,
 )
 
-from micadeck.http.frontend import ClientLimits, ClientSide
+from micadeck.http.listener import ClientLimits, ClientSide
 from micadeck.signals import ProcessSignals
 
 
--- a/tests/test_mysql_choices.py
+++ b/tests/test_mysql_choices.py
@@ -9,13 +9,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from magpiemux.interface import Repeat, ServiceClass
 from micadeck.mysql.pool import Dial, Full, Limits, Pool, Use
 from micadeck.mysql.protocol.constants import Capability, Command, Status
 from micadeck.mysql.protocol.messages import Ok
 from micadeck.mysql.routes import Routes, Rule
 from micadeck.mysql.session import Connected, Session, must_reset, put
 from micadeck.mysql.statements import Kind, Pin, Reader, Refusal, understand
+from micadeck.policy.settings import Repeat, ServiceClass
 
 # ---------------------------------------------------------------------------------------------------
 # Statements
--- a/tests/test_mysql_fates.py
+++ b/tests/test_mysql_error_mapping.py
@@ -9,12 +9,12 @@
 from loopback import play, soon, until
 from mysql_stage import ROWS, Scene, ask, scene
 
-from magpiemux.interface import Outcome
-from micadeck.mysql.carrier import StatementRequest
-from micadeck.mysql.fates import TABLE, Befell, Transaction, Was
+from micadeck.mysql.error_mapping import TABLE, Befell, Transaction, Was
 from micadeck.mysql.protocol.answers import Kind
 from micadeck.mysql.statements import Reader
-from micadeck.standins.mysql import Fault, Point, What
+from micadeck.mysql.transport import StatementRequest
+from micadeck.policy.settings import Outcome
+from micadeck.stand_ins.mysql import Fault, Point, What
 
 READ = "SELECT * FROM tariff ORDER BY code"
 LODGE = "INSERT INTO lodged VALUES ('L1', 'desk')"
--- a/tests/test_mysql_program.py
+++ b/tests/test_mysql_program.py
@@ -23,8 +23,8 @@
 from micadeck.mysql.service import MysqlService
 from micadeck.network import LoopNetwork
 from micadeck.sidecar import Sidecar
-from micadeck.standins.mysql import StandInMysql
-from micadeck.standins.roster import StandInRoster
+from micadeck.stand_ins.discovery_server import StandInRoster
+from micadeck.stand_ins.mysql import StandInMysql
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_mysql_proof.py
+++ b/tests/test_mysql_proof.py
@@ -17,7 +17,7 @@
 from mysql_stage import Scene, ask, load, scene
 from pymysql.err import MySQLError
 
-from micadeck.standins.mysql import Fault, Point, StandInMysql, What
+from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
 
 CLIENTS = 200
 TURNS = 8
--- a/tests/test_mysql_sessions.py
+++ b/tests/test_mysql_sessions.py
@@ -15,7 +15,7 @@
 
 from micadeck.mysql.config import MysqlConfigError, parse
 from micadeck.mysql.protocol.constants import Command
-from micadeck.standins.mysql import Fault, Point, StandInMysql, What
+from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
 
 # ---------------------------------------------------------------------------------------------------
 # Real clients: one script each, directly at a stand-in and through the service
--- a/tests/test_told.py
+++ b/tests/test_notification_deadlines.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from told_stage import SERVERS, TOLD_S, Follower, Kind, Line, Roll, most_a_second, run
+from discovery_stage import SERVERS, TOLD_S, Follower, Kind, Line, Roll, most_a_second, run
 
 from micadeck.simulation.wire import Wire
 
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -5,10 +5,10 @@
 import re
 from pathlib import Path
 
-from magpiemux.interface import Outcome
+from micadeck.policy.settings import Outcome
 
 ROOT = Path(__file__).parent.parent
-MODULE = (ROOT / "magpiemux" / "balancer.py").read_text(encoding="utf-8")
+MODULE = (ROOT / "micadeck" / "policy" / "balancer.py").read_text(encoding="utf-8")
 
 
 def test_every_log_line_stands_on_the_on_call_page() -> None:
@@ -40,7 +40,7 @@
 def test_every_line_of_the_sidecar_stands_on_the_on_call_page() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
     files = [
-        each for each in (ROOT / "micadeck").rglob("*.py") if not {"standins", "simulation"} & {*each.parts}
+        each for each in (ROOT / "micadeck").rglob("*.py") if not {"stand_ins", "simulation"} & {*each.parts}
     ]
     source = "".join(each.read_text(encoding="utf-8") for each in files)
     written = re.findall(r'(?:log|print)\(\s*f?"([^"]*)"', source)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,8 +11,8 @@
 import pytest
 from loopback import ERROR, FULL, HOST, OK, Client, Heard, Stage, played, request, soon, stage, until
 
-from micadeck.operations.calls import MOST_LINE, BadCall, CallReader, answer
-from micadeck.operations.life import LetGo, Life, Phase
+from micadeck.operations.admin_protocol import MOST_LINE, BadCall, CallReader, answer
+from micadeck.operations.lifecycle import LetGo, Life, Phase
 
 DOOR = {"operator": f"{HOST}:0"}
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -9,10 +9,10 @@
 import pytest
 from helpers import MS, Stage, names
 
-from magpiemux.interface import Outcome
 from micadeck.incidents.frames import read
 from micadeck.incidents.kinds import Span, State
-from micadeck.standins.incident_days import World
+from micadeck.policy.settings import Outcome
+from micadeck.stand_ins.incident_days import World
 
 WORK_S = 0.066  # of the mean request, on a server with room
 
--- a/tests/test_peers.py
+++ b/tests/test_peer_datagrams.py
@@ -8,7 +8,7 @@
 from loopback import HOST, play, soon
 
 from micadeck.network import Address, LoopNetwork
-from micadeck.peers import Peers
+from micadeck.peer_datagrams import Peers
 
 
 def test_peers_hear_one_another_and_nobody_else() -> None:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -16,13 +16,13 @@
 from hypothesis import strategies as st
 from loopback import ERROR, OK, Heard, played, stage, until
 
-from magpiemux.interface import Outcome, ServerState
 from micadeck.incidents import frames
 from micadeck.incidents.archive import Found, Start, load
 from micadeck.incidents.frames import MARK, Encoder, NotRecords, read
 from micadeck.incidents.kinds import Attempt, End, Head, Listed, Phase, Record, Span, State, times_of
 from micadeck.incidents.observer import MOST_ATTEMPTS, Observer
 from micadeck.incidents.segments import Limits, Rotation, SegmentName, parse
+from micadeck.policy.settings import Outcome, ServerState
 
 
 class Looks:
--- a/tests/test_turned_down.py
+++ b/tests/test_refused_dials.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import MS, S, Stage, names, settings
 
-from magpiemux.interface import Fail, ListedServer, Log, Outcome, Refuse, ServerState
+from micadeck.policy.settings import Fail, ListedServer, Log, Outcome, Refuse, ServerState
 
 DOWN = Outcome.TURNED_DOWN
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -11,9 +11,10 @@
 import pytest
 from loopback import CLASSES, HOST, OK, Heard, played, request, stage, until
 
-from magpiemux import Balancer, Settings
-from magpiemux.adapter import settings_from_wire
-from magpiemux.interface import (
+from micadeck.config import ConfigError, load, parse
+from micadeck.http.settings_versions import Generations
+from micadeck.policy import Balancer, Settings
+from micadeck.policy.settings import (
     AttemptEnded,
     ListedServer,
     ListKind,
@@ -24,8 +25,7 @@
     ServersListed,
     SettingsChanged,
 )
-from micadeck.config import ConfigError, load, parse
-from micadeck.http.generations import Generations
+from micadeck.simulator_adapter import settings_from_wire
 
 
 def settings(*lanes: dict[str, Any], cap: int = 3) -> Settings:
--- a/tests/test_room_for_clients.py
+++ b/tests/test_room_for_clients.py
@@ -9,7 +9,7 @@
 import pytest
 from loopback import OK, Heard, played, raw_client, request, rest_of, stage, until
 
-from micadeck.http.frontend import ClientSide, State
+from micadeck.http.listener import ClientSide, State
 
 
 @pytest.mark.parametrize("ends", ["client says close", "draining"])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import MS, START, S, Stage, names, settings
 
-from magpiemux.interface import (
+from micadeck.policy.settings import (
     AttemptEnded,
     Cancel,
     CloseIdle,
--- a/tests/test_own_time.py
+++ b/tests/test_scheduling_delay.py
@@ -12,7 +12,7 @@
 from mysql_stage import ROWS, ask, scene
 
 from micadeck.network import LoopNetwork
-from micadeck.network.own_time import within_own_time
+from micadeck.network.scheduling_delay import within_own_time
 
 READ = "SELECT * FROM tariff ORDER BY code"
 
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -10,10 +10,10 @@
 import pytest
 from helpers import S, settings
 
-from magpiemux.interface import ListedServer, Outcome, ServerState
 from micadeck.engine import Entry, Listing
-from micadeck.http.incoming import Incoming
+from micadeck.http.request_validation import Incoming
 from micadeck.http.upstream import Upstream
+from micadeck.policy.settings import ListedServer, Outcome, ServerState
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Wire
--- a/tests/test_draw.py
+++ b/tests/test_selection.py
@@ -9,9 +9,9 @@
 import pytest
 from helpers import MS, S, Stage, names, settings
 
-from magpiemux import Balancer
-from magpiemux.balancer import Server
-from magpiemux.interface import (
+from micadeck.policy import Balancer
+from micadeck.policy.balancer import Server
+from micadeck.policy.settings import (
     AnswerStarted,
     AttemptEnded,
     Bound,
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -4,7 +4,7 @@
 
 from helpers import MS, S, Stage, names, settings
 
-from magpiemux.interface import Fail, ListedServer, ListKind, Log, Outcome, Refuse, Repeat, ServerState
+from micadeck.policy.settings import Fail, ListedServer, ListKind, Log, Outcome, Refuse, Repeat, ServerState
 
 
 def _ejected(stage: Stage) -> list[str]:
--- a/tests/test_bound.py
+++ b/tests/test_session_affinity.py
@@ -8,8 +8,8 @@
 from helpers import MS, S, Stage, names, settings
 from test_engine import World
 
-from magpiemux.adapter import settings_from_wire
-from magpiemux.interface import (
+from micadeck.engine import Cause, Engine, Entry, Listing, Request
+from micadeck.policy.settings import (
     Fail,
     ListedServer,
     ListKind,
@@ -18,7 +18,7 @@
     RequestArrived,
     ServerState,
 )
-from micadeck.engine import Cause, Engine, Entry, Listing, Request
+from micadeck.simulator_adapter import settings_from_wire
 
 SERVERS = names(4)
 HOME = SERVERS[2]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,8 +9,8 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import Discovery, Repeat, RequestArrived
+from micadeck.policy import Balancer, Settings
+from micadeck.policy.settings import Discovery, Repeat, RequestArrived
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -10,8 +10,8 @@
 import pytest
 from loopback import HOST, OK, Heard, play, request, stage, until
 
-from magpiemux import Settings
-from magpiemux.interface import (
+from micadeck.policy import Settings
+from micadeck.policy.settings import (
     Action,
     AttemptEnded,
     Cancel,
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -13,18 +13,18 @@
 
 import msgspec
 import pytest
+from broken_builds import MUTANTS
 from click.testing import CliRunner
-from mutants import MUTANTS
 
 from micadeck.simulation.__main__ import main
 from micadeck.simulation.loop import Exhausted, Host, VirtualLoop
-from micadeck.simulation.many import MUST_OCCUR, Tally, play_many
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.scenario import Fault, Kind, Scenario, draw, orders, read, write
+from micadeck.simulation.seed_sweep import MUST_OCCUR, Tally, play_many
 from micadeck.simulation.shrink import shrink
+from micadeck.simulation.simulated_day import play
 from micadeck.simulation.streams import VirtualTransport
 from micadeck.simulation.wire import Machine, VirtualListener, Wire
-from micadeck.simulation.world import play
 
 ROOT = Path(__file__).parent.parent
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.toml"))
@@ -392,7 +392,7 @@
 def test_a_seed_plays_the_same_day_in_any_process(days: Tally) -> None:
     first, last = SEEDS[0], SEEDS[0] + 8
     probe = (
-        "import sys; from micadeck.simulation.many import play_many\n"
+        "import sys; from micadeck.simulation.seed_sweep import play_many\n"
         f"if __name__ == '__main__': print(sorted(play_many({first}, {last}, jobs=1).digests.items()))"
     )
     wanted = str(sorted((seed, days.digests[seed]) for seed in range(first, last)))
--- a/tests/test_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -15,7 +15,7 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from magpiemux.adapter import run, settings_from_wire
+from micadeck.simulator_adapter import run, settings_from_wire
 
 BOOT: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
@@ -159,7 +159,7 @@
     text = "".join(json.dumps(each) + "\n" for each in script)
     replies = [
         subprocess.run(
-            [sys.executable, "-m", "magpiemux.adapter"],
+            [sys.executable, "-m", "micadeck.simulator_adapter"],
             input=text,
             capture_output=True,
             text=True,
--- a/tests/test_cold_tier.py
+++ b/tests/test_slow_start_fleet.py
@@ -6,9 +6,9 @@
 from unittest import mock
 
 import pytest
-from cold_tier import Day
+from slow_start_fleet import Day
 
-from magpiemux import balancer
+from micadeck.policy import balancer
 
 DAYS: dict[str, dict[str, Any]] = {
     "a third restarts": {},
--- a/tests/test_doubts.py
+++ b/tests/test_stale_list_refresh.py
@@ -12,8 +12,8 @@
 from micadeck.membership.consul import Ask, Heard, Names
 from micadeck.membership.consul.config import ConsulConfig, Service
 from micadeck.membership.consul.view import News
-from micadeck.membership.merge import Caution, Sighting, Trust
-from micadeck.membership.roster import Roster
+from micadeck.membership.discovery_watcher import Roster
+from micadeck.membership.endpoint_merge import Caution, Sighting, Trust
 from micadeck.membership.sources import Sources
 from micadeck.network import LoopNetwork, parse_address
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -15,19 +15,20 @@
 
 # From the ground up: a module imports from its own layer and those before it, of the package's own.
 LAYERS = [
+    ("micadeck.policy",),
     ("micadeck.network", "micadeck.keys", "micadeck.errors", "micadeck.signals", "micadeck.memory"),
     ("micadeck.engine",),
     ("micadeck.operations",),
     ("micadeck.http",),
-    ("micadeck.membership", "micadeck.peers", "micadeck.fleet"),
+    ("micadeck.membership", "micadeck.peer_datagrams", "micadeck.fleet"),
     ("micadeck.mysql",),
     ("micadeck.traces", "micadeck.incidents"),
-    ("micadeck.config",),
+    ("micadeck.config", "micadeck.simulator_adapter"),
     ("micadeck.sidecar",),
     ("micadeck.library",),
     ("micadeck.asgi", "micadeck.httpx", "micadeck.daemon", "micadeck.__main__", "micadeck"),
     ("micadeck.cli",),
-    ("micadeck.standins",),
+    ("micadeck.stand_ins",),
     ("micadeck.simulation",),
 ]
 CLOCKS_AND_SOCKETS = {"time", "socket", "select", "selectors", "datetime", "uvloop"}
@@ -41,7 +42,7 @@
     "micadeck.incidents.__main__": "reads times that people wrote, and no clock",
     "micadeck.incidents.report": "words times, and reads no clock",
     "micadeck.library": "stands between the host's event loop and the engine's own",
-    "micadeck.standins": "other systems, which have clocks and sockets of their own",
+    "micadeck.stand_ins": "other systems, which have clocks and sockets of their own",
 }
 VIRTUAL = "micadeck.simulation"  # has a loop of its own, whose time is no clock's
 
@@ -103,7 +104,7 @@
         "library",
         "asgi",
         "micadeck.httpx",
-        "standins",
+        "stand_ins",
         "consul",
         "sources",
         "micadeck.cli",
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -14,9 +14,9 @@
 from hypothesis import strategies as st
 from loopback import OK, play, stage
 
-from magpiemux import Balancer
-from magpiemux.interface import Action, Event, ListedServer, Outcome, RequestArrived, Send, TimerFired
 from micadeck.cli import main
+from micadeck.policy import Balancer
+from micadeck.policy.settings import Action, Event, ListedServer, Outcome, RequestArrived, Send, TimerFired
 from micadeck.traces.format import Encoder, TraceError, decode, encode
 from micadeck.traces.record import Recorder
 from micadeck.traces.replay import compare, spans, totals
@@ -162,12 +162,13 @@
     assert CliRunner().invoke(main, ["trace", "draw", str(path), str(picture)]).exit_code == 0
     assert picture.read_bytes().startswith(b"\x89PNG")
     other = tmp_path / "other"
-    shutil.copytree(ROOT / "magpiemux", other / "magpiemux")
+    shutil.copytree(ROOT / "micadeck" / "policy", other / "micadeck" / "policy")
+    shutil.copy(ROOT / "micadeck" / "__init__.py", other / "micadeck")
     same = CliRunner().invoke(main, ["trace", "replay", str(path), "--against", str(other)])
     assert same.exit_code == 0 and "the same actions" in same.output
-    source = (other / "magpiemux" / "balancer.py").read_text()
+    source = (other / "micadeck" / "policy" / "balancer.py").read_text()
     assert "random.Random(seed)" in source
-    (other / "magpiemux" / "balancer.py").write_text(
+    (other / "micadeck" / "policy" / "balancer.py").write_text(
         source.replace("random.Random(seed)", "random.Random(seed + 1)")
     )
     differs = CliRunner().invoke(main, ["trace", "replay", str(path), "--against", str(other)])
--- a/tests/test_vigil.py
+++ b/tests/test_watch_health.py
@@ -10,18 +10,18 @@
 from typing import Any
 
 import pytest
+from broken_builds import waits_long
 from helpers import MS, S
-from mutants import waits_long
 
 from micadeck.engine import Listing
-from micadeck.membership.roster import Roster
-from micadeck.membership.vigil import AGAIN_S, ANSWER_S, DIAL_WITHIN_S, GAP_S, Vigil
+from micadeck.membership.discovery_watcher import Roster
+from micadeck.membership.watch_health import AGAIN_S, ANSWER_S, DIAL_WITHIN_S, GAP_S, Vigil
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.roster import Discovery
 from micadeck.simulation.scenario import Fault, Kind, Scenario
+from micadeck.simulation.simulated_day import play
 from micadeck.simulation.wire import Wire
-from micadeck.simulation.world import play
 
 TOLD_S = 6.0  # after a watch fell silent, what it misses counts as told
 MOMENTS = ("before its first answer", "amid a head", "amid a body", "while a call waits", "between two calls")
