--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -16,35 +16,37 @@
 from micadeck.memory.budget import MemoryAccount, Stage
 from micadeck.network import Network
 from micadeck.policy import Balancer, Settings
-from micadeck.policy.settings import (
+from micadeck.policy.actions import (
     Action,
-    AnswerStarted,
-    AttemptEnded,
     Bound,
     Cancel,
     CloseIdle,
-    Event,
     Fail,
     FetchList,
-    Figures,
     Follow,
-    ListKind,
     Log,
-    MessageReceived,
-    Outcome,
     Probe,
-    ProbeEnded,
     Refuse,
+    Send,
+    SetTimer,
+    Tell,
+)
+from micadeck.policy.events import (
+    AnswerStarted,
+    AttemptEnded,
+    Event,
+    ListKind,
+    MessageReceived,
+    ProbeEnded,
     RequestArrived,
     RequestGone,
     RequestWhole,
-    Send,
     ServersListed,
-    SetTimer,
     SettingsChanged,
-    Tell,
     TimerFired,
 )
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.statistics import Figures
 
 _PROBE_WITHIN_US = 1_000_000
 _SHED_RETRY_US = 500_000  # when a request that was refused for memory may come again
--- a/micadeck/engine/ports.py
+++ b/micadeck/engine/ports.py
@@ -11,7 +11,9 @@
 from typing import Any, Protocol
 
 from micadeck.network import Address
-from micadeck.policy.settings import ListedServer, ListKind, Outcome, ServersListed, ServiceClass
+from micadeck.policy.events import ListedServer, ListKind, ServersListed
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import ServiceClass
 
 # ---------------------------------------------------------------------------------------------------
 # Towards fronts
--- a/micadeck/fleet/host.py
+++ b/micadeck/fleet/host.py
@@ -11,7 +11,7 @@
 from micadeck.fleet.messages import Rumour
 from micadeck.network import Address, Network, Timer
 from micadeck.peer_datagrams import Peers
-from micadeck.policy.settings import ServerState
+from micadeck.policy.events import ServerState
 
 _GONE = {ServerState.DRAINING: "draining", ServerState.GONE: "gone"}
 _WORDS = {State.ALIVE: "is there", State.DEAD: "is taken for dead", State.LEFT: "has left"}
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -16,7 +16,9 @@
 from micadeck.http.request_validation import Incoming
 from micadeck.http.reuse_delay import ReuseDelay
 from micadeck.network import Address, Network, Timer
-from micadeck.policy.settings import Outcome, ReportSource, ServerState, Settings
+from micadeck.policy.events import ServerState
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import ReportSource, Settings
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
 _LARGEST_FIGURE = 1e9  # of a load report; what is larger is nonsense
--- a/micadeck/incidents/causes.py
+++ b/micadeck/incidents/causes.py
@@ -17,7 +17,7 @@
 from micadeck.incidents.endpoint_states import States
 from micadeck.incidents.kinds import OUTCOMES, Listed
 from micadeck.incidents.series import BIN_US, Ran, Series, ill
-from micadeck.policy.settings import Outcome
+from micadeck.policy.outcomes import Outcome
 
 BEFORE_US = 8_000_000  # what came no longer before the onset may have caused it
 AFTER_US = 2_000_000  # or is seen so much later: records are a second wide
--- a/micadeck/incidents/kinds.py
+++ b/micadeck/incidents/kinds.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from micadeck.policy.settings import Outcome
+from micadeck.policy.outcomes import Outcome
 
 VERSION = 1
 OUTCOMES = tuple(Outcome)  # the order of a server's counts; new ones go behind the last
--- a/micadeck/incidents/observer.py
+++ b/micadeck/incidents/observer.py
@@ -30,25 +30,20 @@
     trimmed,
 )
 from micadeck.policy import Settings
-from micadeck.policy.settings import (
-    Action,
+from micadeck.policy.actions import Action, Fail, Log, Refuse, Send, Tell
+from micadeck.policy.events import (
     AttemptEnded,
     Event,
-    Fail,
-    Figures,
     ListKind,
-    Log,
     MessageReceived,
-    Outcome,
-    Refuse,
     RequestArrived,
     RequestGone,
-    Send,
     ServersListed,
     ServerState,
     SettingsChanged,
-    Tell,
 )
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.statistics import Figures
 
 MOST_TIMES = 256  # of a class in a span
 _LONGEST = (1 << 32) - 1  # of a time
--- a/micadeck/incidents/series.py
+++ b/micadeck/incidents/series.py
@@ -15,7 +15,7 @@
 from micadeck.incidents.archive import Start
 from micadeck.incidents.clocks import Clocks
 from micadeck.incidents.kinds import OUTCOMES, Phase, Span
-from micadeck.policy.settings import Outcome
+from micadeck.policy.outcomes import Outcome
 
 BIN_US = 1_000_000
 _DELIVERED, _REJECTED, _UNSENT = map(OUTCOMES.index, (Outcome.DELIVERED, Outcome.REJECTED, Outcome.UNSENT))
--- a/micadeck/library/engine.py
+++ b/micadeck/library/engine.py
@@ -5,7 +5,8 @@
 from typing import Any
 
 from micadeck.engine import Engine
-from micadeck.policy.settings import AttemptEnded, Event, Outcome, RequestArrived
+from micadeck.policy.events import AttemptEnded, Event, RequestArrived
+from micadeck.policy.outcomes import Outcome
 
 _PAUSE_US = 1_000
 
--- a/micadeck/membership/discovery_watcher.py
+++ b/micadeck/membership/discovery_watcher.py
@@ -12,7 +12,7 @@
 from micadeck.membership.discovery_client import CallFailed, Calls
 from micadeck.membership.watch_health import Vigil
 from micadeck.network import Address, Network, Timer, parse_address
-from micadeck.policy.settings import ListedServer, ServerState
+from micadeck.policy.events import ListedServer, ServerState
 
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 _MOST_CALLS = 8  # at once; more fail unasked
--- a/micadeck/membership/endpoint_merge.py
+++ b/micadeck/membership/endpoint_merge.py
@@ -36,7 +36,7 @@
 
 from micadeck.engine import Entry, Listing
 from micadeck.network import Address, place
-from micadeck.policy.settings import ListedServer, ServerState
+from micadeck.policy.events import ListedServer, ServerState
 
 
 @unique
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -20,7 +20,7 @@
 from micadeck.membership.endpoint_merge import TO_THE_LETTER, Caution, Merge, Sighting, sighting_of
 from micadeck.membership.watch_health import AGAIN_S
 from micadeck.network import Address, Network, Timer
-from micadeck.policy.settings import ServerState
+from micadeck.policy.events import ServerState
 
 # Sources beside the services; no service's name has a space.
 ROSTER = "the roster"
--- a/micadeck/mysql/config.py
+++ b/micadeck/mysql/config.py
@@ -22,7 +22,8 @@
 from micadeck.mysql.transport import CarrierLimits
 from micadeck.network import Address, parse_address
 from micadeck.policy import Settings
-from micadeck.policy.settings import ListedServer, Repeat
+from micadeck.policy.events import ListedServer
+from micadeck.policy.settings import Repeat
 
 _Name = Annotated[str, Meta(pattern=r"^[^\r\n\x00]{1,80}$")]
 _Count = Annotated[int, Meta(ge=1, le=10**9)]
--- a/micadeck/mysql/transport.py
+++ b/micadeck/mysql/transport.py
@@ -23,7 +23,9 @@
 from micadeck.mysql.statements import Statement
 from micadeck.network import Address, Network, Timer
 from micadeck.network.scheduling_delay import within_own_time
-from micadeck.policy.settings import Outcome, ServerState, Settings
+from micadeck.policy.events import ServerState
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import Settings
 
 _OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 _PING = bytes((Command.PING,))
--- a/micadeck/policy/__init__.py
+++ b/micadeck/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Magpiemux: the decisions of a sidecar balancer, by best-of-k with redraw."""
+"""The decisions of a client-side load balancer, by best-of-k with redraw.  No input or output."""
 
 from micadeck.policy import compiled
 
--- a/micadeck/policy/balancer.py
+++ b/micadeck/policy/balancer.py
@@ -15,40 +15,37 @@
 import random
 from dataclasses import dataclass, field
 
-from micadeck.policy.decaying_rate import Rate
-from micadeck.policy.settings import (
-    TOLD_US,
+from micadeck.policy.actions import (
     Action,
-    AnswerStarted,
-    AttemptEnded,
     Bound,
     Cancel,
     CloseIdle,
-    Discovery,
-    Event,
     Fail,
-    Figures,
     Follow,
-    Group,
-    ListedServer,
-    ListKind,
     Log,
-    Outcome,
     Refuse,
-    Repeat,
+    Send,
+    SetTimer,
+)
+from micadeck.policy.decaying_rate import Rate
+from micadeck.policy.events import (
+    AnswerStarted,
+    AttemptEnded,
+    Event,
+    ListedServer,
+    ListKind,
     RequestArrived,
     RequestGone,
     RequestWhole,
-    Send,
     ServersListed,
     ServerState,
-    ServiceClass,
-    SetTimer,
-    Settings,
     SettingsChanged,
     TimerFired,
 )
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import TOLD_US, Discovery, Group, Repeat, ServiceClass, Settings
 from micadeck.policy.slow_start import plausible_start
+from micadeck.policy.statistics import Figures
 from micadeck.policy.traffic import Mix
 
 # ---------------------------------------------------------------------------------------------------
--- a/micadeck/policy/compiled.py
+++ b/micadeck/policy/compiled.py
@@ -12,7 +12,18 @@
 import sysconfig
 from pathlib import Path
 
-MODULES = ("balancer", "decaying_rate", "settings", "slow_start", "traffic")
+MODULES = (
+    "actions",
+    "balancer",
+    "decaying_rate",
+    "events",
+    "outcomes",
+    "settings",
+    "settings_reader",
+    "slow_start",
+    "statistics",
+    "traffic",
+)
 ROOT = Path(__file__).parent
 PACKAGE_PATH = Path("micadeck", "policy")
 """Where the compiled modules lie below the folder of one build."""
--- /dev/null
+++ b/micadeck/policy/events.py
@@ -0,0 +1,159 @@
+"""The events that a balancer hears of.
+
+Times are whole microseconds.  Events are plain slotted dataclasses; treat them as values.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from enum import Enum, unique
+
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import ServiceClass, Settings
+
+
+@unique
+class ServerState(Enum):
+    """What the server list says of a server."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+@unique
+class ListKind(Enum):
+    """How a server list is to be read."""
+
+    CHANGES = "changes"  # changed entries only
+    COMPLETE = "complete"  # who is missing is gone
+    REMEMBERED = "remembered"  # complete, but as last held before a restart
+    FAILED = "failed"  # a call failed or the subscription broke; nothing changes
+
+
+@dataclass(slots=True)
+class ListedServer:
+    """A line of the server list."""
+
+    server: str
+    zone: str = ""
+    kind: str = ""
+    cell: int = 0
+    state: ServerState = ServerState.READY
+    nominal: float = 1.0
+    started_at: int | None = None  # None: long ago
+
+
+@dataclass(slots=True)
+class ServersListed:
+    """The server list was heard, or a call for it failed."""
+
+    kind: ListKind
+    servers: Sequence[ListedServer] = ()
+    version: int = 0
+
+
+@dataclass(slots=True)
+class RequestArrived:
+    """A client's request; one final answer is owed from here on."""
+
+    request: int
+    service_class: str
+    tenant: str | None
+    key: int | None
+    remaining_us: int
+    cost_us: int | None = None  # a hint of the work, where the client gave one
+    client_retry: bool = False
+    write: bool = False
+    bound: str | None = None  # the one server that can serve it, which holds its session
+    kind: ServiceClass | None = None  # None: the class of that name that is in force
+    whole: bool = True  # False: its last byte has not come; RequestWhole follows, and no server begins before
+
+
+@dataclass(slots=True)
+class RequestWhole:
+    """The last byte of a request came that was taken before; its time counts from here."""
+
+    request: int
+    remaining_us: int
+
+
+@dataclass(slots=True)
+class AnswerStarted:
+    """The streamed answer of an attempt has begun; the attempt now belongs to the client."""
+
+    request: int
+    attempt: int
+    server: str
+    elapsed_us: int
+
+
+@dataclass(slots=True)
+class AttemptEnded:
+    """An attempt ended.  `answered`: the client has its final answer, by this outcome or an earlier one."""
+
+    request: int
+    attempt: int
+    server: str
+    outcome: Outcome
+    elapsed_us: int
+    answered: bool
+    report: Mapping[str, float] | None = None
+    again: bool = True  # False: a part of the request is not kept, so it can be sent to nobody else
+
+
+@dataclass(slots=True)
+class RequestGone:
+    """The client went away; nothing is owed any more."""
+
+    request: int
+
+
+@dataclass(slots=True)
+class TimerFired:
+    """A timer set earlier is due."""
+
+    token: str
+
+
+@dataclass(slots=True)
+class ProbeEnded:
+    """A probe came back."""
+
+    server: str
+    outcome: Outcome
+    elapsed_us: int
+    report: Mapping[str, float] | None = None
+
+
+@dataclass(slots=True)
+class SettingsChanged:
+    """Other settings are in force from here on; open requests keep the class that they came with.
+
+    What the instance was told once and for all stays: its zone, its number, and how discovery is asked.
+    """
+
+    settings: Settings
+
+
+@dataclass(slots=True)
+class MessageReceived:
+    """A message from another balancer of the tier."""
+
+    sender: int
+    payload: bytes
+
+
+Event = (
+    ServersListed
+    | RequestArrived
+    | RequestWhole
+    | AnswerStarted
+    | AttemptEnded
+    | RequestGone
+    | TimerFired
+    | ProbeEnded
+    | MessageReceived
+    | SettingsChanged
+)
--- a/micadeck/policy/settings.py
+++ b/micadeck/policy/settings.py
@@ -1,18 +1,20 @@
-"""What goes into the balancer and what comes out of it: settings, events and actions.
+"""The settings of one balancer.
 
-Times are whole microseconds.  Events and actions are plain slotted dataclasses; treat them as values.
-
-Settings carry what a decision, or the program around the balancer, can act on; the balancer itself does not
-read all of them.  Left out on purpose: the names of zones, tiers and the kind of service (a decision that
-followed a name would be wrong elsewhere), and the prices of things that no action here can cause.
+Times are whole microseconds.  Settings carry what a decision, or the program around the balancer, can act
+on; the balancer itself does not read all of them.  Left out on purpose: the names of zones, tiers and the
+kind of service (a decision that followed a name would be wrong elsewhere), and the prices of things that no
+action here can cause.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum, unique
-from typing import Any, TypeVar
+from typing import Any
+
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings_reader import MappingReader
 
 TOLD_US = 6_000_000
 """What discovery has, and could be reached for, counts as told so long after, whatever became of the calls.
@@ -21,9 +23,6 @@
 it (`micadeck.membership.watch_health` adds them up), however long the settings allow for asking.
 """
 
-# ---------------------------------------------------------------------------------------------------
-# Vocabulary
-
 
 @unique
 class Repeat(Enum):
@@ -78,46 +77,6 @@
     WORK = "work"
 
 
-@unique
-class ServerState(Enum):
-    """What the server list says of a server."""
-
-    READY = "ready"
-    DRAINING = "draining"
-    GONE = "gone"
-
-
-@unique
-class ListKind(Enum):
-    """How a server list is to be read."""
-
-    CHANGES = "changes"  # changed entries only
-    COMPLETE = "complete"  # who is missing is gone
-    REMEMBERED = "remembered"  # complete, but as last held before a restart
-    FAILED = "failed"  # a call failed or the subscription broke; nothing changes
-
-
-@unique
-class Outcome(Enum):
-    """How an attempt ended."""
-
-    DELIVERED = "delivered"
-    ERROR = "error"
-    FULL = "full"
-    EXPIRED = "expired"
-    DIAL_FAILED = "dial_failed"
-    TURNED_DOWN = "turned_down"  # nobody listens there, and the dial was told so at once
-    DROPPED = "dropped"
-    CANCELLED = "cancelled"
-    UNSENT = "unsent"
-    SPOILT = "spoilt"  # an answer came that can't be used; nothing is said of the server's health
-    REJECTED = "rejected"  # the server is well and found fault with the request
-
-
-# ---------------------------------------------------------------------------------------------------
-# Settings
-
-
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
     """One class of requests."""
@@ -237,7 +196,7 @@
     @staticmethod
     def from_mapping(given: Mapping[str, Any]) -> Settings:
         """Read settings from plain nested mappings; raise ValueError, naming the key, on nonsense."""
-        top = _Reader(given, "settings")
+        top = MappingReader(given, "settings")
         classes = tuple(_service_class(each) for each in top.parts("classes"))
         if not classes:
             raise ValueError("classes: at least one class of requests is needed")
@@ -315,7 +274,7 @@
         )
 
 
-def _service_class(each: _Reader) -> ServiceClass:
+def _service_class(each: MappingReader) -> ServiceClass:
     deadline = each.whole("deadline_us", None, low=1)
     return ServiceClass(
         name=each.text("name"),
@@ -329,333 +288,3 @@
         streaming=each.flag("streaming", False),
         aim_stretch=each.number("aim_stretch", 0.0),
     )
-
-
-_Choice = TypeVar("_Choice", bound=Enum)
-_LARGEST = 2**53  # every whole number up to here survives a double
-
-
-class _Reader:
-    """Reads one mapping; each complaint names the path of the key.  A null counts as absent."""
-
-    def __init__(self, given: object, path: str) -> None:
-        if not isinstance(given, Mapping):
-            raise ValueError(f"{path}: a mapping is needed")
-        self._given = given
-        self._path = "" if path == "settings" else path + "."
-
-    def _value(self, key: str) -> Any:
-        return self._given.get(key)
-
-    def _nonsense(self, key: str, needed: str) -> ValueError:
-        return ValueError(f"{self._path}{key}: {needed} is needed, not {self._value(key)!r:.60}")
-
-    def part(self, key: str) -> _Reader:
-        value = self._value(key)
-        return _Reader({} if value is None else value, self._path + key)
-
-    def parts(self, key: str) -> list[_Reader]:
-        value = self._value(key)
-        if value is None:
-            return []
-        if not isinstance(value, Sequence) or isinstance(value, (str, bytes)):
-            raise self._nonsense(key, "a list")
-        return [_Reader(each, f"{self._path}{key}[{index}]") for index, each in enumerate(value)]
-
-    def text(self, key: str, default: str | None = None) -> str:
-        value = self._value(key)
-        if value is None and default is not None:
-            return default
-        if not isinstance(value, str):
-            raise self._nonsense(key, "a text")
-        return value
-
-    def texts(self, key: str) -> tuple[str, ...]:
-        value = self._value(key)
-        if value is None:
-            return ()
-        if not isinstance(value, Sequence) or isinstance(value, str):
-            raise self._nonsense(key, "a list of texts")
-        if not all(isinstance(each, str) for each in value):
-            raise self._nonsense(key, "a list of texts")
-        return tuple(value)
-
-    def flag(self, key: str, default: bool) -> bool:
-        value = self._value(key)
-        if value is None:
-            return default
-        if not isinstance(value, bool):
-            raise self._nonsense(key, "true or false")
-        return value
-
-    def number(self, key: str, default: float, low: float = 0.0, high: float = _LARGEST) -> float:
-        value = self._value(key)
-        if value is None:
-            return default
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= high:
-            raise self._nonsense(key, f"a number from {low:g} to {high:g}")
-        return float(value)
-
-    def whole(self, key: str, default: int | None, low: int = 0) -> int:
-        value = self._value(key)
-        if value is None and default is not None:
-            return default
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= _LARGEST:
-            raise self._nonsense(key, f"a whole number from {low}")
-        if value != int(value):
-            raise self._nonsense(key, "a whole number")
-        return int(value)
-
-    def optional_whole(self, key: str) -> int | None:
-        return None if self._value(key) is None else self.whole(key, None)
-
-    def choice(self, key: str, kind: type[_Choice], default: _Choice) -> _Choice:
-        value = self._value(key)
-        if value is None:
-            return default
-        for each in kind:
-            if value == each.value:
-                return each
-        raise self._nonsense(key, "one of " + ", ".join(str(each.value) for each in kind))
-
-
-# ---------------------------------------------------------------------------------------------------
-# Events
-
-
-@dataclass(slots=True)
-class ListedServer:
-    """A line of the server list."""
-
-    server: str
-    zone: str = ""
-    kind: str = ""
-    cell: int = 0
-    state: ServerState = ServerState.READY
-    nominal: float = 1.0
-    started_at: int | None = None  # None: long ago
-
-
-@dataclass(slots=True)
-class ServersListed:
-    """The server list was heard, or a call for it failed."""
-
-    kind: ListKind
-    servers: Sequence[ListedServer] = ()
-    version: int = 0
-
-
-@dataclass(slots=True)
-class RequestArrived:
-    """A client's request; one final answer is owed from here on."""
-
-    request: int
-    service_class: str
-    tenant: str | None
-    key: int | None
-    remaining_us: int
-    cost_us: int | None = None  # a hint of the work, where the client gave one
-    client_retry: bool = False
-    write: bool = False
-    bound: str | None = None  # the one server that can serve it, which holds its session
-    kind: ServiceClass | None = None  # None: the class of that name that is in force
-    whole: bool = True  # False: its last byte has not come; RequestWhole follows, and no server begins before
-
-
-@dataclass(slots=True)
-class RequestWhole:
-    """The last byte of a request came that was taken before; its time counts from here."""
-
-    request: int
-    remaining_us: int
-
-
-@dataclass(slots=True)
-class AnswerStarted:
-    """The streamed answer of an attempt has begun; the attempt now belongs to the client."""
-
-    request: int
-    attempt: int
-    server: str
-    elapsed_us: int
-
-
-@dataclass(slots=True)
-class AttemptEnded:
-    """An attempt ended.  `answered`: the client has its final answer, by this outcome or an earlier one."""
-
-    request: int
-    attempt: int
-    server: str
-    outcome: Outcome
-    elapsed_us: int
-    answered: bool
-    report: Mapping[str, float] | None = None
-    again: bool = True  # False: a part of the request is not kept, so it can be sent to nobody else
-
-
-@dataclass(slots=True)
-class RequestGone:
-    """The client went away; nothing is owed any more."""
-
-    request: int
-
-
-@dataclass(slots=True)
-class TimerFired:
-    """A timer set earlier is due."""
-
-    token: str
-
-
-@dataclass(slots=True)
-class ProbeEnded:
-    """A probe came back."""
-
-    server: str
-    outcome: Outcome
-    elapsed_us: int
-    report: Mapping[str, float] | None = None
-
-
-@dataclass(slots=True)
-class SettingsChanged:
-    """Other settings are in force from here on; open requests keep the class that they came with.
-
-    What the instance was told once and for all stays: its zone, its number, and how discovery is asked.
-    """
-
-    settings: Settings
-
-
-@dataclass(slots=True)
-class MessageReceived:
-    """A message from another balancer of the tier."""
-
-    sender: int
-    payload: bytes
-
-
-Event = (
-    ServersListed
-    | RequestArrived
-    | RequestWhole
-    | AnswerStarted
-    | AttemptEnded
-    | RequestGone
-    | TimerFired
-    | ProbeEnded
-    | MessageReceived
-    | SettingsChanged
-)
-
-# ---------------------------------------------------------------------------------------------------
-# Actions
-
-
-@dataclass(slots=True)
-class Send:
-    """Start an attempt; a request's attempts are numbered from 0 in the order they are sent."""
-
-    request: int
-    server: str
-    until: int  # clock time at which the attempt is abandoned
-    write_by: int | None = None  # its last byte is written by then or never; None: any time
-
-
-@dataclass(frozen=True, slots=True)
-class Figures:
-    """How a balancer stands, for those who look on."""
-
-    load: int  # own requests in flight that count
-    window: float  # how many the fleet bears in time; infinite until a limit was needed
-    spent: float  # the part of its aim that the typical answer takes
-    late: float  # part of the answers that come after their aim
-    cores: float | None  # how busy servers report their cores; None: not at all
-    ejected: int
-
-
-@dataclass(slots=True)
-class Refuse:
-    """Final answer: refused; trying again is harmless."""
-
-    request: int
-    retry_after_us: int = 0
-
-
-@dataclass(slots=True)
-class Fail:
-    """Final answer: failed; nothing is promised."""
-
-    request: int
-
-
-@dataclass(slots=True)
-class Cancel:
-    """Stop waiting for an attempt."""
-
-    request: int
-    attempt: int
-
-
-@dataclass(slots=True)
-class Bound:
-    """Abandon an attempt that is out at another time than its Send said."""
-
-    request: int
-    attempt: int
-    until: int
-
-
-@dataclass(slots=True)
-class SetTimer:
-    """Ask for a TimerFired."""
-
-    in_us: int
-    token: str
-
-
-@dataclass(slots=True)
-class Probe:
-    """Test a server."""
-
-    server: str
-
-
-@dataclass(slots=True)
-class CloseIdle:
-    """Close the idle connections to a server."""
-
-    server: str
-
-
-@dataclass(slots=True)
-class Tell:
-    """Send a message to one balancer of the tier, or to all (None)."""
-
-    receiver: int | None
-    payload: bytes
-
-
-@dataclass(slots=True)
-class Follow:
-    """Subscribe to changes of the server list, or end that."""
-
-    wanted: bool = True
-
-
-@dataclass(slots=True)
-class FetchList:
-    """Ask once for the complete server list."""
-
-
-@dataclass(slots=True)
-class Log:
-    """A line for the operators."""
-
-    text: str
-
-
-Action = (
-    Send | Refuse | Fail | Cancel | Bound | SetTimer | Probe | CloseIdle | Tell | Follow | FetchList | Log
-)
--- a/micadeck/simulator_adapter.py
+++ b/micadeck/simulator_adapter.py
@@ -11,35 +11,37 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TextIO
 
-from micadeck.policy.balancer import Balancer
-from micadeck.policy.settings import (
+from micadeck.policy.actions import (
     Action,
-    AnswerStarted,
-    AttemptEnded,
     Cancel,
     CloseIdle,
-    Event,
     Fail,
     FetchList,
     Follow,
+    Log,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Tell,
+)
+from micadeck.policy.balancer import Balancer
+from micadeck.policy.events import (
+    AnswerStarted,
+    AttemptEnded,
+    Event,
     ListedServer,
     ListKind,
-    Log,
     MessageReceived,
-    Outcome,
-    Probe,
     ProbeEnded,
-    Refuse,
     RequestArrived,
     RequestGone,
-    Send,
     ServersListed,
     ServerState,
-    SetTimer,
-    Settings,
-    Tell,
     TimerFired,
 )
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import Settings
 
 
 class WireError(Exception):
--- a/micadeck/stand_ins/incident_days.py
+++ b/micadeck/stand_ins/incident_days.py
@@ -18,26 +18,19 @@
 from micadeck.incidents.kinds import Head, Record
 from micadeck.incidents.observer import Observer
 from micadeck.policy import Balancer, Settings
-from micadeck.policy.settings import (
-    Action,
+from micadeck.policy.actions import Action, Cancel, Fail, FetchList, Follow, Refuse, Send, SetTimer
+from micadeck.policy.events import (
     AttemptEnded,
-    Cancel,
     Event,
-    Fail,
-    FetchList,
-    Figures,
-    Follow,
     ListedServer,
     ListKind,
-    Outcome,
-    Refuse,
     RequestArrived,
-    Send,
     ServersListed,
     ServerState,
-    SetTimer,
     TimerFired,
 )
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.statistics import Figures
 
 MS = 1_000
 S = 1_000_000
--- a/micadeck/traces/__main__.py
+++ b/micadeck/traces/__main__.py
@@ -20,6 +20,7 @@
 from micadeck.traces.format import Trace, TraceError, decode
 from micadeck.traces.replay import Foreign, Make, compare, spans, totals
 
+_TYPES = ("micadeck.policy.settings", "micadeck.policy.events")  # what a balancer takes
 _WIDE = 200  # where nobody's screen sets a width
 
 
@@ -52,9 +53,10 @@
         del sys.modules[name]
     sys.path.insert(0, folder)
     try:
-        for part in ("micadeck.policy", "micadeck.policy.settings", "micadeck.policy.balancer"):
+        for part in ("micadeck.policy", *_TYPES, "micadeck.policy.balancer"):
             loaded[part] = importlib.import_module(part)
-        _resolve(loaded["micadeck.policy.settings"])
+        for part in _TYPES:
+            _resolve(loaded[part])
     except ImportError as fault:
         click.echo(f"micadeck: trace: {folder}: {fault}", err=True)
         raise SystemExit(2) from None
@@ -63,8 +65,9 @@
         for name in [each for each in sys.modules if each.split(".")[0] == "micadeck"]:
             del sys.modules[name]
         sys.modules.update(kept)
-    balancer, interface = loaded["micadeck.policy.balancer"].Balancer, loaded["micadeck.policy.settings"]
-    return lambda given, seed: Foreign(balancer, interface, given, seed)
+    balancer = loaded["micadeck.policy.balancer"].Balancer
+    settings, events = (loaded[part] for part in _TYPES)
+    return lambda given, seed: Foreign(balancer, settings, events, given, seed)
 
 
 @click.group("trace")
--- a/micadeck/traces/format.py
+++ b/micadeck/traces/format.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from micadeck.policy import Settings
-from micadeck.policy.settings import (
+from micadeck.policy.events import (
     AnswerStarted,
     AttemptEnded,
     Event,
--- a/micadeck/traces/record.py
+++ b/micadeck/traces/record.py
@@ -6,7 +6,8 @@
 from pathlib import Path
 
 from micadeck.policy import Balancer, Settings
-from micadeck.policy.settings import Action, Event
+from micadeck.policy.actions import Action
+from micadeck.policy.events import Event
 from micadeck.traces.format import Encoder
 
 _AT_ONCE = 1 << 16  # bytes before they are written
--- a/micadeck/traces/replay.py
+++ b/micadeck/traces/replay.py
@@ -16,17 +16,9 @@
 import msgspec
 
 from micadeck.policy import Balancer, Settings
-from micadeck.policy.settings import (
-    Action,
-    AttemptEnded,
-    Event,
-    Fail,
-    Log,
-    Outcome,
-    Refuse,
-    RequestArrived,
-    Send,
-)
+from micadeck.policy.actions import Action, Fail, Log, Refuse, Send
+from micadeck.policy.events import AttemptEnded, Event, RequestArrived
+from micadeck.policy.outcomes import Outcome
 from micadeck.traces.format import Trace
 
 
@@ -124,13 +116,15 @@
 class Foreign:
     """The balancer of another tree: events are made anew of its classes, which may know fewer fields."""
 
-    def __init__(self, make: Make, interface: Any, settings: Settings, seed: int) -> None:
-        self._interface = interface
-        known = msgspec.convert(msgspec.to_builtins(settings), interface.Settings)
+    def __init__(
+        self, make: Make, settings_module: Any, events_module: Any, settings: Settings, seed: int
+    ) -> None:
+        self._events = events_module
+        known = msgspec.convert(msgspec.to_builtins(settings), settings_module.Settings)
         self._balancer: Decides = make(known, seed)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        kind = getattr(self._interface, type(event).__name__)
+        kind = getattr(self._events, type(event).__name__)
         return self._balancer.handle(now, msgspec.convert(msgspec.to_builtins(event), kind))
 
 
--- a/tests/broken_builds.py
+++ b/tests/broken_builds.py
@@ -14,7 +14,9 @@
 from micadeck.http.upstream import Upstream
 from micadeck.membership import watch_health
 from micadeck.policy import balancer
-from micadeck.policy.settings import Group, Outcome, Rules, ServerState
+from micadeck.policy.events import ServerState
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import Group, Rules
 
 Mutant = Callable[[], contextlib.AbstractContextManager[Any]]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,20 +6,18 @@
 from typing import Any, TypeVar
 
 from micadeck.policy import Balancer, Settings
-from micadeck.policy.settings import (
-    Action,
+from micadeck.policy.actions import Action, Send, SetTimer
+from micadeck.policy.events import (
     AttemptEnded,
     Event,
     ListedServer,
     ListKind,
-    Outcome,
     RequestArrived,
-    Send,
     ServersListed,
     ServerState,
-    SetTimer,
     TimerFired,
 )
+from micadeck.policy.outcomes import Outcome
 
 MS = 1_000
 S = 1_000_000
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -16,18 +16,16 @@
 from helpers import S, settings
 
 from micadeck.policy import Balancer
-from micadeck.policy.settings import (
+from micadeck.policy.actions import Refuse, Send, SetTimer
+from micadeck.policy.events import (
     AttemptEnded,
     ListedServer,
     ListKind,
-    Outcome,
-    Refuse,
     RequestArrived,
-    Send,
     ServersListed,
-    SetTimer,
     TimerFired,
 )
+from micadeck.policy.outcomes import Outcome
 
 WORK_S = 0.06
 COLD_FROM, COLD_S, FALL_MULTIPLE, FALL_S = 0.14, 20.0, 3.0, 2.0
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -10,25 +10,20 @@
 from hypothesis import strategies as st
 
 from micadeck.policy import Balancer
-from micadeck.policy.settings import AttemptEnded as Ended
-from micadeck.policy.settings import (
-    Cancel,
-    CloseIdle,
+from micadeck.policy.actions import Cancel, CloseIdle, Fail, Refuse, Send, SetTimer
+from micadeck.policy.events import AttemptEnded as Ended
+from micadeck.policy.events import (
     Event,
-    Fail,
     ListedServer,
     ListKind,
-    Outcome,
-    Refuse,
-    Repeat,
     RequestArrived,
     RequestGone,
-    Send,
     ServersListed,
     ServerState,
-    SetTimer,
     TimerFired,
 )
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import Repeat
 
 SERVERS = names(7)
 ZONES = ("east", "west")
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -20,7 +20,7 @@
 from micadeck.engine.ports import Cause
 from micadeck.http.request_validation import Incoming
 from micadeck.http.upstream import Upstream
-from micadeck.policy.settings import ListedServer, ServerState
+from micadeck.policy.events import ListedServer, ServerState
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Wire
--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -13,7 +13,7 @@
 
 from micadeck.membership.consul.view import ENTRIES_AT_ONCE, ServiceView
 from micadeck.membership.endpoint_merge import Caution, Merge, Sighting
-from micadeck.policy.settings import ListedServer, ListKind, ServersListed, ServerState
+from micadeck.policy.events import ListedServer, ListKind, ServersListed, ServerState
 
 FEW, MANY = 100, 3_000
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -6,15 +6,9 @@
 from helpers import S, settings
 
 from micadeck.policy import Balancer
-from micadeck.policy.settings import (
-    AttemptEnded,
-    ListedServer,
-    ListKind,
-    Outcome,
-    RequestArrived,
-    Send,
-    ServersListed,
-)
+from micadeck.policy.actions import Send
+from micadeck.policy.events import AttemptEnded, ListedServer, ListKind, RequestArrived, ServersListed
+from micadeck.policy.outcomes import Outcome
 
 NAMES = [f"s-{number}" for number in range(6)]
 COLD = NAMES[0]
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -20,7 +20,7 @@
 from micadeck.membership.consul.config import load
 from micadeck.membership.sources import Sources
 from micadeck.network import LoopNetwork
-from micadeck.policy.settings import ListedServer, ServerState
+from micadeck.policy.events import ListedServer, ServerState
 from micadeck.sidecar import Sidecar
 from micadeck.stand_ins.consul import NODE, Fault, StandInConsul, State
 from micadeck.stand_ins.http_server import Mode, StandInServer
--- a/tests/test_consul_source.py
+++ b/tests/test_consul_source.py
@@ -13,7 +13,7 @@
 from micadeck.membership.consul import Agents, Ask, ConsulClient, Heard, ServiceWatch, watch
 from micadeck.membership.endpoint_merge import Merge, Trust
 from micadeck.network import LoopNetwork, parse_address
-from micadeck.policy.settings import ServerState
+from micadeck.policy.events import ServerState
 from micadeck.stand_ins.consul import NODE, Fault, StandInConsul
 
 MS = 0.001
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -8,7 +8,8 @@
 import pytest
 from helpers import MS, S, Stage, names, settings
 
-from micadeck.policy.settings import Log, Outcome
+from micadeck.policy.actions import Log
+from micadeck.policy.outcomes import Outcome
 
 Fails = Callable[[str, random.Random], Outcome | None]
 
--- a/tests/test_endpoint_merge.py
+++ b/tests/test_endpoint_merge.py
@@ -9,7 +9,7 @@
 
 from micadeck.engine import Entry, Listing
 from micadeck.membership.endpoint_merge import Caution, Merge, Sighting, Trust
-from micadeck.policy.settings import ListedServer, ServerState
+from micadeck.policy.events import ListedServer, ServerState
 
 READY, DOUBTFUL, DRAINS = Caution
 A, B = ("10.0.0.1", 80), ("10.0.0.2", 80)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -12,7 +12,8 @@
 
 from micadeck.engine import Cause, Engine, Entry, IdInUse, Listing, Request
 from micadeck.library.engine import WaiterFirstEngine
-from micadeck.policy.settings import AttemptEnded, Event, ListedServer, Outcome, RequestArrived
+from micadeck.policy.events import AttemptEnded, Event, ListedServer, RequestArrived
+from micadeck.policy.outcomes import Outcome
 from micadeck.simulator_adapter import settings_from_wire
 
 MS = 1_000
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -20,7 +20,7 @@
 from micadeck.fleet.messages import Ask
 from micadeck.fleet.settings import FleetSettings
 from micadeck.peer_datagrams import Peers
-from micadeck.policy.settings import ListedServer, ServerState
+from micadeck.policy.events import ListedServer, ServerState
 from micadeck.sidecar import Core
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -39,7 +39,7 @@
 from micadeck.incidents.rule_check import audit
 from micadeck.incidents.segments import SegmentName
 from micadeck.incidents.timeline import Story, tell
-from micadeck.policy.settings import ListedServer, ListKind
+from micadeck.policy.events import ListedServer, ListKind
 from micadeck.stand_ins.incident_days import BEGIN, Day, S, play
 
 # When it went wrong
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -16,7 +16,7 @@
 from micadeck.memory.monitor import MemoryKeeper
 from micadeck.memory.resident import MB
 from micadeck.network import LoopNetwork
-from micadeck.policy.settings import Outcome
+from micadeck.policy.outcomes import Outcome
 from micadeck.sidecar import Core
 
 LIMIT = 100 * MB
--- a/tests/test_mysql_error_mapping.py
+++ b/tests/test_mysql_error_mapping.py
@@ -13,7 +13,7 @@
 from micadeck.mysql.protocol.answers import Kind
 from micadeck.mysql.statements import Reader
 from micadeck.mysql.transport import StatementRequest
-from micadeck.policy.settings import Outcome
+from micadeck.policy.outcomes import Outcome
 from micadeck.stand_ins.mysql import Fault, Point, What
 
 READ = "SELECT * FROM tariff ORDER BY code"
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-from micadeck.policy.settings import Outcome
+from micadeck.policy.outcomes import Outcome
 
 ROOT = Path(__file__).parent.parent
 MODULE = (ROOT / "micadeck" / "policy" / "balancer.py").read_text(encoding="utf-8")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,7 +11,7 @@
 
 from micadeck.incidents.frames import read
 from micadeck.incidents.kinds import Span, State
-from micadeck.policy.settings import Outcome
+from micadeck.policy.outcomes import Outcome
 from micadeck.stand_ins.incident_days import World
 
 WORK_S = 0.066  # of the mean request, on a server with room
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -22,7 +22,8 @@
 from micadeck.incidents.kinds import Attempt, End, Head, Listed, Phase, Record, Span, State, times_of
 from micadeck.incidents.observer import MOST_ATTEMPTS, Observer
 from micadeck.incidents.segments import Limits, Rotation, SegmentName, parse
-from micadeck.policy.settings import Outcome, ServerState
+from micadeck.policy.events import ServerState
+from micadeck.policy.outcomes import Outcome
 
 
 class Looks:
--- a/tests/test_refused_dials.py
+++ b/tests/test_refused_dials.py
@@ -5,7 +5,9 @@
 import pytest
 from helpers import MS, S, Stage, names, settings
 
-from micadeck.policy.settings import Fail, ListedServer, Log, Outcome, Refuse, ServerState
+from micadeck.policy.actions import Fail, Log, Refuse
+from micadeck.policy.events import ListedServer, ServerState
+from micadeck.policy.outcomes import Outcome
 
 DOWN = Outcome.TURNED_DOWN
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -14,17 +14,17 @@
 from micadeck.config import ConfigError, load, parse
 from micadeck.http.settings_versions import Generations
 from micadeck.policy import Balancer, Settings
-from micadeck.policy.settings import (
+from micadeck.policy.actions import Send
+from micadeck.policy.events import (
     AttemptEnded,
     ListedServer,
     ListKind,
-    Outcome,
-    Repeat,
     RequestArrived,
-    Send,
     ServersListed,
     SettingsChanged,
 )
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import Repeat
 from micadeck.simulator_adapter import settings_from_wire
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,21 +7,16 @@
 import pytest
 from helpers import MS, START, S, Stage, names, settings
 
-from micadeck.policy.settings import (
+from micadeck.policy.actions import Cancel, CloseIdle, Fail, FetchList, Follow, Refuse
+from micadeck.policy.events import (
     AttemptEnded,
-    Cancel,
-    CloseIdle,
-    Fail,
-    FetchList,
-    Follow,
     ListedServer,
     ListKind,
-    Outcome,
-    Refuse,
     RequestGone,
     ServersListed,
     ServerState,
 )
+from micadeck.policy.outcomes import Outcome
 
 # Rule 1: one final answer in time
 
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -13,7 +13,8 @@
 from micadeck.engine import Entry, Listing
 from micadeck.http.request_validation import Incoming
 from micadeck.http.upstream import Upstream
-from micadeck.policy.settings import ListedServer, Outcome, ServerState
+from micadeck.policy.events import ListedServer, ServerState
+from micadeck.policy.outcomes import Outcome
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Wire
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -10,25 +10,19 @@
 from helpers import MS, S, Stage, names, settings
 
 from micadeck.policy import Balancer
+from micadeck.policy.actions import Bound, Cancel, CloseIdle, Fail, Log, Refuse, Send
 from micadeck.policy.balancer import Server
-from micadeck.policy.settings import (
+from micadeck.policy.events import (
     AnswerStarted,
     AttemptEnded,
-    Bound,
-    Cancel,
-    CloseIdle,
-    Fail,
     ListedServer,
     ListKind,
-    Log,
-    Outcome,
-    Refuse,
     RequestArrived,
     RequestWhole,
-    Send,
     ServersListed,
     TimerFired,
 )
+from micadeck.policy.outcomes import Outcome
 
 
 def test_the_least_busy_of_the_drawn_wins() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -4,7 +4,10 @@
 
 from helpers import MS, S, Stage, names, settings
 
-from micadeck.policy.settings import Fail, ListedServer, ListKind, Log, Outcome, Refuse, Repeat, ServerState
+from micadeck.policy.actions import Fail, Log, Refuse
+from micadeck.policy.events import ListedServer, ListKind, ServerState
+from micadeck.policy.outcomes import Outcome
+from micadeck.policy.settings import Repeat
 
 
 def _ejected(stage: Stage) -> list[str]:
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -9,15 +9,9 @@
 from test_engine import World
 
 from micadeck.engine import Cause, Engine, Entry, Listing, Request
-from micadeck.policy.settings import (
-    Fail,
-    ListedServer,
-    ListKind,
-    Outcome,
-    Refuse,
-    RequestArrived,
-    ServerState,
-)
+from micadeck.policy.actions import Fail, Refuse
+from micadeck.policy.events import ListedServer, ListKind, RequestArrived, ServerState
+from micadeck.policy.outcomes import Outcome
 from micadeck.simulator_adapter import settings_from_wire
 
 SERVERS = names(4)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,8 @@
 from hypothesis import strategies as st
 
 from micadeck.policy import Balancer, Settings
-from micadeck.policy.settings import Discovery, Repeat, RequestArrived
+from micadeck.policy.events import RequestArrived
+from micadeck.policy.settings import Discovery, Repeat
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -11,29 +11,31 @@
 from loopback import HOST, OK, Heard, play, request, stage, until
 
 from micadeck.policy import Settings
-from micadeck.policy.settings import (
+from micadeck.policy.actions import (
     Action,
-    AttemptEnded,
     Cancel,
     CloseIdle,
-    Event,
     Fail,
     FetchList,
-    ListKind,
     Log,
-    MessageReceived,
-    Outcome,
     Probe,
-    ProbeEnded,
     Refuse,
-    RequestArrived,
-    RequestGone,
     Send,
-    ServersListed,
     SetTimer,
     Tell,
+)
+from micadeck.policy.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    MessageReceived,
+    ProbeEnded,
+    RequestArrived,
+    RequestGone,
+    ServersListed,
     TimerFired,
 )
+from micadeck.policy.outcomes import Outcome
 
 T = TypeVar("T")
 FAR = 2**52
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -16,7 +16,9 @@
 
 from micadeck.cli import main
 from micadeck.policy import Balancer
-from micadeck.policy.settings import Action, Event, ListedServer, Outcome, RequestArrived, Send, TimerFired
+from micadeck.policy.actions import Action, Send
+from micadeck.policy.events import Event, ListedServer, RequestArrived, TimerFired
+from micadeck.policy.outcomes import Outcome
 from micadeck.traces.format import Encoder, TraceError, decode, encode
 from micadeck.traces.record import Recorder
 from micadeck.traces.replay import compare, spans, totals
