--- a/benchmarks/consul_lists.py
+++ b/benchmarks/consul_lists.py
@@ -199,7 +199,7 @@
 async def _cost(size: int) -> dict[str, float]:
     with consul(2, size) as address, tempfile.TemporaryDirectory() as folder:
         reading = Spent(ServiceView, "taken")
-        telling = Spent(sources_module.Sources, "_tell")
+        telling = Spent(sources_module.EndpointSources, "_tell")
         core = Core(parse(config(folder, address, spread_s=0)), LoopNetwork(), lambda _: None)
         assert core.sources is not None
         core.sources.settle = gc.freeze  # as the daemon does
--- a/benchmarks/mysql_wire.py
+++ b/benchmarks/mysql_wire.py
@@ -26,7 +26,7 @@
 
 from micadeck.mysql.auth import Verifier, native_stored
 from micadeck.mysql.protocol.answers import Kind, Part, Row
-from micadeck.mysql.server_connection import Credentials, Link
+from micadeck.mysql.server_connection import Credentials, ServerConnection
 from micadeck.network import LoopNetwork
 
 AT_ONCE = 16
@@ -90,19 +90,19 @@
     return int(told[1]) / 1024
 
 
-async def connect(port: int) -> Link:
+async def connect(port: int) -> ServerConnection:
     network = LoopNetwork()
 
-    def make() -> Link:
+    def make() -> ServerConnection:
         credentials = Credentials("sidecar", b"server-secret")
-        return Link(
+        return ServerConnection(
             network, "", credentials, found_rows=False, most_in_packet=1 << 25, on_closed=lambda _: None
         )
 
-    return await Link.open(make, network, (rig.HOST, port))
+    return await ServerConnection.open(make, network, (rig.HOST, port))
 
 
-async def ask(link: Link, part: Any, text: bytes = SELECT) -> None:
+async def ask(link: ServerConnection, part: Any, text: bytes = SELECT) -> None:
     reader = await link.exchange(text, Kind.RESULT, part)
     if reader.error is not None:
         raise RuntimeError(reader.error.text)
@@ -112,7 +112,7 @@
     """Of rows that only have to come."""
 
 
-async def turns(links: list[Link], count: int) -> tuple[list[float], float]:
+async def turns(links: list[ServerConnection], count: int) -> tuple[list[float], float]:
     """The spans of statements one after another, and the rate of all connections at once."""
     spans = []
     for _ in range(count):
@@ -120,7 +120,7 @@
         await ask(links[0], nothing)
         spans.append(time.perf_counter() - began)
 
-    async def repeat(link: Link) -> None:
+    async def repeat(link: ServerConnection) -> None:
         for _ in range(count // 4):
             await ask(link, nothing)
 
--- a/micadeck/config.py
+++ b/micadeck/config.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from micadeck.engine import Listing
+from micadeck.engine import EndpointUpdate
 from micadeck.membership.discovery_watcher import parse_listing
 from micadeck.network import Address, parse_address
 from micadeck.policy import Settings
@@ -32,7 +32,7 @@
     """The configuration can't be used; the text begins with the key at fault."""
 
 
-class ConfigUnread(ConfigError):
+class ConfigUnreadableError(ConfigError):
     """The file can't be read now, for `fault`."""
 
     def __init__(self, text: str, fault: OSError) -> None:
@@ -51,7 +51,7 @@
     seed: int
     sockets: int
     memory_mb: int
-    known: Listing
+    known: EndpointUpdate
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
@@ -82,7 +82,7 @@
     try:
         given = json.loads(Path(path).read_bytes())
     except OSError as fault:
-        raise ConfigUnread(f"BALANCER_CONFIG: {path} can't be read: {fault}", fault) from None
+        raise ConfigUnreadableError(f"BALANCER_CONFIG: {path} can't be read: {fault}", fault) from None
     except (ValueError, RecursionError) as fault:
         raise ConfigError(f"BALANCER_CONFIG: {path} can't be read: {fault}") from None
     if not isinstance(given, dict):
@@ -106,7 +106,7 @@
         raise ConfigError("settings.limits.max_attempts: at least 1 is needed: it would refuse every request")
     known = given.get("known")
     try:
-        listing = parse_listing(known) if known is not None else Listing(0, True, ())
+        listing = parse_listing(known) if known is not None else EndpointUpdate(0, True, ())
     except ValueError as nonsense:
         raise ConfigError(f"known: {nonsense}") from None
     peers = given.get("peers") or []
--- a/micadeck/daemon.py
+++ b/micadeck/daemon.py
@@ -12,12 +12,12 @@
 
 import uvloop
 
-from micadeck.config import Config, ConfigError, ConfigUnread, load
-from micadeck.memory.monitor import MemoryKeeper
+from micadeck.config import Config, ConfigError, ConfigUnreadableError, load
+from micadeck.memory.monitor import MemoryMonitor
 from micadeck.memory.resident import MB, anonymous_bytes
 from micadeck.network import LoopNetwork
-from micadeck.operations import Beside
-from micadeck.operations.startup_retry import StartCalledOff, StartWait
+from micadeck.operations import HotRestart
+from micadeck.operations.startup_retry import StartCancelledError, StartupRetry
 from micadeck.policy import IS_COMPILED
 from micadeck.sidecar import Sidecar
 from micadeck.signals import ProcessSignals
@@ -78,18 +78,18 @@
         _called_off(signals, log)
         return
     end = asyncio.Event()
-    sidecar = Sidecar(config, network, log, beside=Beside(os.environ.get("TMPDIR"), config.name))
+    sidecar = Sidecar(config, network, log, beside=HotRestart(os.environ.get("TMPDIR"), config.name))
 
     def read_anew() -> None:
         if not end.is_set():  # a process that ends has no use for it
             reload(sidecar, log)
 
     signals.attach(loop.call_soon_threadsafe, end.set, read_anew)
-    keeper = MemoryKeeper(network, sidecar.memory, log, sidecar.count_memory)
+    keeper = MemoryMonitor(network, sidecar.memory, log, sidecar.count_memory)
     sidecar.on_memory_stage = keeper.told_stage
     try:
         await sidecar.start(end.is_set)
-    except StartCalledOff:
+    except StartCancelledError:
         sidecar.close()
         _called_off(signals, log)
         return
@@ -122,7 +122,7 @@
         )
 
 
-def _wait(wait: StartWait, fault: OSError, text: str, signals: ProcessSignals) -> bool:
+def _wait(wait: StartupRetry, fault: OSError, text: str, signals: ProcessSignals) -> bool:
     """Wait before the next try, and say so once; False: it can't pass.  Raises StartCalledOff."""
     is_first = wait.is_first
     retry_s = wait.retry_in_s(fault, time.monotonic())
@@ -133,19 +133,19 @@
     if signals.ended_at is None:
         time.sleep(retry_s)
     if signals.ended_at is not None:
-        raise StartCalledOff
+        raise StartCancelledError
     return True
 
 
 def _configuration(signals: ProcessSignals) -> Config:
     """Read the configuration, and wait out a file that can't be read for a moment."""
-    wait = StartWait(time.monotonic())
+    wait = StartupRetry(time.monotonic())
     while True:
         try:
             config = load(os.environ)
             check_memory(config)
             return config
-        except ConfigUnread as unread:
+        except ConfigUnreadableError as unread:
             if not _wait(wait, unread.fault, str(unread), signals):
                 raise
 
@@ -165,7 +165,7 @@
 
 def _run_loop(config: Config, signals: ProcessSignals) -> None:
     """Serve on an event loop, and wait out one that can't be made for a moment."""
-    wait = StartWait(time.monotonic())
+    wait = StartupRetry(time.monotonic())
     has_begun = False
 
     def began() -> None:
@@ -189,7 +189,7 @@
     except ConfigError as fault:
         print(f"micadeck: config: {fault}".replace("\n", " "), file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
-    except StartCalledOff:
+    except StartCancelledError:
         print("told to end before the start: nothing was taken", file=sys.stderr)
     except OSError as fault:
         print(f"micadeck: can't listen: {fault}", file=sys.stderr)
--- a/micadeck/engine/__init__.py
+++ b/micadeck/engine/__init__.py
@@ -5,32 +5,32 @@
 each must do.
 """
 
-from micadeck.engine.engine import Engine, IdInUse
-from micadeck.engine.outcome_counters import Account, Ends
+from micadeck.engine.engine import Engine, RequestIdInUseError
+from micadeck.engine.outcome_counters import OutcomeCounters, OutcomeCounts
 from micadeck.engine.ports import (
-    Carrier,
-    Cause,
-    Done,
-    Entry,
-    Listing,
-    Messages,
+    AttemptCallback,
+    EndpointEntry,
+    EndpointSource,
+    EndpointUpdate,
+    FailureCause,
+    PeerTransport,
     Request,
-    Source,
-    Waiter,
+    ResponseHandler,
+    Transport,
 )
 
 __all__ = [
-    "Account",
-    "Carrier",
-    "Cause",
-    "Done",
-    "Ends",
+    "AttemptCallback",
+    "EndpointEntry",
+    "EndpointSource",
+    "EndpointUpdate",
     "Engine",
-    "Entry",
-    "IdInUse",
-    "Listing",
-    "Messages",
+    "FailureCause",
+    "OutcomeCounters",
+    "OutcomeCounts",
+    "PeerTransport",
     "Request",
-    "Source",
-    "Waiter",
+    "RequestIdInUseError",
+    "ResponseHandler",
+    "Transport",
 ]
--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -10,49 +10,57 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from micadeck.engine.outcome_counters import Account
-from micadeck.engine.ports import Carrier, Cause, Listing, Messages, Request, Source, Waiter
-from micadeck.engine.send_guard import LATE_US, InvariantLog, Violation
-from micadeck.memory.budget import MemoryAccount, Stage
+from micadeck.engine.outcome_counters import OutcomeCounters
+from micadeck.engine.ports import (
+    EndpointSource,
+    EndpointUpdate,
+    FailureCause,
+    PeerTransport,
+    Request,
+    ResponseHandler,
+    Transport,
+)
+from micadeck.engine.send_guard import LATE_US, InvariantLog, InvariantViolation
+from micadeck.memory.budget import MemoryBudget, PressureLevel
 from micadeck.network import Network
 from micadeck.policy import Balancer, Settings
 from micadeck.policy.actions import (
     Action,
-    Bound,
     Cancel,
     CloseIdle,
     Fail,
     FetchList,
-    Follow,
     Log,
     Probe,
     Refuse,
     Send,
+    SendPeerMessage,
+    SetAttemptDeadline,
     SetTimer,
-    Tell,
+    WatchEndpoints,
 )
 from micadeck.policy.events import (
     AnswerStarted,
     AttemptEnded,
+    ClientDisconnected,
     Event,
     ListKind,
     MessageReceived,
     ProbeEnded,
     RequestArrived,
-    RequestGone,
-    RequestWhole,
+    RequestCompleted,
     ServersListed,
     SettingsChanged,
     TimerFired,
 )
 from micadeck.policy.outcomes import Outcome
-from micadeck.policy.statistics import Figures
+from micadeck.policy.statistics import BalancerStatistics
 
 _PROBE_WITHIN_US = 1_000_000
 _SHED_RETRY_US = 500_000  # when a request that was refused for memory may come again
 
 
-class IdInUse(Exception):
+class RequestIdInUseError(Exception):
     """A request came with the id of one that is open."""
 
 
@@ -72,8 +80,8 @@
         "whole_at",
     )
 
-    def __init__(self, waiter: Waiter, request: Request, due: int) -> None:
-        self.waiter: Waiter | None = waiter  # None: it has its answer, or nobody waits for it
+    def __init__(self, waiter: ResponseHandler, request: Request, due: int) -> None:
+        self.waiter: ResponseHandler | None = waiter  # None: it has its answer, or nobody waits for it
         self.request = request
         self.due = due  # when its time is over
         self.attempts: list[Any] = []
@@ -93,9 +101,9 @@
         settings: Settings,
         seed: int,
         network: Network,
-        carrier: Carrier,
-        source: Source,
-        messages: Messages,
+        carrier: Transport,
+        source: EndpointSource,
+        messages: PeerTransport,
         log: Callable[[str], None],
     ) -> None:
         self._settings = settings
@@ -107,11 +115,13 @@
         self._decisions = Balancer(settings, seed)
         self._balancer = self._decisions  # or what hears in its place
         self.invariants = InvariantLog(log)
-        self.account = Account()
+        self.account = OutcomeCounters()
         self.shed = 0  # requests refused for memory
-        self.on_listed: Callable[[Listing], None] | None = None  # hears each list, beside the decisions
+        self.on_listed: Callable[[EndpointUpdate], None] | None = (
+            None  # hears each list, beside the decisions
+        )
         self.has_list = False  # whether a list was heard since the start
-        self.memory: MemoryAccount | None = None  # where it is short, new requests are refused
+        self.memory: MemoryBudget | None = None  # where it is short, new requests are refused
         self._events: deque[Event] = deque()
         self._is_handling = False
         self._open: dict[int, _Open] = {}
@@ -119,7 +129,7 @@
         self._next_request = 1
         self._stop_by: int | None = None  # when all must be answered, once it drains
 
-    def start(self, known: Listing) -> None:
+    def start(self, known: EndpointUpdate) -> None:
         """Take up the last known list, and begin to hear of newer ones."""
         self._carrier.listed(known)
         self._post(known.event(ListKind.REMEMBERED))
@@ -130,7 +140,7 @@
         held = self._open.get(request)
         return held.request.ident if held is not None else b""
 
-    def figures(self) -> Figures:
+    def figures(self) -> BalancerStatistics:
         """How the decisions stand."""
         return self._decisions.figures()
 
@@ -181,21 +191,21 @@
 
     # What fronts call
 
-    def take(self, request: Request, waiter: Waiter) -> int | None:
+    def take(self, request: Request, waiter: ResponseHandler) -> int | None:
         """Owe the waiter one answer from here on; give the request's number, or None if it has its answer.
 
         Raises IdInUse, and owes nothing, if the id is that of an open request: servers tell requests apart
         by it.
         """
         if request.ident in self._owed:
-            raise IdInUse
+            raise RequestIdInUseError
         most = self._settings.limits.max_open
         has_room = most is None or len(self._owed) < most
         if not has_room or request.remaining_us <= 0:  # or its time was over before it came here
             self.account[request.service_class].refused += 1
             waiter.refused(0)
             return None
-        if self.memory is not None and self.memory.stage >= Stage.SHED:
+        if self.memory is not None and self.memory.stage >= PressureLevel.SHED:
             self.account[request.service_class].refused += 1
             self.shed += 1
             limits = self._settings.limits
@@ -232,7 +242,7 @@
         held.request.is_whole = True
         held.whole_at = self._network.now()
         held.due = held.whole_at + remaining_us
-        self._post(RequestWhole(request, self._time_left(remaining_us)))
+        self._post(RequestCompleted(request, self._time_left(remaining_us)))
 
     def _time_left(self, remaining_us: int) -> int:
         if self._stop_by is None:
@@ -243,7 +253,7 @@
         """The one who waits went away; nothing is owed any more."""
         if self._settle(request) is None:
             return
-        self._post(RequestGone(request))
+        self._post(ClientDisconnected(request))
         self._forget_if_over(request)
 
     def started(self, request: int) -> bool:
@@ -266,7 +276,7 @@
     def fail_open(self) -> None:
         """Fail what is unanswered; for the end, when the decisions had no word on it in time."""
         for request in list(self._open):
-            self._fail(request, Cause.TIME)
+            self._fail(request, FailureCause.TIME)
 
     def heard(self, sender: int, payload: bytes) -> None:
         """A message came from another sidecar."""
@@ -303,9 +313,9 @@
         """Live on after a defect in the decisions, and owe nobody an answer because of it."""
         self._log(f"internal error: {type(event).__name__}: {fault!r}")
         if isinstance(event, (RequestArrived, AttemptEnded)):
-            self._fail(event.request, Cause.DEFECT)
+            self._fail(event.request, FailureCause.DEFECT)
 
-    def _listed(self, listing: Listing) -> None:
+    def _listed(self, listing: EndpointUpdate) -> None:
         self.has_list = True
         self._carrier.listed(listing)
         if self.on_listed is not None:
@@ -328,7 +338,7 @@
         held.out -= 1
         held.last_outcome = outcome
         held.may_have_run = held.may_have_run or not self._settings.rules.never_ran(outcome)
-        if outcome is Outcome.TURNED_DOWN:
+        if outcome is Outcome.CONNECTION_REFUSED:
             self._source.doubt()
         if outcome is Outcome.DELIVERED:
             waiter = self._settle(request)
@@ -342,7 +352,7 @@
             # What follows its begin takes as long as the waiter reads, and says nothing of the server.
             elapsed = held.started
             if outcome is not Outcome.DELIVERED:
-                self._fail(request, Cause.SERVERS)
+                self._fail(request, FailureCause.SERVERS)
         # Whether it is answered is looked up when the event's turn comes.
         again = outcome is Outcome.DELIVERED or held.request.can_go_again()
         self._post(AttemptEnded(request, attempt, server, outcome, elapsed, False, report, again))
@@ -359,25 +369,25 @@
                 self._refuse(action)
             case Fail():
                 held = self._open.get(action.request)
-                late = held is not None and held.last_outcome in (None, Outcome.EXPIRED)
-                self._fail(action.request, Cause.TIME if late else Cause.SERVERS)
+                late = held is not None and held.last_outcome in (None, Outcome.TIMED_OUT)
+                self._fail(action.request, FailureCause.TIME if late else FailureCause.SERVERS)
             case Cancel():
                 held = self._open.get(action.request)
                 if held is not None and action.attempt < len(held.attempts):
                     self._carrier.cancel(held.attempts[action.attempt])
-            case Bound():
+            case SetAttemptDeadline():
                 held = self._open.get(action.request)
                 if held is not None and action.attempt < len(held.attempts):
                     self._carrier.bound(held.attempts[action.attempt], action.until)
             case CloseIdle():
                 self._carrier.close_idle(action.server)
-            case Follow():
+            case WatchEndpoints():
                 self._source.follow(action.wanted)
             case FetchList():
                 self._source.fetch()
             case Probe():
                 self._probe(action.server)
-            case Tell():
+            case SendPeerMessage():
                 if not self._messages.tell(action.receiver, action.payload):
                     self._log("a message to other sidecars could not be sent")
             case Log():
@@ -392,7 +402,7 @@
             self._attempt_ended(number, attempt, action.server, sent_at, outcome, response, report)
 
         if held.out and not self._settings.limits.second_copies:
-            self.invariants.broken(Violation.TWO_ATTEMPTS, held.request.ident, f"{held.out} out")
+            self.invariants.broken(InvariantViolation.TWO_ATTEMPTS, held.request.ident, f"{held.out} out")
         held.out += 1
         held.sent = (action.server, sent_at)
         attempts = held.attempts
@@ -429,7 +439,7 @@
         held = self._open.get(request)
         return held is None or held.waiter is None
 
-    def _fail(self, request: int, cause: Cause) -> None:
+    def _fail(self, request: int, cause: FailureCause) -> None:
         held = self._open.get(request)
         waiter = self._settle(request)
         if held is not None and waiter is not None:
@@ -437,7 +447,7 @@
             waiter.failed(cause, held.may_have_run or held.out > 0)
         self._forget_if_over(request)
 
-    def _settle(self, request: int) -> Waiter | None:
+    def _settle(self, request: int) -> ResponseHandler | None:
         """Nothing is owed from here on; give the one who waits, if something was."""
         held = self._open.get(request)
         if held is None or held.waiter is None:
@@ -446,7 +456,7 @@
         is_timed = held.request.is_whole and held.started is None  # its carrier sees to one that has begun
         if late_us > LATE_US and is_timed:
             detail = f"by {late_us / 1e6:.3f} s, {len(held.attempts)} attempts, {held.out} out"
-            self.invariants.broken(Violation.ANSWERED_LATE, held.request.ident, detail)
+            self.invariants.broken(InvariantViolation.ANSWERED_LATE, held.request.ident, detail)
         waiter, held.waiter = held.waiter, None
         self._owed.discard(held.request.ident)
         if held.out:
--- a/micadeck/engine/outcome_counters.py
+++ b/micadeck/engine/outcome_counters.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Ends:
+class OutcomeCounts:
     """One class's requests that ended, each under exactly one of these."""
 
     __slots__ = ("failed", "refused", "served")
@@ -14,12 +14,12 @@
         self.failed = 0
 
 
-class Account(dict[str, Ends]):
+class OutcomeCounters(dict[str, OutcomeCounts]):
     """Ends by class; one that was not asked for is there with its first mention.
 
     What ended after its client had left stands nowhere; counts begin with the process.
     """
 
-    def __missing__(self, name: str) -> Ends:
-        ends = self[name] = Ends()
+    def __missing__(self, name: str) -> OutcomeCounts:
+        ends = self[name] = OutcomeCounts()
         return ends
--- a/micadeck/engine/ports.py
+++ b/micadeck/engine/ports.py
@@ -47,7 +47,7 @@
 
 
 @unique
-class Cause(Enum):
+class FailureCause(Enum):
     """Why a request failed."""
 
     SERVERS = "servers"  # they answered with errors, broke off, or sent what can't be used
@@ -55,7 +55,7 @@
     DEFECT = "defect"  # this program went wrong
 
 
-class Waiter(Protocol):
+class ResponseHandler(Protocol):
     """Whoever waits for the one answer of a request: exactly one of these is called, once."""
 
     def served(self, response: Any) -> None:
@@ -64,24 +64,26 @@
     def refused(self, retry_after_us: int) -> None:
         """Trying again is harmless; not before so long, if that is above 0."""
 
-    def failed(self, cause: Cause, may_have_run: bool) -> None:
+    def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         """Nothing is promised; `may_have_run` is false only if no server can have begun it."""
 
 
 # ---------------------------------------------------------------------------------------------------
 # Towards servers
 
-Done = Callable[[Outcome, Any, Mapping[str, float] | None], None]
+AttemptCallback = Callable[[Outcome, Any, Mapping[str, float] | None], None]
 """How an attempt ended, the answer if there is one, and the load report that came with it."""
 
 
-class Carrier(Protocol):
+class Transport(Protocol):
     """Takes attempts to servers.  Every `done` is called exactly once, never from within a call of these."""
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointUpdate) -> None:
         """Take over a list or its changes, before any action that follows from it."""
 
-    def start(self, server: str, until: int, request: Any, done: Done, write_by: int | None = None) -> Any:
+    def start(
+        self, server: str, until: int, request: Any, done: AttemptCallback, write_by: int | None = None
+    ) -> Any:
         """Begin an attempt; the result names it to `cancel`.
 
         What has not been written whole at `write_by` is not written at all, and ends unsent.
@@ -96,7 +98,7 @@
     def withdraw(self, attempt: Any) -> None:
         """Nobody waits for it: if it is not written whole yet, it never is, and ends unsent."""
 
-    def probe(self, server: str, until: int, done: Done) -> None: ...
+    def probe(self, server: str, until: int, done: AttemptCallback) -> None: ...
 
     def close_idle(self, server: str) -> None: ...
 
@@ -108,7 +110,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class EndpointEntry:
     """A line of the list, with where the server can be reached from here."""
 
     listed: ListedServer
@@ -116,22 +118,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointUpdate:
     """The list of servers, or what changed in it."""
 
     version: int
     full: bool
-    entries: tuple[Entry, ...]
+    entries: tuple[EndpointEntry, ...]
 
     def event(self, kind: ListKind | None = None) -> ServersListed:
         by_form = ListKind.COMPLETE if self.full else ListKind.CHANGES
         return ServersListed(kind or by_form, [each.listed for each in self.entries], self.version)
 
 
-class Source(Protocol):
+class EndpointSource(Protocol):
     """Tells who the servers are.  Every `follow` and `fetch` is answered by a list or by a failure."""
 
-    def start(self, on_list: Callable[[Listing], None], on_failed: Callable[[], None]) -> None: ...
+    def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None: ...
 
     def follow(self, wanted: bool) -> None:
         """Tell changes from now on, or no longer."""
@@ -149,7 +151,7 @@
 # Towards other sidecars
 
 
-class Messages(Protocol):
+class PeerTransport(Protocol):
     """Short messages between the sidecars of a tier."""
 
     def tell(self, receiver: int | None, payload: bytes) -> bool:
--- a/micadeck/engine/send_guard.py
+++ b/micadeck/engine/send_guard.py
@@ -14,7 +14,7 @@
 
 
 @unique
-class Denial(Enum):
+class SendDenial(Enum):
     """Why an attempt is not written."""
 
     CALLED_OFF = "called off"  # its request is over, its client left, or it was given up
@@ -25,7 +25,7 @@
 
 
 @unique
-class Violation(Enum):
+class InvariantViolation(Enum):
     """What must never happen; each is counted and logged."""
 
     TWO_ATTEMPTS = "two attempts at once"
@@ -41,18 +41,18 @@
     is_called_off: bool,
     is_server_leaving: bool,
     is_connection_usable: bool,
-) -> Denial | None:
+) -> SendDenial | None:
     """Why an attempt may not be written at this time; None if it may.  Times are microseconds."""
     if is_called_off:
-        return Denial.CALLED_OFF
+        return SendDenial.CALLED_OFF
     if is_server_leaving:
-        return Denial.SERVER_LEAVING
+        return SendDenial.SERVER_LEAVING
     if write_by is not None and now >= write_by:
-        return Denial.REPEAT_TOO_LATE
+        return SendDenial.REPEAT_TOO_LATE
     if now >= until:
-        return Denial.TIME_OVER
+        return SendDenial.TIME_OVER
     if not is_connection_usable:
-        return Denial.CONNECTION_ENDED
+        return SendDenial.CONNECTION_ENDED
     return None
 
 
@@ -61,9 +61,9 @@
 
     def __init__(self, log: Callable[[str], None]) -> None:
         self._log = log
-        self.counts: Counter[Violation] = Counter()
+        self.counts: Counter[InvariantViolation] = Counter()
 
-    def broken(self, violation: Violation, ident: bytes, detail: str = "") -> None:
+    def broken(self, violation: InvariantViolation, ident: bytes, detail: str = "") -> None:
         """Take note of one; it changes nothing else."""
         self.counts[violation] += 1
         self._log(
--- a/micadeck/fleet/host.py
+++ b/micadeck/fleet/host.py
@@ -4,16 +4,16 @@
 
 from collections.abc import Callable
 
-from micadeck.engine import Listing
+from micadeck.engine import EndpointUpdate
 from micadeck.fleet.claims import Facts, State
 from micadeck.fleet.config import FleetConfig
 from micadeck.fleet.core import Changed, Fleet, Output
 from micadeck.fleet.messages import Rumour
 from micadeck.network import Address, Network, Timer
-from micadeck.peer_datagrams import Peers
+from micadeck.peer_datagrams import PeerDatagrams
 from micadeck.policy.events import ServerState
 
-_GONE = {ServerState.DRAINING: "draining", ServerState.GONE: "gone"}
+_GONE = {ServerState.DRAINING: "draining", ServerState.REMOVED: "gone"}
 _WORDS = {State.ALIVE: "is there", State.DEAD: "is taken for dead", State.LEFT: "has left"}
 _MOST_RUMOURS = 64  # of one list: a list that is all news says nothing of single servers
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         network: Network,
-        peers: Peers,
+        peers: PeerDatagrams,
         config: FleetConfig,
         name: str,
         listen: Address,
@@ -56,7 +56,7 @@
         facts = self.fleet.facts
         self.fleet.tell(self._now(), Facts(config.region, facts.per_s, facts.list_version))
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointUpdate) -> None:
         """What this sidecar is told of servers is news for those whose discovery is silent."""
         now = self._now()
         facts = self.fleet.facts
--- a/micadeck/http/body_stream.py
+++ b/micadeck/http/body_stream.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from micadeck.memory.budget import MemoryAccount, Stage
+from micadeck.memory.budget import MemoryBudget, PressureLevel
 
 MOST_KEPT = 64 << 10  # of a body, that is kept whole; a larger one is passed on while it comes
 _MOST_KEPT_WHEN_SHORT = 8 << 10
@@ -16,10 +16,10 @@
 _LEAST_EACH = 8 << 10
 
 
-class Budget:
+class BufferBudget:
     """What all pipes together may hold, in bytes, and how large a body may be to be kept whole instead."""
 
-    def __init__(self, most: int, memory: MemoryAccount | None = None) -> None:
+    def __init__(self, most: int, memory: MemoryBudget | None = None) -> None:
         self.most = most
         self.memory = memory  # the account of what is kept; None: nobody counts it
         self.pipes = 0  # that are open
@@ -30,7 +30,7 @@
 
         No more than a pipe may hold, since what was kept becomes the first that its pipe holds.
         """
-        is_short = self.memory is not None and self.memory.stage >= Stage.PASS_ON
+        is_short = self.memory is not None and self.memory.stage >= PressureLevel.PASS_ON
         return _MOST_KEPT_WHEN_SHORT if is_short else self.share()
 
     def share(self) -> int:
@@ -38,12 +38,12 @@
         return max(min(_MOST_EACH, self.most // max(self.pipes, 1)), _LEAST_EACH)
 
 
-class Pipe:
+class BodyStream:
     """One body on its way.  `pause` and `resume` steer whoever writes it."""
 
     def __init__(
         self,
-        budget: Budget,
+        budget: BufferBudget,
         length: int | None,
         pause: Callable[[], object],
         resume: Callable[[], object],
--- a/micadeck/http/client.py
+++ b/micadeck/http/client.py
@@ -10,9 +10,9 @@
 from enum import Enum, unique
 from typing import cast
 
-from micadeck.http.body_stream import MOST_KEPT, Budget, Pipe
+from micadeck.http.body_stream import MOST_KEPT, BodyStream, BufferBudget
 from micadeck.http.h1 import LAST_CHUNK, Request, Response, ResponseReader, chunk
-from micadeck.memory.budget import Kind
+from micadeck.memory.budget import MemoryUse
 from micadeck.network import Network, Stream, Timer
 
 _ANSWER_TIMEOUT_S = 0.25  # without a byte, once an answer has begun to come
@@ -48,7 +48,7 @@
         on_free: Callable[[ClientConnection], None],
         on_closed: Callable[[ClientConnection], None],
         answer_timeout_s: float = _ANSWER_TIMEOUT_S,
-        budget: Budget | None = None,
+        budget: BufferBudget | None = None,
     ) -> None:
         self._network = network
         self._most_bytes = most_bytes
@@ -65,7 +65,7 @@
             self._reader = ResponseReader(most_bytes)
         else:
             self._reader = ResponseReader(most_bytes, self._make_pipe, budget.most_kept)
-        self._sending: Pipe | None = None  # the body of the request, while it is passed on
+        self._sending: BodyStream | None = None  # the body of the request, while it is passed on
         self._heard_at = 0.0
         self._is_paused = False  # whoever takes the answer takes nothing for now
         self._end_by: float | None = None  # of an answer that is passed on, unless it is large
@@ -220,9 +220,9 @@
         if on_written is not None:
             on_written()
 
-    def _make_pipe(self, length: int | None) -> Pipe:
+    def _make_pipe(self, length: int | None) -> BodyStream:
         assert self._budget is not None
-        return Pipe(self._budget, length, self._pause, self._resume)
+        return BodyStream(self._budget, length, self._pause, self._resume)
 
     def _pause(self) -> None:
         self._is_paused = True
@@ -252,7 +252,7 @@
     def _book(self, cost: int) -> None:
         """Count what is kept of the answer now, in bytes."""
         if self._memory is not None and cost != self._booked:
-            self._memory.book(Kind.ANSWERS, cost - self._booked)
+            self._memory.book(MemoryUse.ANSWERS, cost - self._booked)
             self._booked = cost
 
     def _stall_s(self) -> float:
--- a/micadeck/http/error_responses.py
+++ b/micadeck/http/error_responses.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from micadeck.engine import Cause
+from micadeck.engine import FailureCause
 from micadeck.http.h1 import Headers, Response
 
 Worded = tuple[int, Headers, bytes]
 
-_STATUS = {Cause.SERVERS: 502, Cause.TIME: 504, Cause.DEFECT: 500}
+_STATUS = {FailureCause.SERVERS: 502, FailureCause.TIME: 504, FailureCause.DEFECT: 500}
 _PASSED_BACK = (b"content-type", b"content-encoding")  # what describes the body
 
 
@@ -24,5 +24,5 @@
     return 503, [(b"retry-after", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else [], b""
 
 
-def failed(cause: Cause) -> Worded:
+def failed(cause: FailureCause) -> Worded:
     return _STATUS[cause], [], b""
--- a/micadeck/http/framing.py
+++ b/micadeck/http/framing.py
@@ -10,7 +10,7 @@
 MOST_HEADERS = 100  # of one head, and trailers of one body
 
 
-class TooManyHeaders(Exception):
+class TooManyHeadersError(Exception):
     """A message has more headers, or trailers, than are kept."""
 
 
--- a/micadeck/http/h1.py
+++ b/micadeck/http/h1.py
@@ -13,8 +13,8 @@
 
 import httptools
 
-from micadeck.http.body_stream import MOST_KEPT, Pipe
-from micadeck.http.framing import MOST_HEADERS, FramingCount, TooManyHeaders
+from micadeck.http.body_stream import MOST_KEPT, BodyStream
+from micadeck.http.framing import MOST_HEADERS, FramingCount, TooManyHeadersError
 from micadeck.memory.budget import HEADER_COST, REQUEST_COST
 
 Headers = list[tuple[bytes, bytes]]
@@ -35,7 +35,7 @@
     headers: Headers  # their names in lower case
     body: bytes = b""
     keep_alive: bool = True
-    stream: Pipe | None = None  # the body, where it is passed on as it comes
+    stream: BodyStream | None = None  # the body, where it is passed on as it comes
     version: str = "1.1"
     arrived_at: float = 0.0  # when its last byte came, or of a body that is passed on its first, in seconds
     cost: int = 0  # of keeping it, in bytes, its body with it
@@ -52,7 +52,7 @@
     status: int
     headers: Headers
     body: bytes = b""
-    stream: Pipe | None = None  # the body, where it is passed on as it comes
+    stream: BodyStream | None = None  # the body, where it is passed on as it comes
     abandon: Callable[[], None] | None = None  # ends what comes of it, where nobody takes the rest
 
     def header(self, name: bytes) -> bytes | None:
@@ -93,7 +93,7 @@
     headers: Headers = field(default_factory=list)
     body: bytearray = field(default_factory=bytearray)
     size: int = 0  # of the body, as far as it came
-    stream: Pipe | None = None
+    stream: BodyStream | None = None
     has_head: bool = False
     trailers: int = 0
     head_bytes: int = 0  # once its head is whole, of values and the target
@@ -102,7 +102,7 @@
         """Count a trailer, which is passed over; raise TooManyHeaders beyond what a message may have."""
         self.trailers += 1
         if self.trailers > MOST_HEADERS:
-            raise TooManyHeaders
+            raise TooManyHeadersError
 
     @property
     def cost(self) -> int:
@@ -113,7 +113,7 @@
         return [value for key, value in self.headers if key == name]
 
 
-MakePipe = Callable[[int | None], Pipe]
+MakePipe = Callable[[int | None], BodyStream]
 """Makes the way for a body that is too large to be kept; it is given the length that was announced."""
 
 
@@ -151,7 +151,7 @@
             return
         if len(part.headers) >= MOST_HEADERS:
             self._has_too_many_headers()
-            raise TooManyHeaders  # so that the parser reads no further
+            raise TooManyHeadersError  # so that the parser reads no further
         # Blanks behind a value are none of it (RFC 9112, 5.1); the parser leaves them there.
         if value and value[-1] <= _BLANK:
             value = value.rstrip(b" \t")
@@ -436,7 +436,7 @@
         return 0 if self._part is None else self._part.cost + self._framing.pending
 
     @property
-    def stream(self) -> Pipe | None:
+    def stream(self) -> BodyStream | None:
         """The body that is being passed on."""
         return None if self._part is None else self._part.stream
 
--- a/micadeck/http/idle_connections.py
+++ b/micadeck/http/idle_connections.py
@@ -23,7 +23,7 @@
 C = TypeVar("C")
 
 
-class Resting(Generic[C]):
+class IdleConnections(Generic[C]):
     """The connections at rest that asked once, and what is known of such."""
 
     def __init__(self) -> None:
--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -9,10 +9,10 @@
 from itertools import chain, islice
 from typing import cast
 
-from micadeck.engine import Cause, Engine, IdInUse
-from micadeck.engine.send_guard import Violation
+from micadeck.engine import Engine, FailureCause, RequestIdInUseError
+from micadeck.engine.send_guard import InvariantViolation
 from micadeck.http import error_responses
-from micadeck.http.body_stream import Budget, Pipe
+from micadeck.http.body_stream import BodyStream, BufferBudget
 from micadeck.http.h1 import (
     CONTINUE,
     LAST_CHUNK,
@@ -24,10 +24,10 @@
     chunk,
     head_of,
 )
-from micadeck.http.idle_connections import Resting, rest_for_s
-from micadeck.http.request_validation import BadRequest, read_request
-from micadeck.http.settings_versions import STRAY_US, Generations
-from micadeck.memory.budget import OPEN_REQUEST_COST, Kind
+from micadeck.http.idle_connections import IdleConnections, rest_for_s
+from micadeck.http.request_validation import BadRequestError, read_request
+from micadeck.http.settings_versions import STRAY_US, SettingsVersions
+from micadeck.memory.budget import OPEN_REQUEST_COST, MemoryUse
 from micadeck.network import Address, Listener, Network, Stream, Timer
 from micadeck.policy.settings import Settings
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLimits:
+class DownstreamLimits:
     """What one client may take of the sidecar; times in seconds."""
 
     header_timeout_s: float = (
@@ -74,14 +74,14 @@
     SERVING = 6  # an answer is owed; never closed for room
 
 
-class ClientSide(asyncio.BufferedProtocol):
+class DownstreamConnection(asyncio.BufferedProtocol):
     """One connection of the application, one request at a time."""
 
-    def __init__(self, frontend: Frontend) -> None:
+    def __init__(self, frontend: HttpListener) -> None:
         self._frontend = frontend
         self._reader = RequestReader(MOST_BODY, self._make_pipe, frontend.budget.most_kept)
-        self._body: Pipe | None = None  # that of the request at hand, where it is passed on
-        self._upload: Pipe | None = None  # the same, while it still comes
+        self._body: BodyStream | None = None  # that of the request at hand, where it is passed on
+        self._upload: BodyStream | None = None  # the same, while it still comes
         self._download: Response | None = None  # the answer that is passed on
         self._is_chunked = False  # and how its body is framed
         self._closes = False  # whether the connection ends with it
@@ -151,7 +151,7 @@
     def refused(self, retry_after_us: int) -> None:
         self.answer(*error_responses.refused(retry_after_us))
 
-    def failed(self, cause: Cause, may_have_run: bool) -> None:
+    def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         if self._download is None:
             self.answer(*error_responses.failed(cause))
         else:
@@ -244,7 +244,7 @@
         is_whole = self._upload is None and self._download is None  # else the client can tell that it failed
         if self._owed is not None and is_whole and not self.has_gone:
             ident = self._frontend.engine.ident(self._owed)
-            self._frontend.engine.invariants.broken(Violation.CLOSED_UNANSWERED, ident)
+            self._frontend.engine.invariants.broken(InvariantViolation.CLOSED_UNANSWERED, ident)
         if self._transport is not None:
             self._transport.abort()
 
@@ -362,8 +362,8 @@
 
     # Bodies that are passed on
 
-    def _make_pipe(self, length: int | None) -> Pipe:
-        return Pipe(self._frontend.budget, length, self._pause_reading, self._resume_upload)
+    def _make_pipe(self, length: int | None) -> BodyStream:
+        return BodyStream(self._frontend.budget, length, self._pause_reading, self._resume_upload)
 
     def _resume_upload(self) -> None:
         self.heard_at = self._frontend.network.time()  # it was not the client that stalled
@@ -403,7 +403,7 @@
         if body is not None:
             body.drop()
 
-    def _block(self, stream: Pipe) -> None:
+    def _block(self, stream: BodyStream) -> None:
         self.blocked_since = self._frontend.network.time()
         stream.block()
 
@@ -498,7 +498,7 @@
             return
         try:
             self._owed = self._frontend.take(request, self)
-        except BadRequest as fault:
+        except BadRequestError as fault:
             self.reject(fault.status, str(fault))
         if self._upload is not None:
             self._go_on_uploading()
@@ -520,21 +520,21 @@
         self._resume_reading()  # what still comes is dropped
 
 
-class Frontend:
+class HttpListener:
     """All connections of the application, never more than `most`."""
 
     def __init__(
         self,
         settings: Settings,
-        limits: ClientLimits,
+        limits: DownstreamLimits,
         engine: Engine,
         network: Network,
-        budget: Budget,
+        budget: BufferBudget,
     ) -> None:
         self.budget = budget  # of bodies that are passed on as they come
         self.linger_s = limits.linger_s
         self.upload_linger_s = limits.upload_linger_s
-        self._generations = Generations(settings)
+        self._generations = SettingsVersions(settings)
         self.on_settings: Callable[[Settings], object] = _nobody  # called when others come into force
         self.most = 0  # connections; set by whoever knows how many descriptors there are
         self._limits = limits
@@ -543,8 +543,8 @@
         self.is_draining = False  # every answer closes its connection
         self.is_healthy = True  # what `/_health` says
         self.buffer = memoryview(bytearray(_READ_AT_ONCE))  # each read is used up before the next
-        self._by_state: dict[State, dict[ClientSide, None]] = {each: {} for each in State}
-        self._resting: Resting[ClientSide] = Resting()
+        self._by_state: dict[State, dict[DownstreamConnection, None]] = {each: {} for each in State}
+        self._resting: IdleConnections[DownstreamConnection] = IdleConnections()
         self._held = 0
         self._listener: Listener | None = None
         self._sweep: Timer | None = None
@@ -553,7 +553,7 @@
     def listen(self, address: Address) -> None:
         # Shared with the process that takes over from this one, or that this one takes over from.
         self._listener = self.network.listen(
-            lambda: ClientSide(self), address, _ACCEPTED_AT_ONCE, shared=True
+            lambda: DownstreamConnection(self), address, _ACCEPTED_AT_ONCE, shared=True
         )
         self._sweep_later()
 
@@ -562,7 +562,7 @@
         assert self._listener is not None
         return self._listener.port
 
-    def take(self, request: Request, client: ClientSide) -> int | None:
+    def take(self, request: Request, client: DownstreamConnection) -> int | None:
         """Bring a request to the engine; raise BadRequest on what no server must see."""
         generations = self._generations
         if generations.is_settled:
@@ -587,8 +587,8 @@
             incoming.remaining_us += int(upload_s * 1e6)  # its own time counts from its last byte
         try:
             return self.engine.take(incoming, client)
-        except IdInUse:
-            raise BadRequest("request-id is that of an open request", 409) from None
+        except RequestIdInUseError:
+            raise BadRequestError("request-id is that of an open request", 409) from None
 
     @property
     def tails(self) -> int:
@@ -650,13 +650,13 @@
     def open_connections(self) -> int:
         return sum(len(each) for each in self._by_state.values())
 
-    def connections(self) -> Iterator[ClientSide]:
+    def connections(self) -> Iterator[DownstreamConnection]:
         for each in self._by_state.values():
             yield from each
 
     # What connections report
 
-    def opened(self, connection: ClientSide) -> None:
+    def opened(self, connection: DownstreamConnection) -> None:
         self.last_opened = connection.since = self.network.time()
         if self.open_connections >= self.most and not self._make_room():
             connection.state = State.ENDING  # guards the limit on descriptors: there is none to close for it
@@ -664,7 +664,7 @@
             return
         self._by_state[State.SILENT][connection] = None
 
-    def moved(self, connection: ClientSide, state: State) -> None:
+    def moved(self, connection: DownstreamConnection, state: State) -> None:
         before = connection.state
         if state is before:
             return
@@ -685,7 +685,7 @@
                 # After this round, so that a request that came in one piece with the last one is seen.
                 self.network.call_soon(self._close_spare)
 
-    def holds(self, connection: ClientSide, cost: int) -> None:
+    def holds(self, connection: DownstreamConnection, cost: int) -> None:
         """Count what a connection's requests cost of memory, in bytes; over the limit, the oldest half-sent
         one goes.
 
@@ -695,14 +695,14 @@
         while self._held > self._limits.most_bytes and self.give_up_oldest():
             pass
 
-    def _held_by(self, connection: ClientSide, cost: int) -> None:
+    def _held_by(self, connection: DownstreamConnection, cost: int) -> None:
         more = cost - connection.held
         if not more:
             return
         connection.held = cost
         self._held += more
         if self.budget.memory is not None:
-            self.budget.memory.book(Kind.REQUESTS, more)
+            self.budget.memory.book(MemoryUse.REQUESTS, more)
 
     def give_up_oldest(self) -> bool:
         """Turn away the request that has been half sent for longest; say whether there was one."""
@@ -712,11 +712,11 @@
         oldest.reject(503)
         return True
 
-    def _half_sent(self) -> Iterator[ClientSide]:
+    def _half_sent(self) -> Iterator[DownstreamConnection]:
         """Connections on which only a part of a request has come, the one that is at it for longest first."""
         return (each for each in self._by_state[State.READING] if not each.has_whole_request)
 
-    def _longest_without_request(self) -> list[ClientSide]:
+    def _longest_without_request(self) -> list[DownstreamConnection]:
         """Of those that have sent no whole request, the one that has held its place for longest."""
         first = [*islice(self._by_state[State.SILENT], 1), *islice(self._half_sent(), 1)]
         return [min(first, key=lambda each: each.since)] if first else []
@@ -731,7 +731,7 @@
         """What clients have not taken of their error_responses."""
         return sum(each.unsent_bytes for each in self.connections())
 
-    def closed(self, connection: ClientSide) -> None:
+    def closed(self, connection: DownstreamConnection) -> None:
         self._by_state[connection.state].pop(connection, None)
         self._resting.ends(connection)
         self.let_go(connection)
@@ -747,7 +747,7 @@
             self._resting.ends(each)
             each.close()
 
-    def let_go(self, connection: ClientSide) -> None:
+    def let_go(self, connection: DownstreamConnection) -> None:
         """Hold nothing of it any more."""
         self._held_by(connection, 0)
 
--- a/micadeck/http/request_validation.py
+++ b/micadeck/http/request_validation.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 
 from micadeck.engine import ports
-from micadeck.http.body_stream import Pipe
+from micadeck.http.body_stream import BodyStream
 from micadeck.http.h1 import Headers, Request, Response
-from micadeck.http.settings_versions import Generations
-from micadeck.policy.settings import Repeat
+from micadeck.http.settings_versions import SettingsVersions
+from micadeck.policy.settings import Idempotency
 
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _TIMEOUT = re.compile(rb"[0-9]{1,5}(\.[0-9]{0,9})?")
@@ -27,7 +27,7 @@
 _ALWAYS_PASSED = frozenset((b"host", b"request-id", b"idempotency-key"))  # whatever `Connection` says of them
 
 
-class BadRequest(Exception):
+class BadRequestError(Exception):
     """What came is not a request of this protocol."""
 
     def __init__(self, text: str, status: int = 400) -> None:
@@ -36,14 +36,14 @@
 
 
 @dataclass(slots=True)
-class Incoming(ports.Request):
+class ValidatedRequest(ports.Request):
     """A client's request, read and checked."""
 
     method: bytes
     target: bytes
     headers: Headers  # as they go on to a server, but for the time that it has
     body: bytes
-    stream: Pipe | None = None  # the body, where it is passed on as it comes
+    stream: BodyStream | None = None  # the body, where it is passed on as it comes
     begin: Callable[[Response], bool] | None = None  # takes an answer that is too large to be kept
     look_for_end: Callable[[], None] | None = None  # at its client's connection
 
@@ -65,7 +65,7 @@
         )
 
 
-def read_request(request: Request, generations: Generations, now_us: int = 0) -> Incoming:
+def read_request(request: Request, generations: SettingsVersions, now_us: int = 0) -> ValidatedRequest:
     """Check a request; raise BadRequest on what no server must see."""
     own: dict[bytes, bytes] = {}
     headers: Headers = []
@@ -73,7 +73,7 @@
     for name, value in request.headers:
         if name in _OWN:
             if name in own:
-                raise BadRequest(f"{name.decode()} stands twice")
+                raise BadRequestError(f"{name.decode()} stands twice")
             own[name] = value
         if name not in _NOT_PASSED:
             headers.append((name, value))
@@ -84,39 +84,41 @@
     _header(own, b"host")  # HTTP/1.0 may leave it out; towards servers it may not be
     class_name = _header(own, b"request-class").decode("latin-1")
     if b"idempotency-key" in own:
-        repeat = Repeat.KEYED
+        repeat = Idempotency.KEYED
     else:
-        repeat = Repeat.SAFE if request.method == b"GET" else Repeat.UNSAFE
+        repeat = Idempotency.IDEMPOTENT if request.method == b"GET" else Idempotency.NON_IDEMPOTENT
     kind = generations.classes.get(class_name)
     is_former = False
     if kind is None or kind.repeat is not repeat:
         found = generations.find(class_name, repeat, now_us)
         if found is None:
-            raise BadRequest("request-class is unknown")
+            raise BadRequestError("request-class is unknown")
         kind, is_former = found
     if not _REQUEST_ID.fullmatch(_header(own, b"request-id")):
-        raise BadRequest("request-id is nonsense")
+        raise BadRequestError("request-id is nonsense")
     timeout = _header(own, b"request-timeout")
     remaining_us = round(float(timeout) * 1e6) if _TIMEOUT.fullmatch(timeout) else 0
     if remaining_us <= 0:
-        raise BadRequest("request-timeout is nonsense")
+        raise BadRequestError("request-timeout is nonsense")
     is_get = request.method == b"GET"
-    if (request.method not in (b"GET", b"POST")) or is_get != (kind.repeat is Repeat.SAFE):
-        raise BadRequest("the method is not that of the class")
-    if (b"idempotency-key" in own) != (kind.repeat is Repeat.KEYED) or own.get(b"idempotency-key") == b"":
-        raise BadRequest("idempotency-key does not go with the class")
+    if (request.method not in (b"GET", b"POST")) or is_get != (kind.repeat is Idempotency.IDEMPOTENT):
+        raise BadRequestError("the method is not that of the class")
+    if (b"idempotency-key" in own) != (kind.repeat is Idempotency.KEYED) or own.get(
+        b"idempotency-key"
+    ) == b"":
+        raise BadRequestError("idempotency-key does not go with the class")
     if not request.target.startswith(b"/"):
-        raise BadRequest("the target is no path")
+        raise BadRequestError("the target is no path")
     hint = own.get(b"work-hint")
     if hint is not None and not _HINT.fullmatch(hint):
-        raise BadRequest("work-hint is nonsense")
+        raise BadRequestError("work-hint is nonsense")
     length = len(request.body) if request.stream is None else request.stream.length
     if length is None:
         headers.append((b"transfer-encoding", b"chunked"))
     elif length or not is_get:
         headers.append((b"content-length", b"%d" % length))
     tenant = own.get(b"tenant", b"").decode("latin-1")
-    return Incoming(
+    return ValidatedRequest(
         service_class=kind.name,
         tenant=tenant if tenant in generations.tenants else None,
         key=key_of(request.target),
@@ -139,7 +141,7 @@
 def _header(own: Mapping[bytes, bytes], name: bytes) -> bytes:
     value = own.get(name)
     if value is None:
-        raise BadRequest(f"{name.decode()} is missing")
+        raise BadRequestError(f"{name.decode()} is missing")
     return value
 
 
--- a/micadeck/http/settings_versions.py
+++ b/micadeck/http/settings_versions.py
@@ -8,13 +8,13 @@
 
 from __future__ import annotations
 
-from micadeck.policy.settings import Repeat, ServiceClass, Settings
+from micadeck.policy.settings import Idempotency, ServiceClass, Settings
 
 _LEARNT_US = 1_200_000  # from reading new settings to clients that follow them
 STRAY_US = 300_000  # how much later a request by the old ones may still be on its way
 
 
-class Generations:
+class SettingsVersions:
     """The settings in force, those that come, and those before."""
 
     def __init__(self, settings: Settings) -> None:
@@ -59,7 +59,7 @@
         self._take(self._coming)
         self._coming = None
 
-    def find(self, name: str, repeat: Repeat, now_us: int) -> tuple[ServiceClass, bool] | None:
+    def find(self, name: str, repeat: Idempotency, now_us: int) -> tuple[ServiceClass, bool] | None:
         """The class that a request of this name and form falls under, and whether it is one of those before.
 
         None: there is no class of this name.  A class that does not go with the form is given all the same,
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from micadeck.engine import Done, Listing
-from micadeck.engine.send_guard import Denial, send_denial
-from micadeck.http.body_stream import MOST_KEPT, Budget
+from micadeck.engine import AttemptCallback, EndpointUpdate
+from micadeck.engine.send_guard import SendDenial, send_denial
+from micadeck.http.body_stream import MOST_KEPT, BufferBudget
 from micadeck.http.client import BEYOND_TIME_S, ClientConnection, Failure
 from micadeck.http.h1 import MOST_BODY, Request, Response
-from micadeck.http.request_validation import Incoming
+from micadeck.http.request_validation import ValidatedRequest
 from micadeck.http.reuse_delay import ReuseDelay
 from micadeck.network import Address, Network, Timer
 from micadeck.policy.events import ServerState
@@ -26,7 +26,7 @@
 _OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
-class Call:
+class Exchange:
     """One request to one server.  `done` is called exactly once, never from within `start` or `cancel`."""
 
     __slots__ = (
@@ -50,7 +50,7 @@
         server: str,
         until: int,
         message: Callable[[int], Request],
-        done: Done,
+        done: AttemptCallback,
         *,
         is_probe: bool = False,
         begin: Callable[[Response], bool] | None = None,
@@ -110,10 +110,10 @@
         self.idle: list[_Idle] = []  # the most recently used last
 
 
-class Upstream:
+class ConnectionPool:
     """All connections to servers, never more than `most`."""
 
-    def __init__(self, network: Network, settings: Settings, budget: Budget | None = None) -> None:
+    def __init__(self, network: Network, settings: Settings, budget: BufferBudget | None = None) -> None:
         self._budget = budget  # of answers that are passed on as they come; None: they are kept
         self._network = network
         self.retune(settings)
@@ -124,7 +124,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._sweep: Timer | None = None
         self._reuse = ReuseDelay()
-        self.denials: Counter[Denial] = Counter()
+        self.denials: Counter[SendDenial] = Counter()
         self.tries = 0  # attempts written whole; probes are none
 
     def retune(self, settings: Settings) -> None:
@@ -136,7 +136,7 @@
 
     # The list
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointUpdate) -> None:
         """Take over a list or its changes, before any action that follows from it."""
         if listing.full:
             for name in self._servers.keys() - {each.listed.server for each in listing.entries}:
@@ -166,9 +166,14 @@
     # Calls
 
     def start(
-        self, server: str, until: int, request: Incoming, done: Done, write_by: int | None = None
-    ) -> Call:
-        call = Call(
+        self,
+        server: str,
+        until: int,
+        request: ValidatedRequest,
+        done: AttemptCallback,
+        write_by: int | None = None,
+    ) -> Exchange:
+        call = Exchange(
             self._network,
             server,
             until,
@@ -181,16 +186,16 @@
         self._start(call)
         return call
 
-    def probe(self, server: str, until: int, done: Done) -> None:
+    def probe(self, server: str, until: int, done: AttemptCallback) -> None:
         target = b"/_load" if self._probes_for_load else b"/ping"
         message = Request(b"GET", target, [(b"host", server.encode())])
-        self._start(Call(self._network, server, until, lambda left_us: message, done, is_probe=True))
+        self._start(Exchange(self._network, server, until, lambda left_us: message, done, is_probe=True))
 
-    def _start(self, call: Call) -> None:
+    def _start(self, call: Exchange) -> None:
         server = self._servers.get(call.server)
         left_us = call.until - self._network.now()
         if server is None or server.is_leaving or left_us <= 0:
-            self._network.call_soon(self._end, call, Outcome.UNSENT)
+            self._network.call_soon(self._end, call, Outcome.NOT_SENT)
             return
         if call.write_by is not None:
             left_us = min(left_us, max(call.write_by - self._network.now(), 0))
@@ -204,9 +209,9 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         else:
-            self._network.call_soon(self._end, call, Outcome.UNSENT)
+            self._network.call_soon(self._end, call, Outcome.NOT_SENT)
 
-    def bound(self, call: Call, until: int) -> None:
+    def bound(self, call: Exchange, until: int) -> None:
         """Give it up at another time."""
         call.until = until
         if call.timer is not None and not call.ended:
@@ -214,16 +219,16 @@
             left_us = max(until - self._network.now(), 0)
             call.timer = self._network.call_later(left_us / 1e6, self._expire, call)
 
-    def cancel(self, call: Call) -> None:
+    def cancel(self, call: Exchange) -> None:
         """Stop waiting; the outcome follows."""
         self._drop(call, Outcome.CANCELLED)
 
-    def withdraw(self, call: Call) -> None:
+    def withdraw(self, call: Exchange) -> None:
         """Write nothing for it that is not written yet."""
         if call.is_unwritten:
-            self._drop(call, Outcome.UNSENT)
+            self._drop(call, Outcome.NOT_SENT)
 
-    def _drop(self, call: Call, outcome: Outcome) -> None:
+    def _drop(self, call: Exchange, outcome: Outcome) -> None:
         if call.ended:
             return
         call.ended = True  # from here on nothing is written for it, also when a dial comes up
@@ -251,19 +256,21 @@
         for connection in list(self._owners):
             connection.close()
 
-    def _expire(self, call: Call) -> None:
-        outcome = Outcome.DIAL_FAILED if call.is_unwritten else Outcome.EXPIRED  # unwritten, it never ran
+    def _expire(self, call: Exchange) -> None:
+        outcome = (
+            Outcome.CONNECT_FAILED if call.is_unwritten else Outcome.TIMED_OUT
+        )  # unwritten, it never ran
         left_us = call.until - self._network.now()
         if call.write_by is not None and left_us > 0:
             if not call.is_unwritten:
                 call.timer = self._network.call_later(left_us / 1e6, self._expire, call)
                 return
-            outcome = Outcome.UNSENT  # its time to be written is over, which is no fault of the server
+            outcome = Outcome.NOT_SENT  # its time to be written is over, which is no fault of the server
         if call.connection is not None:
             call.connection.close()
         self._end(call, outcome)
 
-    def _end(self, call: Call, outcome: Outcome, response: Response | None = None) -> None:
+    def _end(self, call: Exchange, outcome: Outcome, response: Response | None = None) -> None:
         if call.ended:
             return
         call.ended = True
@@ -275,7 +282,7 @@
             in_body = call.is_probe and self._probes_for_load
             call.done(outcome, response, load_report(response, self._columns, in_body=in_body))
 
-    def _write(self, call: Call, connection: ClientConnection) -> None:
+    def _write(self, call: Exchange, connection: ClientConnection) -> None:
         def ended(how: Response | Failure) -> None:
             self._end(call, _outcome(how), how if isinstance(how, Response) else None)
 
@@ -293,16 +300,16 @@
 
     # Connections
 
-    async def _dial_or_end(self, call: Call, server: _Server) -> None:
+    async def _dial_or_end(self, call: Exchange, server: _Server) -> None:
         """Guards against an attempt that never ends: a defect in its dial fails it, and is told."""
         try:
             await self._dial(call, server)
         except Exception:
-            self._end(call, Outcome.DIAL_FAILED)
+            self._end(call, Outcome.CONNECT_FAILED)
             raise
 
-    async def _dial(self, call: Call, server: _Server) -> None:
-        outcome = Outcome.DIAL_FAILED
+    async def _dial(self, call: Exchange, server: _Server) -> None:
+        outcome = Outcome.CONNECT_FAILED
         connection: ClientConnection | None = None
         try:
             async with self._network.timeout(self._dial_within_s):
@@ -314,9 +321,9 @@
                 )
         except (OSError, TimeoutError) as fault:
             if isinstance(fault, ConnectionRefusedError):
-                outcome = Outcome.TURNED_DOWN
+                outcome = Outcome.CONNECTION_REFUSED
             elif isinstance(fault, OSError) and fault.errno in _OWN_FAULTS:
-                outcome = Outcome.UNSENT
+                outcome = Outcome.NOT_SENT
         finally:
             self._dialling -= 1
         if connection is None:
@@ -327,7 +334,7 @@
             call.look()
         self._write_if_allowed(call, server, connection)
 
-    def _write_if_allowed(self, call: Call, server: _Server, connection: ClientConnection) -> None:
+    def _write_if_allowed(self, call: Exchange, server: _Server, connection: ClientConnection) -> None:
         """Ask the gate and write, in one step; what may not be written ends, its connection is kept."""
         denial = send_denial(
             self._network.now(),
@@ -341,12 +348,12 @@
             self._write(call, connection)
             return
         self.denials[denial] += 1
-        if denial is Denial.CONNECTION_ENDED:
+        if denial is SendDenial.CONNECTION_ENDED:
             connection.close()
-            self._network.call_soon(self._end, call, Outcome.DIAL_FAILED)
+            self._network.call_soon(self._end, call, Outcome.CONNECT_FAILED)
         else:
             self._freed(connection)  # it is good; one to a server that leaves is closed
-            self._network.call_soon(self._end, call, Outcome.UNSENT)
+            self._network.call_soon(self._end, call, Outcome.NOT_SENT)
 
     def _has_room(self) -> bool:
         """Whether one more connection may be opened, at the price of the one that is idle for longest."""
@@ -417,11 +424,11 @@
 
 def _outcome(how: Response | Failure) -> Outcome:
     if how is Failure.UNWRITTEN:
-        return Outcome.DIAL_FAILED
+        return Outcome.CONNECT_FAILED
     if how is Failure.BROKEN:
-        return Outcome.DROPPED
+        return Outcome.CONNECTION_LOST
     if how is Failure.SPOILT:
-        return Outcome.SPOILT
+        return Outcome.MALFORMED
     if how is Failure.ABANDONED:
         return Outcome.CANCELLED
     if isinstance(how, Response):
--- a/micadeck/httpx.py
+++ b/micadeck/httpx.py
@@ -15,9 +15,13 @@
 from micadeck.http.h1 import MOST_BODY
 from micadeck.library import Answer, Micadeck
 from micadeck.library.request_validation import new_id
-from micadeck.policy.settings import Repeat
+from micadeck.policy.settings import Idempotency
 
-_REPEAT_BY_FORM = {("GET", False): Repeat.SAFE, ("POST", True): Repeat.KEYED, ("POST", False): Repeat.UNSAFE}
+_REPEAT_BY_FORM = {
+    ("GET", False): Idempotency.IDEMPOTENT,
+    ("POST", True): Idempotency.KEYED,
+    ("POST", False): Idempotency.NON_IDEMPOTENT,
+}
 
 
 class _Wording:
@@ -31,7 +35,9 @@
         self._fixed = service_class
         self._deadlines = {each.name: each.deadline_us / 1e6 for each in classes}
         # Where several classes repeat alike, nobody can tell which is meant.
-        self._only = {repeat: [each.name for each in classes if each.repeat is repeat] for repeat in Repeat}
+        self._only = {
+            repeat: [each.name for each in classes if each.repeat is repeat] for repeat in Idempotency
+        }
 
     def __call__(self, request: httpx.Request) -> list[tuple[bytes, bytes]]:
         headers = [(name.lower(), value) for name, value in request.headers.raw]
--- a/micadeck/incidents/causes.py
+++ b/micadeck/incidents/causes.py
@@ -178,9 +178,12 @@
 
 def _sickness(body: _Harm, name: str) -> str:
     counts = body.outcomes[name]
-    quick = sum(counts[each.value] for each in (Outcome.DIAL_FAILED, Outcome.TURNED_DOWN, Outcome.DROPPED))
-    errors = counts[Outcome.ERROR.value] + counts[Outcome.SPOILT.value]
-    silent = counts[Outcome.EXPIRED.value] + counts[Outcome.CANCELLED.value]
+    quick = sum(
+        counts[each.value]
+        for each in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_REFUSED, Outcome.CONNECTION_LOST)
+    )
+    errors = counts[Outcome.ERROR.value] + counts[Outcome.MALFORMED.value]
+    silent = counts[Outcome.TIMED_OUT.value] + counts[Outcome.CANCELLED.value]
     if max(quick, errors, silent) == silent:
         return "server hangs"
     return "server crashed" if quick >= errors else "server fails"
--- a/micadeck/incidents/observer.py
+++ b/micadeck/incidents/observer.py
@@ -30,20 +30,20 @@
     trimmed,
 )
 from micadeck.policy import Settings
-from micadeck.policy.actions import Action, Fail, Log, Refuse, Send, Tell
+from micadeck.policy.actions import Action, Fail, Log, Refuse, Send, SendPeerMessage
 from micadeck.policy.events import (
     AttemptEnded,
+    ClientDisconnected,
     Event,
     ListKind,
     MessageReceived,
     RequestArrived,
-    RequestGone,
     ServersListed,
     ServerState,
     SettingsChanged,
 )
 from micadeck.policy.outcomes import Outcome
-from micadeck.policy.statistics import Figures
+from micadeck.policy.statistics import BalancerStatistics
 
 MOST_TIMES = 256  # of a class in a span
 _LONGEST = (1 << 32) - 1  # of a time
@@ -71,7 +71,7 @@
     def ident(self, request: int) -> bytes:
         """The client's name for an open request."""
 
-    def figures(self) -> Figures:
+    def figures(self) -> BalancerStatistics:
         """How the decisions stand."""
 
 
@@ -258,7 +258,7 @@
             told = {line.server for line in event.servers}
             for name, server in self._servers.items():
                 if name not in told and server.state not in ("gone", "unknown"):
-                    self._held(now, name, ServerState.GONE.value, "list")
+                    self._held(now, name, ServerState.REMOVED.value, "list")
 
     def _told(self, now: int, text: str) -> None:
         """The decisions' own words: a test holds that they still have them."""
@@ -330,7 +330,7 @@
 
 _HEARD: dict[type[Any], Callable[[Observer, int, Any], None]] = {
     ServersListed: Observer._listed,
-    RequestGone: lambda observer, now, event: observer._end(now, event.request, "gone"),
+    ClientDisconnected: lambda observer, now, event: observer._end(now, event.request, "gone"),
     MessageReceived: lambda observer, now, event: observer._message(now, event.payload, was_heard=True),
     SettingsChanged: lambda observer, _, event: observer._take_up(event.settings),
 }
@@ -338,5 +338,5 @@
     Refuse: lambda observer, now, action: observer._end(now, action.request, "refused"),
     Fail: lambda observer, now, action: observer._end(now, action.request, "failed"),
     Log: lambda observer, now, action: observer._told(now, action.text),
-    Tell: lambda observer, now, action: observer._message(now, action.payload, was_heard=False),
+    SendPeerMessage: lambda observer, now, action: observer._message(now, action.payload, was_heard=False),
 }
--- a/micadeck/incidents/series.py
+++ b/micadeck/incidents/series.py
@@ -18,7 +18,7 @@
 from micadeck.policy.outcomes import Outcome
 
 BIN_US = 1_000_000
-_DELIVERED, _REJECTED, _UNSENT = map(OUTCOMES.index, (Outcome.DELIVERED, Outcome.REJECTED, Outcome.UNSENT))
+_DELIVERED, _REJECTED, _UNSENT = map(OUTCOMES.index, (Outcome.DELIVERED, Outcome.REJECTED, Outcome.NOT_SENT))
 
 Counts = npt.NDArray[np.float64]
 
--- a/micadeck/library/answer.py
+++ b/micadeck/library/answer.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from micadeck.engine import Cause
+from micadeck.engine import FailureCause
 from micadeck.http import error_responses
 from micadeck.http.h1 import Headers, Response
 
@@ -56,9 +56,9 @@
 
 
 _REASONS = {
-    Cause.SERVERS: "no server gave an answer that can be used",
-    Cause.TIME: "no answer came in time",
-    Cause.DEFECT: "the balancer went wrong",
+    FailureCause.SERVERS: "no server gave an answer that can be used",
+    FailureCause.TIME: "no answer came in time",
+    FailureCause.DEFECT: "the balancer went wrong",
 }
 
 
@@ -71,7 +71,7 @@
     return Answer(Kind.REFUSED, *error_responses.refused(retry_after_us), reason, retry_after_s=advice)
 
 
-def failed(cause: Cause, may_have_run: bool, reason: str = "") -> Answer:
+def failed(cause: FailureCause, may_have_run: bool, reason: str = "") -> Answer:
     worded = error_responses.failed(cause)
     return Answer(Kind.FAILED, *worded, reason or _REASONS[cause], may_have_run=may_have_run)
 
@@ -87,5 +87,7 @@
     A refusal stays one: that the request never ran does not change with time.
     """
     if is_late and answer.kind is Kind.SERVED:
-        return failed(Cause.TIME, may_have_run=True, reason="it was served, but taken up after its time")
+        return failed(
+            FailureCause.TIME, may_have_run=True, reason="it was served, but taken up after its time"
+        )
     return answer
--- a/micadeck/library/background_loop.py
+++ b/micadeck/library/background_loop.py
@@ -11,15 +11,15 @@
 import uvloop
 
 from micadeck.config import Config
-from micadeck.engine import Cause, IdInUse
+from micadeck.engine import FailureCause, RequestIdInUseError
 from micadeck.http.h1 import Response
-from micadeck.http.request_validation import Incoming
+from micadeck.http.request_validation import ValidatedRequest
 from micadeck.library import answer as answers
 from micadeck.library.answer import Answer
-from micadeck.library.engine import WaiterFirstEngine
-from micadeck.library.loop_inbox import Mailbox
+from micadeck.library.engine import HandlerFirstEngine
+from micadeck.library.loop_inbox import LoopInbox
 from micadeck.network import LoopNetwork
-from micadeck.operations import Life, Phase
+from micadeck.operations import Lifecycle, Phase
 from micadeck.sidecar import Core
 
 _JOIN_SPARE_S = 1.0  # beyond the longest deadline, for the thread to end
@@ -38,7 +38,9 @@
 
     __slots__ = ("_deliver", "_worker", "due", "incoming", "number")
 
-    def __init__(self, worker: Worker, incoming: Incoming, deliver: Callable[[Answer], object]) -> None:
+    def __init__(
+        self, worker: BackgroundLoop, incoming: ValidatedRequest, deliver: Callable[[Answer], object]
+    ) -> None:
         self._worker = worker
         self._deliver = deliver  # called on the engine's thread, once; must not block
         self.incoming = incoming
@@ -53,7 +55,7 @@
     def refused(self, retry_after_us: int) -> None:
         self.end(answers.refused(retry_after_us))
 
-    def failed(self, cause: Cause, may_have_run: bool) -> None:
+    def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         self.end(answers.failed(cause, may_have_run))
 
     # What both sides call
@@ -64,20 +66,20 @@
             self._deliver(answer)
 
 
-class Worker:
+class BackgroundLoop:
     """A core on a thread of its own.  All but `_main` and what it names runs on any thread."""
 
     def __init__(self, config: Config, log: Callable[[str], None]) -> None:
         self._config = config
         self._log = log
         self._pid = os.getpid()
-        self._life = Life()
+        self._life = Lifecycle()
         self._fault: BaseException | None = None
         # To take a call out of one of these decides a race between threads: `pop` is atomic.
         self._owed: dict[Call, None] = {}  # its answer; who takes it out delivers that
         self._handed: dict[Call, None] = {}  # not yet to the engine; who takes it out decides if it runs
         self._core: Core | None = None
-        self._inbox: Mailbox | None = None
+        self._inbox: LoopInbox | None = None
         self._drain: asyncio.Event | None = None
         self._is_up = threading.Event()
         self._on_end: list[Callable[[], object]] = []
@@ -107,7 +109,7 @@
         """Whether this process is the one that the thread runs in."""
         return os.getpid() == self._pid
 
-    def call(self, incoming: Incoming, deliver: Callable[[Answer], object]) -> Call:
+    def call(self, incoming: ValidatedRequest, deliver: Callable[[Answer], object]) -> Call:
         """A request to submit; its time runs from here on."""
         if not self.is_here:
             raise ForkedError(
@@ -137,7 +139,7 @@
         never_ran = self._take_back(call)
         if not never_ran and self._inbox is not None:
             self._inbox.post(self._gone, call)
-        return answers.failed(Cause.DEFECT, not never_ran, "the balancer's thread gave no answer")
+        return answers.failed(FailureCause.DEFECT, not never_ran, "the balancer's thread gave no answer")
 
     def forget(self, call: Call) -> bool:
         """Owe this call nothing from here on; whether it was still owed its answer."""
@@ -171,7 +173,7 @@
         if self._fault is None:
             call.end(answers.refused(0, "the balancer is closed"))
         else:
-            call.end(answers.failed(Cause.DEFECT, False, self._epitaph()))
+            call.end(answers.failed(FailureCause.DEFECT, False, self._epitaph()))
 
     def _epitaph(self) -> str:
         return f"the balancer's thread ended: {self._fault!r}"
@@ -191,7 +193,7 @@
                 if self._take_back(call):
                     self._end_unrun(call)
                 else:
-                    call.end(answers.failed(Cause.DEFECT, True, self._epitaph()))
+                    call.end(answers.failed(FailureCause.DEFECT, True, self._epitaph()))
             self._is_up.set()
             self._tell_end()
 
@@ -202,9 +204,9 @@
     async def _main(self) -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._unhandled)
-        core = Core(self._config, LoopNetwork(), self._log, WaiterFirstEngine)
+        core = Core(self._config, LoopNetwork(), self._log, HandlerFirstEngine)
         await core.start()
-        self._inbox, self._drain, self._core = Mailbox(loop), asyncio.Event(), core
+        self._inbox, self._drain, self._core = LoopInbox(loop), asyncio.Event(), core
         self._life.started(0.0)
         self._is_up.set()
         try:
@@ -225,7 +227,7 @@
         call.incoming.remaining_us = max(call.due - self._core.network.now(), 1)
         try:
             call.number = self._core.engine.take(call.incoming, call)
-        except IdInUse:
+        except RequestIdInUseError:
             call.end(answers.rejected(409, "request-id is that of an open request"))
 
     def _gone(self, call: Call) -> None:
--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -14,29 +14,29 @@
 from typing import Any
 
 from micadeck.config import Config, ConfigError, parse
-from micadeck.http.request_validation import BadRequest, Incoming
+from micadeck.http.request_validation import BadRequestError, ValidatedRequest
 from micadeck.library import answer as answers
 from micadeck.library.answer import Answer
-from micadeck.library.background_loop import NotStartedError, Worker
+from micadeck.library.background_loop import BackgroundLoop, NotStartedError
 from micadeck.library.loglines import LogLines
-from micadeck.library.loop_inbox import Mailbox
+from micadeck.library.loop_inbox import LoopInbox
 from micadeck.library.request_validation import Malformed, Reader, Wanted, read_wanted
 
 _SILENT_S = 1.0  # past a request's time without an answer from the engine: it is failed for it
 _LOG_WITHIN_S = 0.5
 
 # A mailbox for each event loop of the host's, whichever balancer answers there.
-_mailboxes: dict[asyncio.AbstractEventLoop, Mailbox] = {}
+_mailboxes: dict[asyncio.AbstractEventLoop, LoopInbox] = {}
 
 
-def _mailbox(loop: asyncio.AbstractEventLoop) -> Mailbox:
+def _mailbox(loop: asyncio.AbstractEventLoop) -> LoopInbox:
     found = _mailboxes.get(loop)
     if found is None:
         # Guards against growth in a host that runs one short-lived loop after another.
         for other in list(_mailboxes):
             if other.is_closed():
                 _mailboxes.pop(other, None)
-        found = _mailboxes[loop] = Mailbox(loop)
+        found = _mailboxes[loop] = LoopInbox(loop)
     return found
 
 
@@ -80,7 +80,7 @@
         self._reader = Reader(self._config.settings)
         self._own_log = LogLines(logging.getLogger("micadeck")) if log is None else None
         self._log = log or self._own_log
-        self._worker: Worker | None = None
+        self._worker: BackgroundLoop | None = None
         self._starting = threading.Lock()
 
     # Start and end
@@ -93,7 +93,7 @@
         with self._starting:
             if self._worker is None:
                 assert self._log is not None
-                worker = Worker(self._config, self._log)
+                worker = BackgroundLoop(self._config, self._log)
                 worker.start()
                 self._worker = worker
                 # Otherwise an interpreter that exits would cut what is under way.
@@ -243,25 +243,25 @@
 
     def _read(
         self, method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes
-    ) -> Incoming | Answer:
+    ) -> ValidatedRequest | Answer:
         """A request that can be submitted, or the answer to what is none."""
         try:
             return self._reader.read(method, target, headers, body)
-        except BadRequest as fault:
+        except BadRequestError as fault:
             # An answer to HEAD has no body, whatever it says.
             with_body = method != b"HEAD" and not isinstance(fault, Malformed)
             return answers.rejected(fault.status, str(fault), with_body=with_body)
 
-    def _read_wanted(self, service_class: str, wanted: Wanted) -> Incoming | Answer:
+    def _read_wanted(self, service_class: str, wanted: Wanted) -> ValidatedRequest | Answer:
         kind = self._reader.classes.get(service_class)
         if kind is None:
             return answers.rejected(400, "request-class is unknown")
         try:
             return read_wanted(self._reader, kind, wanted)
-        except BadRequest as fault:
+        except BadRequestError as fault:
             return answers.rejected(fault.status, str(fault))
 
-    def _running(self) -> Worker:
+    def _running(self) -> BackgroundLoop:
         if self._worker is None:
             raise NotStartedError("start the balancer first, by `with`, `async with` or start()")
         return self._worker
@@ -272,7 +272,7 @@
         future.set_result(answer)
 
 
-async def _ask(worker: Worker, incoming: Incoming) -> Answer:
+async def _ask(worker: BackgroundLoop, incoming: ValidatedRequest) -> Answer:
     loop = asyncio.get_running_loop()
     mailbox = _mailbox(loop)
     future: asyncio.Future[Answer] = loop.create_future()
@@ -296,7 +296,7 @@
     return answers.in_time(answer, worker.now() > call.due)
 
 
-def _wait(worker: Worker, incoming: Incoming) -> Answer:
+def _wait(worker: BackgroundLoop, incoming: ValidatedRequest) -> Answer:
     ready = threading.Event()
     got: list[Answer] = []
 
--- a/micadeck/library/engine.py
+++ b/micadeck/library/engine.py
@@ -11,7 +11,7 @@
 _PAUSE_US = 1_000
 
 
-class WaiterFirstEngine(Engine):
+class HandlerFirstEngine(Engine):
     """Lets a waiter run before the decisions hear of the attempt that served it.
 
     While requests come with pauses between, they hear a millisecond later, or right before the next event,
--- a/micadeck/library/loop_inbox.py
+++ b/micadeck/library/loop_inbox.py
@@ -10,7 +10,7 @@
 _LOOK_AGAIN_S = 0.25
 
 
-class Mailbox:
+class LoopInbox:
     """One loop's mailbox.  However much is posted while the loop is busy, it is woken once."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/micadeck/library/request_validation.py
+++ b/micadeck/library/request_validation.py
@@ -9,9 +9,9 @@
 
 from micadeck.http.framing import MOST_HEAD, MOST_HEADERS
 from micadeck.http.h1 import MOST_BODY, Headers, Request
-from micadeck.http.request_validation import BadRequest, Incoming, key_of, read_request
-from micadeck.http.settings_versions import Generations
-from micadeck.policy.settings import Repeat, ServiceClass, Settings
+from micadeck.http.request_validation import BadRequestError, ValidatedRequest, key_of, read_request
+from micadeck.http.settings_versions import SettingsVersions
+from micadeck.policy.settings import Idempotency, ServiceClass, Settings
 
 _NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _VALUE = re.compile(rb"[\t -~\x80-\xff]*")
@@ -22,7 +22,7 @@
 _PLAIN_SIZE = 2_048  # of a target; with the other texts far under what a head may be
 
 
-class Malformed(BadRequest):
+class Malformed(BadRequestError):
     """What the daemon's parser would not get through; it answers such without a word in the body."""
 
 
@@ -30,13 +30,13 @@
     """Checks requests as the daemon does, without the bytes on a wire between."""
 
     def __init__(self, settings: Settings) -> None:
-        self._generations = Generations(settings)
+        self._generations = SettingsVersions(settings)
         self.classes: Mapping[str, ServiceClass] = {each.name: each for each in settings.classes}
         self.tenants = frozenset(each.name for each in settings.tenants)
 
     def read(
         self, method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes
-    ) -> Incoming:
+    ) -> ValidatedRequest:
         """Check a request; raise BadRequest, with the status that the daemon would answer, on nonsense."""
         given: Headers = []
         size = len(method) + len(target)
@@ -82,7 +82,7 @@
     host: str = "localhost"
 
 
-def read_wanted(reader: Reader, kind: ServiceClass, wanted: Wanted) -> Incoming:
+def read_wanted(reader: Reader, kind: ServiceClass, wanted: Wanted) -> ValidatedRequest:
     """Check what a host wants of this class; raise BadRequest as `Reader.read` does."""
     plain = _plain(reader, kind, wanted)
     if plain is not None:
@@ -107,14 +107,14 @@
         *wanted.headers,
     ]
     headers = [(_bytes(name), _bytes(value)) for name, value in given if value is not None]
-    return b"GET" if kind.repeat is Repeat.SAFE else b"POST", _bytes(wanted.target), headers
+    return b"GET" if kind.repeat is Idempotency.IDEMPOTENT else b"POST", _bytes(wanted.target), headers
 
 
 def _bytes(text: str) -> bytes:
     return text.encode("latin-1", "replace")
 
 
-def _plain(reader: Reader, kind: ServiceClass, wanted: Wanted) -> Incoming | None:
+def _plain(reader: Reader, kind: ServiceClass, wanted: Wanted) -> ValidatedRequest | None:
     """The same as `worded` and `Reader.read` together, for the requests that most are; None for others.
 
     Nothing is refused here.  A test holds the two ways against one another.
@@ -126,7 +126,7 @@
         or wanted.client_retry
         or len(wanted.body) > MOST_BODY
         or len(wanted.target) > _PLAIN_SIZE
-        or (key is not None) != (kind.repeat is Repeat.KEYED)
+        or (key is not None) != (kind.repeat is Idempotency.KEYED)
         or not (timeout is None or 0.001 <= timeout <= 99_999.0)
         or not _PLAIN_TARGET.fullmatch(wanted.target)
     ):
@@ -141,10 +141,10 @@
         headers.append((b"tenant", wanted.tenant.encode()))
     if key is not None:
         headers.append((b"idempotency-key", key.encode()))
-    is_safe = kind.repeat is Repeat.SAFE
+    is_safe = kind.repeat is Idempotency.IDEMPOTENT
     if wanted.body or not is_safe:
         headers.append((b"content-length", b"%d" % len(wanted.body)))
-    return Incoming(
+    return ValidatedRequest(
         service_class=kind.name,
         tenant=wanted.tenant if wanted.tenant in reader.tenants else None,
         key=key_of(target),
--- a/micadeck/membership/__main__.py
+++ b/micadeck/membership/__main__.py
@@ -13,10 +13,10 @@
 from rich.console import Console
 from rich.table import Table
 
-from micadeck.engine import Listing
+from micadeck.engine import EndpointUpdate
 from micadeck.membership.consul import Agents, ConsulClient, ConsulError
 from micadeck.membership.consul.config import ConsulConfig, ConsulConfigError, load
-from micadeck.membership.sources import Sources
+from micadeck.membership.sources import EndpointSources
 from micadeck.network import LoopNetwork, place
 
 _WITHIN_S = 5.0
@@ -31,8 +31,8 @@
         self._config = config
         self._console = Console(width=None if sys.stdout.isatty() else _WIDE, highlight=False)
         self._news = asyncio.Event()
-        self.sources = Sources(
-            self._network, None, Listing(0, True, ()), config, 0, "show", self._told, greets=False
+        self.sources = EndpointSources(
+            self._network, None, EndpointUpdate(0, True, ()), config, 0, "show", self._told, greets=False
         )
 
     def _told(self, line: str) -> None:
--- a/micadeck/membership/consul/config.py
+++ b/micadeck/membership/consul/config.py
@@ -14,7 +14,7 @@
 from micadeck.keys import key_and_text
 from micadeck.membership.consul.protocol import Ask, Mode
 from micadeck.membership.consul.states import Names
-from micadeck.membership.endpoint_merge import Trust
+from micadeck.membership.endpoint_merge import SourceTrust
 from micadeck.network import Address, parse_address
 
 _HOURS = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])-([01][0-9]|2[0-3]):([0-5][0-9])")
@@ -36,7 +36,7 @@
     name: str
     ask: Ask
     names: Names
-    trust: Trust
+    trust: SourceTrust
     of_catalog: bool = False  # read from the catalogue, which tells no health
 
 
@@ -162,7 +162,7 @@
             tagged=given.tagged_address,
             in_zone=given.zone,
         ),
-        trust=Trust(
+        trust=SourceTrust(
             keep_s=given.keep_s,
             doubt_s=given.doubt_s,
             in_use=given.in_use,
--- a/micadeck/membership/consul/view.py
+++ b/micadeck/membership/consul/view.py
@@ -16,15 +16,15 @@
 from micadeck.membership.consul.entries import parse_catalog, parse_health
 from micadeck.membership.consul.protocol import ConsulError
 from micadeck.membership.consul.states import Health, Names, Restarts, Word, more_cautious, word_of
-from micadeck.membership.endpoint_merge import Caution, Sighting
+from micadeck.membership.endpoint_merge import Observation, Precedence
 from micadeck.network import Address
 
 ENTRIES_AT_ONCE = 32
 _MOST_TOLD = 5  # doubts that are put in words
 _CAUTIONS = {
-    Health.READY: Caution.READY,
-    Health.DOUBTFUL: Caution.DOUBTFUL,
-    Health.DRAINS: Caution.DRAINS,
+    Health.READY: Precedence.READY,
+    Health.DOUBTFUL: Precedence.DOUBTFUL,
+    Health.DRAINS: Precedence.DRAINS,
 }
 _LIST = msgspec.json.Decoder(list[msgspec.Raw])
 
@@ -35,7 +35,7 @@
 
     is_whole: bool
     count: int  # entries in the answer
-    sightings: Iterator[Sighting]  # worked out as they are taken: to be used up before the next answer
+    sightings: Iterator[Observation]  # worked out as they are taken: to be used up before the next answer
     gone: list[Address]
     addresses: Set[Address]  # all that the answer lists
     doubts: tuple[str, ...]  # entries that were left out or contradict one another, in words
@@ -115,7 +115,7 @@
         self._restarts.left(gone)
         return News(is_whole, len(reading.entries), sightings, gone, self._at.keys(), self._doubts())
 
-    def _sightings(self, now: int, touched: list[Address]) -> Iterator[Sighting]:
+    def _sightings(self, now: int, touched: list[Address]) -> Iterator[Observation]:
         for address in touched:
             word = more_cautious(self._at[address].values())
             yield _sighting(word, self._restarts.heard(now, word))
@@ -132,8 +132,8 @@
         return (*doubts[:_MOST_TOLD], *([f"and {more} more"] if more > 0 else []))
 
 
-def _sighting(word: Word, started_at: int | None) -> Sighting:
-    return Sighting(
+def _sighting(word: Word, started_at: int | None) -> Observation:
+    return Observation(
         address=word.address,
         caution=_CAUTIONS[word.health],
         why=word.why,
--- a/micadeck/membership/discovery_client.py
+++ b/micadeck/membership/discovery_client.py
@@ -16,7 +16,7 @@
 
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import Request, Response
-from micadeck.membership.watch_health import DIAL_WITHIN_S, Patience
+from micadeck.membership.watch_health import DIAL_WITHIN_S, ResponseTimeout
 from micadeck.network import Address, Network
 
 _PATH = "/catalog/members"
@@ -26,11 +26,11 @@
 L = TypeVar("L")
 
 
-class CallFailed(Exception):
+class DiscoveryCallError(Exception):
     """Discovery did not answer a call, or not with a list."""
 
 
-class Calls(Generic[L]):
+class DiscoveryClient(Generic[L]):
     """Calls one after another, over one connection as long as it answers in time.
 
     Whatever comes, `call` ends by `until_s`; when it ends, at most one connection is open.
@@ -51,7 +51,9 @@
         self._drop_all()
         self._line.close()
 
-    async def call(self, after: int | None, patience: Patience, told: Callable[[L], None]) -> tuple[L, bool]:
+    async def call(
+        self, after: int | None, patience: ResponseTimeout, told: Callable[[L], None]
+    ) -> tuple[L, bool]:
         """The list as it is now, or what changed since `after`, and whether that was an answer of the watch.
 
         `told` takes what came of the whole list while a call of the watch is still out.  Raise CallFailed
@@ -61,7 +63,7 @@
         began = self._network.time()
         due = began + patience.late_s
         in_line = patience.in_line  # whether a call of the watch may wait for its turn
-        fault = CallFailed("no answer")
+        fault = DiscoveryCallError("no answer")
         while self._out:
             left_s = max(due - self._network.time(), 0.0)
             ended, _ = await asyncio.wait(self._out, timeout=left_s, return_when=asyncio.FIRST_COMPLETED)
@@ -69,7 +71,7 @@
                 line = self._out.pop(each)
                 if each.exception() is not None:
                     line.close()
-                    fault = CallFailed(str(each.exception()))
+                    fault = DiscoveryCallError(str(each.exception()))
                 elif line.is_watch or not any(other.is_watch for other in self._out.values()):
                     self._line = line
                     self._drop_all()
@@ -92,7 +94,7 @@
             line.close()
         self._out.clear()
 
-    def _ask_beside(self, after: int | None, patience: Patience) -> None:
+    def _ask_beside(self, after: int | None, patience: ResponseTimeout) -> None:
         if len(self._out) >= patience.at_once:
             if not patience.drops_newest:
                 return
@@ -101,7 +103,7 @@
             line.close()
         self._begin(self._fresh(), after, patience.again())
 
-    def _begin(self, line: _Line[L], after: int | None, patience: Patience) -> None:
+    def _begin(self, line: _Line[L], after: int | None, patience: ResponseTimeout) -> None:
         work = line.call(after, patience.wait_ms, patience.within_s)
         line.is_watch = after is not None
         self._out[self._network.spawn(work)] = line
@@ -127,13 +129,13 @@
             async with self._network.timeout(within_s):
                 response = await self._get(target.encode(), within_s)
         except (OSError, TimeoutError) as fault:
-            raise CallFailed(str(fault)) from None
+            raise DiscoveryCallError(str(fault)) from None
         if isinstance(response, Failure) or response.status != 200:
-            raise CallFailed("no list")
+            raise DiscoveryCallError("no list")
         try:
             return self._parse(response.body)
         except ValueError as nonsense:
-            raise CallFailed(str(nonsense)) from None
+            raise DiscoveryCallError(str(nonsense)) from None
 
     async def _get(self, target: bytes, within_s: float) -> Response | Failure:
         if self._connection is None or not self._connection.is_usable():
--- a/micadeck/membership/discovery_watcher.py
+++ b/micadeck/membership/discovery_watcher.py
@@ -8,20 +8,20 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from micadeck.engine import Entry, Listing
-from micadeck.membership.discovery_client import CallFailed, Calls
-from micadeck.membership.watch_health import Vigil
+from micadeck.engine import EndpointEntry, EndpointUpdate
+from micadeck.membership.discovery_client import DiscoveryCallError, DiscoveryClient
+from micadeck.membership.watch_health import WatchHealth
 from micadeck.network import Address, Network, Timer, parse_address
 from micadeck.policy.events import ListedServer, ServerState
 
-_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
 _MOST_CALLS = 8  # at once; more fail unasked
 # Of a list, counted before it is read: each may cost 100 bytes as an object, also where it takes three bytes
 # of the list.  A list of 3,200 servers has 55,000.
 _MOST_VALUES = 160_000
 
 
-def parse_listing(given: object) -> Listing:
+def parse_listing(given: object) -> EndpointUpdate:
     """Read a list of servers in discovery's form; raise ValueError on nonsense."""
     if not isinstance(given, dict):
         raise ValueError("an object is needed")
@@ -32,10 +32,10 @@
         raise ValueError(f"full: true or false is needed, not {full!r:.60}")
     if not isinstance(servers, list):
         raise ValueError(f"servers: a list is needed, not {servers!r:.60}")
-    return Listing(version, full, tuple(_entry(each) for each in servers))
+    return EndpointUpdate(version, full, tuple(_entry(each) for each in servers))
 
 
-def _entry(given: object) -> Entry:
+def _entry(given: object) -> EndpointEntry:
     if not isinstance(given, dict):
         raise ValueError("servers: an object is needed for each")
     name = given.get("id")
@@ -45,7 +45,7 @@
         state = _STATES[given["state"]]
     except (KeyError, TypeError):
         raise ValueError(f"servers: unknown state {given.get('state')!r:.60} of {name:.60}") from None
-    address = None if state is ServerState.GONE else parse_address(given.get("addr"))
+    address = None if state is ServerState.REMOVED else parse_address(given.get("addr"))
     started_ms = _number(given, "started_ms", 0)
     listed = ListedServer(
         server=name,
@@ -56,7 +56,7 @@
         nominal=_number(given, "weight", 1.0),
         started_at=int(started_ms * 1_000) or None,
     )
-    return Entry(listed, address)
+    return EndpointEntry(listed, address)
 
 
 def _check_values(body: bytes) -> None:
@@ -84,7 +84,7 @@
     return value
 
 
-class Roster:
+class DiscoveryWatcher:
     """Calls to discovery.  Every `follow` and `fetch` is answered by one call of `on_list` or `on_failed`."""
 
     def __init__(
@@ -103,12 +103,12 @@
         self._address = address
         self._version = version
         self._pushed = pushed
-        self._vigil = Vigil(allowed_us, random.Random(seed), is_pushed=pushed, grace_us=grace_us)
+        self._vigil = WatchHealth(allowed_us, random.Random(seed), is_pushed=pushed, grace_us=grace_us)
         self._log = log
         self._told_nonsense = False  # since the last list that could be read
         self._renewal: Timer | None = None
         self._wants_whole = False  # whether the watch begins with the whole list
-        self._on_list: Callable[[Listing], None] = _ignore
+        self._on_list: Callable[[EndpointUpdate], None] = _ignore
         self._on_failed: Callable[[], None] = _ignore_nothing
         self._is_followed = pushed
         self._changes = 0  # of what is known, so far
@@ -117,7 +117,7 @@
         self._fetches: set[asyncio.Task[None]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def start(self, on_list: Callable[[Listing], None], on_failed: Callable[[], None]) -> None:
+    def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None:
         """Where lists are pushed, the agent's are heard from the start on, unasked."""
         self._on_list, self._on_failed = on_list, on_failed
         if self._pushed:
@@ -218,7 +218,7 @@
         calls, changes = self._calls(), self._changes
         try:
             listing, _ = await calls.call(None, self._vigil.first, _ignore)
-        except CallFailed:
+        except DiscoveryCallError:
             self._on_failed()
         else:
             if self._version is not None and listing.version > self._version:
@@ -230,7 +230,7 @@
     async def _follow(self) -> None:
         try:
             await self._watch_on()
-        except CallFailed:
+        except DiscoveryCallError:
             self._watch = None
             self._on_failed()
 
@@ -238,7 +238,7 @@
         while True:
             try:
                 await self._watch_on()
-            except CallFailed:
+            except DiscoveryCallError:
                 await self._network.sleep(self._vigil.waiting.apart_s)  # nobody else asks again
 
     async def _watch_on(self) -> None:
@@ -249,7 +249,7 @@
                 changes = self._changes
                 after = None if self._wants_whole else self._version
 
-                def told(listing: Listing, changes: int = changes) -> None:
+                def told(listing: EndpointUpdate, changes: int = changes) -> None:
                     self._heard(listing, changes)
 
                 listing, goes_on = await calls.call(after, patience, told)
@@ -264,10 +264,10 @@
         finally:
             calls.close()
 
-    def _calls(self) -> Calls[Listing]:
-        return Calls(self._network, self._address, self._read)
+    def _calls(self) -> DiscoveryClient[EndpointUpdate]:
+        return DiscoveryClient(self._network, self._address, self._read)
 
-    def _read(self, body: bytes) -> Listing:
+    def _read(self, body: bytes) -> EndpointUpdate:
         """Read an answer; of many in a row that can't be read, the first is told."""
         try:
             _check_values(body)
@@ -280,7 +280,7 @@
         self._told_nonsense = False
         return listing
 
-    def _heard(self, listing: Listing, changes: int) -> None:
+    def _heard(self, listing: EndpointUpdate, changes: int) -> None:
         """Take over an answer to a call that began when so many changes were known.
 
         Guards against a list that was overtaken: a fetch and a watch run side by side, and the one that began
@@ -288,7 +288,7 @@
         """
         known = self._version
         if changes != self._changes and known is not None and listing.version < known:
-            listing = Listing(known, False, ())
+            listing = EndpointUpdate(known, False, ())
         else:
             self._version = listing.version
             self._changes += 1
--- a/micadeck/membership/endpoint_merge.py
+++ b/micadeck/membership/endpoint_merge.py
@@ -34,13 +34,13 @@
 from dataclasses import dataclass, field, replace
 from enum import IntEnum, unique
 
-from micadeck.engine import Entry, Listing
+from micadeck.engine import EndpointEntry, EndpointUpdate
 from micadeck.network import Address, place
 from micadeck.policy.events import ListedServer, ServerState
 
 
 @unique
-class Caution(IntEnum):
+class Precedence(IntEnum):
     """How much a word keeps from a server: the higher one holds."""
 
     READY = 0
@@ -49,11 +49,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sighting:
+class Observation:
     """What one source says of one server."""
 
     address: Address
-    caution: Caution
+    caution: Precedence
     why: str = ""
     name: str = ""  # the source's own id of it; empty: named by its address
     zone: str = ""
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trust:
+class SourceTrust:
     """What a source's word is worth; times in seconds."""
 
     keep_s: float = 3_600.0  # its list holds for so long without an answer
@@ -76,7 +76,7 @@
     lent: Callable[[float], bool] | None = None  # whether its nodes are lent at this Unix time; None: its own
 
 
-TO_THE_LETTER = Trust(keep_s=float("inf"), doubt_s=0.0, in_use=0.0, flaps=1 << 30)
+TO_THE_LETTER = SourceTrust(keep_s=float("inf"), doubt_s=0.0, in_use=0.0, flaps=1 << 30)
 """For a source whose every word is meant: nothing of it is doubted, damped or outlived."""
 
 _Key = tuple[int, Address]  # a doubtful server's place in the order in which they are put to use
@@ -86,33 +86,33 @@
 class _Seen:
     """One server, as one source has told of it so far."""
 
-    sighting: Sighting
+    sighting: Observation
     key: _Key
     drained_as_of: float | None = None  # since when, in the source's own time; None: it is not draining
     turns: deque[float] = field(default_factory=deque)  # when it turned from ready, or back to it
     is_listed: bool = True
     vouched_until: float | None = None  # of one no more listed: None: for as long as anybody lists it
-    held_back: Sighting | None = None  # a word too old to undo the drain
-    counted: Caution | None = None  # as what it is counted in its source
+    held_back: Observation | None = None  # a word too old to undo the drain
+    counted: Precedence | None = None  # as what it is counted in its source
 
-    def word(self, trust: Trust, now: float) -> Sighting:
+    def word(self, trust: SourceTrust, now: float) -> Observation:
         """The source's word on it, damped."""
         sighting = self.sighting
         if not self.is_listed:
             return replace(
-                sighting, caution=Caution.DRAINS, why=f"no more listed ({sighting.why or 'ready'})"
+                sighting, caution=Precedence.DRAINS, why=f"no more listed ({sighting.why or 'ready'})"
             )
         while self.turns and now - self.turns[0] > trust.flap_s:
             self.turns.popleft()
-        if sighting.caution is Caution.READY and len(self.turns) >= trust.flaps:
-            return replace(sighting, caution=Caution.DOUBTFUL, why=f"flapping: {len(self.turns)} turns")
+        if sighting.caution is Precedence.READY and len(self.turns) >= trust.flaps:
+            return replace(sighting, caution=Precedence.DOUBTFUL, why=f"flapping: {len(self.turns)} turns")
         return sighting
 
 
 class _Source:
     """One source's servers, and how many of them are fit for use."""
 
-    def __init__(self, trust: Trust) -> None:
+    def __init__(self, trust: SourceTrust) -> None:
         self.trust = trust
         self.seen: dict[Address, _Seen] = {}
         self.listed = 0
@@ -132,10 +132,10 @@
         seen.counted = seen.word(self.trust, now).caution if is_kept else None
         if before is seen.counted:
             return
-        self._ready += (seen.counted is Caution.READY) - (before is Caution.READY)
-        if before is Caution.DOUBTFUL:
+        self._ready += (seen.counted is Precedence.READY) - (before is Precedence.READY)
+        if before is Precedence.DOUBTFUL:
             del self._doubtful[bisect_left(self._doubtful, seen.key)]
-        if seen.counted is Caution.DOUBTFUL:
+        if seen.counted is Precedence.DOUBTFUL:
             insort(self._doubtful, seen.key)
 
     def settle(self) -> list[Address]:
@@ -154,17 +154,17 @@
         ]
         return [address for _, address in self._doubtful[min(ends) : max(ends)]]
 
-    def word(self, seen: _Seen, now: float) -> Sighting:
+    def word(self, seen: _Seen, now: float) -> Observation:
         """What it says of a server, with what its trust makes of it."""
         word = seen.word(self.trust, now)
         if not seen.is_listed:
             return word
         if self.is_silent:
-            return replace(word, caution=Caution.DRAINS, why="its source is silent for too long")
+            return replace(word, caution=Precedence.DRAINS, why="its source is silent for too long")
         if not self.is_lent:
-            return replace(word, caution=Caution.DRAINS, why="not lent at this hour")
-        if word.caution is Caution.DOUBTFUL and self._border is not None and seen.key <= self._border:
-            return replace(word, caution=Caution.READY, why=f"in use though {word.why}: too many are")
+            return replace(word, caution=Precedence.DRAINS, why="not lent at this hour")
+        if word.caution is Precedence.DOUBTFUL and self._border is not None and seen.key <= self._border:
+            return replace(word, caution=Precedence.READY, why=f"in use though {word.why}: too many are")
         return word
 
 
@@ -175,10 +175,10 @@
     name: str
     address: Address
     state: ServerState
-    says: tuple[tuple[str, Caution, str], ...]  # source, its word, why
+    says: tuple[tuple[str, Precedence, str], ...]  # source, its word, why
 
 
-class Merge:
+class EndpointMerge:
     """The sources of one sidecar and the list that they make together.
 
     Times are seconds of Unix time that do not step back.  `salt` differs between sidecars, so that they do
@@ -188,22 +188,22 @@
     def __init__(self, salt: int = 0) -> None:
         self._salt = salt
         self._sources: dict[str, _Source] = {}
-        self._told: dict[Address, Entry] = {}
+        self._told: dict[Address, EndpointEntry] = {}
         self._owners: dict[str, Address] = {}  # by name, of what was told
-        self._orphans: list[Entry] = []  # told under names that are no server's here
+        self._orphans: list[EndpointEntry] = []  # told under names that are no server's here
         self._urgent: dict[Address, None] = {}  # may have changed, and for the worse
         self._dirty: dict[Address, None] = {}  # may have changed
         self._due: list[tuple[float, str, Address]] = []  # what time alone changes, soonest first
         self.version = 0
 
-    def add(self, source: str, trust: Trust | None = None) -> None:
-        self._sources[source] = _Source(trust or Trust())
+    def add(self, source: str, trust: SourceTrust | None = None) -> None:
+        self._sources[source] = _Source(trust or SourceTrust())
 
     @property
     def sources(self) -> tuple[str, ...]:
         return tuple(self._sources)
 
-    def trust(self, source: str, trust: Trust) -> None:
+    def trust(self, source: str, trust: SourceTrust) -> None:
         """Weigh a source's word anew."""
         held = self._sources[source]
         held.trust = trust
@@ -213,7 +213,7 @@
         """Nobody asks this source any more: it has no word on anything."""
         self._dirty |= dict.fromkeys(self._sources.pop(source).seen)
 
-    def remembered(self, source: str, listing: Listing) -> None:
+    def remembered(self, source: str, listing: EndpointUpdate) -> None:
         """Take a list held before a restart for told: it is this source's word until that speaks."""
         held = self._sources[source]
         for entry in listing.entries:
@@ -221,9 +221,9 @@
                 continue
             if entry.address in self._told:
                 # Two ids at one address are one server here.
-                self._orphans.append(Entry(replace(entry.listed, state=ServerState.GONE), None))
+                self._orphans.append(EndpointEntry(replace(entry.listed, state=ServerState.REMOVED), None))
                 continue
-            caution = Caution.READY if entry.listed.state is ServerState.READY else Caution.DRAINS
+            caution = Precedence.READY if entry.listed.state is ServerState.READY else Precedence.DRAINS
             self._sighted(held, 0.0, 0.0, sighting_of(entry, caution))
             self._told[entry.address] = entry
             self._owners[entry.listed.server] = entry.address
@@ -235,7 +235,13 @@
     # What is heard
 
     def heard(
-        self, now: float, source: str, sightings: Iterable[Sighting], *, lag_s: float = 0.0, agent: str = ""
+        self,
+        now: float,
+        source: str,
+        sightings: Iterable[Observation],
+        *,
+        lag_s: float = 0.0,
+        agent: str = "",
     ) -> bool:
         """Take a source's whole list in, as it was `lag_s` ago; False if it is doubted: read it again."""
         current = {each.address: each for each in sightings}
@@ -259,7 +265,7 @@
         self,
         now: float,
         source: str,
-        sightings: Iterable[Sighting],
+        sightings: Iterable[Observation],
         gone: Iterable[Address] = (),
         *,
         lag_s: float = 0.0,
@@ -298,7 +304,7 @@
         held.count(seen, now)
         self._urgent[address] = None
 
-    def _sighted(self, held: _Source, now: float, as_of: float, sighting: Sighting) -> _Seen:
+    def _sighted(self, held: _Source, now: float, as_of: float, sighting: Observation) -> _Seen:
         address = sighting.address
         seen = held.seen.get(address)
         if seen is None:
@@ -306,28 +312,28 @@
             held.listed += 1
         else:
             held.listed += not seen.is_listed
-            if (seen.sighting.caution is Caution.READY) != (sighting.caution is Caution.READY):
+            if (seen.sighting.caution is Precedence.READY) != (sighting.caution is Precedence.READY):
                 seen.turns.append(now)
         seen.is_listed, seen.vouched_until, seen.held_back = True, None, None
-        if sighting.caution is Caution.DRAINS:
+        if sighting.caution is Precedence.DRAINS:
             seen.drained_as_of = max(as_of, seen.drained_as_of or as_of)
         elif seen.drained_as_of is not None:
             if as_of < now and as_of <= seen.drained_as_of:
                 seen.held_back = sighting  # to be taken up once an answer is younger
                 held.held_back.add(address)
                 sighting = replace(
-                    sighting, caution=Caution.DRAINS, why=f"{sighting.why}, but told to drain since"
+                    sighting, caution=Precedence.DRAINS, why=f"{sighting.why}, but told to drain since"
                 )
             else:
                 seen.drained_as_of = None
         seen.sighting = sighting
         held.count(seen, now)
-        (self._dirty if sighting.caution is Caution.READY else self._urgent)[address] = None
+        (self._dirty if sighting.caution is Precedence.READY else self._urgent)[address] = None
         return seen
 
     # What holds
 
-    def changes(self, now: float, most: int | None = None) -> Listing | None:
+    def changes(self, now: float, most: int | None = None) -> EndpointUpdate | None:
         """What is to be told since the last call; None if nothing is.
 
         At most so many servers are judged in one call, first those that may have to be left: call again
@@ -348,16 +354,16 @@
         if not entries:
             return None
         self.version += 1
-        return Listing(self.version, False, tuple(entries))
+        return EndpointUpdate(self.version, False, tuple(entries))
 
     @property
     def is_behind(self) -> bool:
         """Whether servers wait to be judged."""
         return bool(self._urgent or self._dirty)
 
-    def whole(self) -> Listing:
+    def whole(self) -> EndpointUpdate:
         """All that was told so far, as one list."""
-        return Listing(self.version, True, tuple(self._told.values()))
+        return EndpointUpdate(self.version, True, tuple(self._told.values()))
 
     def rows(self, now: float) -> list[Row]:
         """Every server that is listed, with each source's word."""
@@ -398,7 +404,7 @@
         held.held_back.discard(address)
         held.count(seen, 0.0, is_kept=False)
 
-    def _judge(self, address: Address, now: float, entries: list[Entry]) -> None:
+    def _judge(self, address: Address, now: float, entries: list[EndpointEntry]) -> None:
         told = self._told.get(address)
         words = self._words(address, now)
         if words is None:
@@ -409,7 +415,7 @@
             if told is not None:
                 del self._told[address]
                 del self._owners[told.listed.server]
-                entries.append(Entry(replace(told.listed, state=ServerState.GONE), None))
+                entries.append(EndpointEntry(replace(told.listed, state=ServerState.REMOVED), None))
             return
         entry = self._one(address, words)
         if entry != told:
@@ -420,7 +426,7 @@
             self._owners[entry.listed.server] = address
             entries.append(entry)
 
-    def _words(self, address: Address, now: float) -> list[tuple[str, Sighting]] | None:
+    def _words(self, address: Address, now: float) -> list[tuple[str, Observation]] | None:
         """Each source's word on a server; None if none lists it."""
         words, is_listed = [], False
         for source, held in self._sources.items():
@@ -430,7 +436,7 @@
                 is_listed = is_listed or seen.is_listed
         return words if is_listed else None
 
-    def _one(self, address: Address, words: list[tuple[str, Sighting]]) -> Entry:
+    def _one(self, address: Address, words: list[tuple[str, Observation]]) -> EndpointEntry:
         caution = max(sighting.caution for _, sighting in words)
         told = self._told.get(address)
         starts = [sighting.started_at for _, sighting in words if sighting.started_at is not None]
@@ -439,14 +445,14 @@
             zone=next((each.zone for _, each in words if each.zone), ""),
             kind=next((each.kind for _, each in words if each.kind), ""),
             cell=next((each.cell for _, each in words if each.cell), 0),
-            state=ServerState.READY if caution is Caution.READY else ServerState.DRAINING,
+            state=ServerState.READY if caution is Precedence.READY else ServerState.DRAINING,
             nominal=min(each.weight for _, each in words),
             # The later start is the more cautious word; that nobody tells it any more is no other start.
             started_at=max(starts, default=told.listed.started_at if told is not None else None),
         )
-        return Entry(listed, address)
+        return EndpointEntry(listed, address)
 
-    def _name(self, address: Address, words: list[tuple[str, Sighting]]) -> str:
+    def _name(self, address: Address, words: list[tuple[str, Observation]]) -> str:
         """The name under which a server is told.
 
         Kept once given: a name that changed would be another server to the decisions, cold connections and
@@ -472,11 +478,11 @@
         return int.from_bytes(hashlib.blake2b(salted, digest_size=8).digest(), "big"), address
 
 
-def sighting_of(entry: Entry, caution: Caution, why: str = "") -> Sighting:
+def sighting_of(entry: EndpointEntry, caution: Precedence, why: str = "") -> Observation:
     """An entry of a list in the engine's form as a source's word."""
     assert entry.address is not None
     listed = entry.listed
-    return Sighting(
+    return Observation(
         address=entry.address,
         caution=caution,
         why=why,
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -13,11 +13,17 @@
 from collections.abc import Callable, Iterable
 from itertools import islice
 
-from micadeck.engine import Entry, Listing
+from micadeck.engine import EndpointEntry, EndpointUpdate
 from micadeck.membership.consul import Agents, ConsulClient, ConsulError, Heard, ServiceWatch, watch
 from micadeck.membership.consul.config import ConsulConfig, Service
-from micadeck.membership.discovery_watcher import Roster
-from micadeck.membership.endpoint_merge import TO_THE_LETTER, Caution, Merge, Sighting, sighting_of
+from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.membership.endpoint_merge import (
+    TO_THE_LETTER,
+    EndpointMerge,
+    Observation,
+    Precedence,
+    sighting_of,
+)
 from micadeck.membership.watch_health import AGAIN_S
 from micadeck.network import Address, Network, Timer
 from micadeck.policy.events import ServerState
@@ -31,19 +37,19 @@
     0.2  # before a failed call of the roster is made again; twice as long each time, to the vigil's most
 )
 
-_CAUTIONS = {ServerState.READY: Caution.READY, ServerState.DRAINING: Caution.DRAINS}
+_CAUTIONS = {ServerState.READY: Precedence.READY, ServerState.DRAINING: Precedence.DRAINS}
 
 
-class RosterWords:
+class EndpointObservations:
     """The roster's lists, by id, as words on addresses.  No input or output."""
 
     def __init__(self) -> None:
         self._at: dict[str, Address] = {}
         self._ids: dict[Address, str] = {}
 
-    def read(self, entries: Iterable[Entry]) -> tuple[list[Sighting], list[Address]]:
+    def read(self, entries: Iterable[EndpointEntry]) -> tuple[list[Observation], list[Address]]:
         """Sightings, and the addresses where nobody is any more."""
-        sightings: dict[Address, Sighting] = {}
+        sightings: dict[Address, Observation] = {}
         left: dict[Address, None] = {}
         for entry in entries:
             name, address = entry.listed.server, entry.address
@@ -59,14 +65,14 @@
         return list(sightings.values()), [each for each in left if each not in sightings]
 
 
-class Sources:
+class EndpointSources:
     """`Source` of the engine over the roster, if there is one, and the services of a Consul configuration."""
 
     def __init__(
         self,
         network: Network,
-        roster: Roster | None,
-        known: Listing,
+        roster: DiscoveryWatcher | None,
+        known: EndpointUpdate,
         config: ConsulConfig,
         seed: int,
         name: str,
@@ -81,13 +87,13 @@
         # Sidecars that have one seed must not all ask, or choose, alike.
         salt = hashlib.blake2b(f"{seed} {name}".encode(), digest_size=8).digest()
         self._chance = random.Random(salt)
-        self.merge = Merge(self._chance.getrandbits(32))
+        self.merge = EndpointMerge(self._chance.getrandbits(32))
         self._watches: dict[str, ServiceWatch] = {}
         self.failing: dict[str, str] = {}  # services whose last call failed, and why
         self.unheard: set[str] = set()  # services that have not answered yet
         self._as_of: dict[str, float] = {}  # what time a service's last answer tells of
         self._doubts: dict[str, tuple[str, ...]] = {}
-        self._roster_words = RosterWords()
+        self._roster_words = EndpointObservations()
         self._roster_failures = 0
         self._retry: Timer | None = None
         self._tick_timer: Timer | None = None
@@ -97,7 +103,7 @@
         self._is_closed = False
         # Called between the pieces of a first list, with nothing but what is to stay made of it by then.
         self.settle: Callable[[], None] = lambda: None
-        self._on_list: Callable[[Listing], None] = lambda _: None
+        self._on_list: Callable[[EndpointUpdate], None] = lambda _: None
         self._on_failed: Callable[[], None] = lambda: None
         if roster is not None:
             self.merge.add(ROSTER, TO_THE_LETTER)
@@ -110,7 +116,7 @@
 
     # What the engine calls
 
-    def start(self, on_list: Callable[[Listing], None], on_failed: Callable[[], None]) -> None:
+    def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None:
         self._on_list, self._on_failed = on_list, on_failed
         if self._roster is not None:
             self._roster.start(self._roster_listed, self._roster_failed)
@@ -201,10 +207,10 @@
 
     # The roster
 
-    def _roster_listed(self, listing: Listing) -> None:
+    def _roster_listed(self, listing: EndpointUpdate) -> None:
         self._roster_failures = 0
         if listing.full:
-            self._roster_words = RosterWords()
+            self._roster_words = EndpointObservations()
         sightings, left = self._roster_words.read(listing.entries)
         now = self._now()
         if listing.full:
@@ -269,7 +275,7 @@
             # Who is gone comes first: that must not wait behind thousands that are there.
             some_gone = list(islice(left, _AT_ONCE))
             some = list(islice(news.sightings, _AT_ONCE - len(some_gone)))
-            if some_gone or any(each.caution is not Caution.READY for each in some):
+            if some_gone or any(each.caution is not Precedence.READY for each in some):
                 self.doubt()  # what ends here may be listed there: has the roster been heard since?
             self.merge.changed(self._now(), name, some, some_gone, lag_s=heard.lag_s)
             self._tell()
@@ -303,7 +309,7 @@
             return
         listing = self.merge.changes(self._now(), _AT_ONCE)
         if listing is not None or owed:
-            self._on_list(listing or Listing(self.merge.version, False, ()))
+            self._on_list(listing or EndpointUpdate(self.merge.version, False, ()))
         if self.merge.is_behind and not self._is_telling:
             self._is_telling = True
             self._network.call_soon(self._tell_on)
--- a/micadeck/membership/watch_health.py
+++ b/micadeck/membership/watch_health.py
@@ -30,9 +30,9 @@
 from dataclasses import dataclass, replace
 
 from micadeck.policy.balancer import ASK_AGAIN_TOLD
-from micadeck.policy.settings import TOLD_US
+from micadeck.policy.settings import NOTIFICATION_DEADLINE_US
 
-TOLD_S = TOLD_US / 1e6
+TOLD_S = NOTIFICATION_DEADLINE_US / 1e6
 AGAIN_S = ASK_AGAIN_TOLD * TOLD_S  # the longest wait after a failed call
 DIAL_WITHIN_S = 1.0
 GAP_S = 3.2
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class ResponseTimeout:
     """How long one answer is waited for; times in seconds from the call on."""
 
     wait_ms: int  # how long discovery is asked to wait for news
@@ -67,7 +67,7 @@
     drops_newest: bool  # whether one more takes the newest one's place, or is not made
     in_line: bool = False  # whether it may wait for its turn at discovery, as one that begins a watch does
 
-    def again(self) -> Patience:
+    def again(self) -> ResponseTimeout:
         """Of a call that is answered at once: one with which a watch begins, or beside one that is late."""
         if self.drops_newest:
             return replace(self, wait_ms=0, within_s=_ANSWER_WITHIN_S, late_s=self.apart_s)
@@ -79,7 +79,7 @@
     return min(late_s + (_AT_ONCE - 1) * _APART_S, TOLD_S)
 
 
-class Vigil:
+class WatchHealth:
     """One watch, from call to call.  Times are whole microseconds of any one clock."""
 
     def __init__(
@@ -108,7 +108,7 @@
             wait_s = min(wait_s, _WAIT_PUSHED_S)
             late_s = _LATE_PUSHED_S
             apart_s = min(max(_APART_PUSHED * grace_us / 1e6, _APART_PUSHED_LEAST_S), _APART_PUSHED_MOST_S)
-        self.waiting = Patience(
+        self.waiting = ResponseTimeout(
             wait_ms=round(wait_s * 1e3),
             within_s=wait_s + _TOLD_LATE_S if self._is_pushed else TOLD_S,
             late_s=wait_s + late_s,
--- a/micadeck/memory/budget.py
+++ b/micadeck/memory/budget.py
@@ -17,7 +17,7 @@
 
 
 @unique
-class Kind(StrEnum):
+class MemoryUse(StrEnum):
     """What is booked."""
 
     REQUESTS = "requests"  # read in part, waiting or open, with their kept bodies
@@ -28,7 +28,7 @@
 
 
 @unique
-class Stage(IntEnum):
+class PressureLevel(IntEnum):
     """What is done against a shortage of memory; each includes those before it."""
 
     NORMAL = 0
@@ -41,16 +41,18 @@
 ENTERED_AT_BOOKED = (0.0, 0.08, 0.12, 0.15, 0.18)  # of the limit, by stage
 ENTERED_AT_RESIDENT = (0.0, 0.45, 0.60, 0.70, 0.80)  # of what the limit leaves above the idle process
 LEFT_AT = 0.8  # of where the stage is entered
-_COUNTED = frozenset((Kind.REQUESTS, Kind.ANSWERS))
+_COUNTED = frozenset((MemoryUse.REQUESTS, MemoryUse.ANSWERS))
 
 
-class MemoryAccount:
+class MemoryBudget:
     """The account of one process.  `on_stage` is called with each stage that is entered."""
 
-    def __init__(self, limit_bytes: int, on_stage: Callable[[Stage], object] = lambda _: None) -> None:
-        self.booked: dict[Kind, int] = dict.fromkeys(Kind, 0)
+    def __init__(
+        self, limit_bytes: int, on_stage: Callable[[PressureLevel], object] = lambda _: None
+    ) -> None:
+        self.booked: dict[MemoryUse, int] = dict.fromkeys(MemoryUse, 0)
         self.on_stage = on_stage
-        self.stage = Stage.NORMAL
+        self.stage = PressureLevel.NORMAL
         self._counted = 0
         self._resident = 0
         self.resident_most = 0  # bytes, the most that was seen
@@ -64,7 +66,7 @@
         self.limit_bytes = limit_bytes
         self._move()
 
-    def book(self, kind: Kind, more: int) -> None:
+    def book(self, kind: MemoryUse, more: int) -> None:
         """Count so many bytes more, or less where it is negative."""
         self.booked[kind] += more
         if kind in _COUNTED:
@@ -72,7 +74,7 @@
             if not self._stays_at <= self._counted < self._next_at:
                 self._move()
 
-    def set(self, kind: Kind, amount: int) -> None:
+    def set(self, kind: MemoryUse, amount: int) -> None:
         """Book what was counted elsewhere."""
         self.book(kind, amount - self.booked[kind])
 
@@ -102,10 +104,10 @@
         """Resident memory beyond that of the idle process that nobody booked, in bytes."""
         return max(self._resident - self._idle - sum(self.booked.values()), 0)
 
-    def _threshold(self, stage: Stage) -> int:
+    def _threshold(self, stage: PressureLevel) -> int:
         return int(self.limit_bytes * ENTERED_AT_BOOKED[stage])
 
-    def _is_in(self, stage: Stage) -> bool:
+    def _is_in(self, stage: PressureLevel) -> bool:
         """Whether this stage is in force, or stays so."""
         factor = LEFT_AT if stage <= self.stage else 1.0
         room = max(self.limit_bytes - self._idle, 0)
@@ -118,8 +120,10 @@
     def _move(self) -> None:
         """Find the stage, and between which booked amounts it can't change."""
         before = self.stage
-        self.stage = max(stage for stage in Stage if stage is Stage.NORMAL or self._is_in(stage))
-        above = [self._threshold(each) for each in Stage if each > self.stage]
+        self.stage = max(
+            stage for stage in PressureLevel if stage is PressureLevel.NORMAL or self._is_in(stage)
+        )
+        above = [self._threshold(each) for each in PressureLevel if each > self.stage]
         self._next_at = min(above, default=1 << 62)
         self._stays_at = int(LEFT_AT * self._threshold(self.stage)) if self.stage else -(1 << 62)
         if self.stage is not before:
--- a/micadeck/memory/monitor.py
+++ b/micadeck/memory/monitor.py
@@ -6,7 +6,7 @@
 import gc
 from collections.abc import Callable
 
-from micadeck.memory.budget import Kind, MemoryAccount, Stage
+from micadeck.memory.budget import MemoryBudget, MemoryUse, PressureLevel
 from micadeck.memory.resident import MB, anonymous_bytes
 from micadeck.network import Network, Timer
 
@@ -19,13 +19,13 @@
 _TENTHS = 10
 
 
-class MemoryKeeper:
+class MemoryMonitor:
     """Feeds an account with the resident memory, from `start` to `close`."""
 
     def __init__(
         self,
         network: Network,
-        account: MemoryAccount,
+        account: MemoryBudget,
         log: Callable[[str], None],
         count: Callable[[], None] = lambda: None,
     ) -> None:
@@ -50,7 +50,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def told_stage(self, stage: Stage) -> None:
+    def told_stage(self, stage: PressureLevel) -> None:
         """Log a stage that is entered."""
         self._log(f"memory: {stage.name.lower().replace('_', ' ')}: {self._words()}")
 
@@ -100,7 +100,7 @@
 
     def _words(self) -> str:
         account = self._account
-        kinds = ", ".join(f"{kind} {account.booked[kind] / MB:.1f}" for kind in Kind)
+        kinds = ", ".join(f"{kind} {account.booked[kind] / MB:.1f}" for kind in MemoryUse)
         resident = f"{account.resident / MB:.1f} of {account.limit_bytes / MB:.0f} MB resident"
         return f"{resident}; {kinds}, unaccounted {account.unaccounted / MB:.1f}"
 
--- a/micadeck/mysql/auth.py
+++ b/micadeck/mysql/auth.py
@@ -233,7 +233,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendPacket:
     """Write this, and read on."""
 
     payload: bytes
@@ -261,7 +261,7 @@
     error: Err
 
 
-Step = Say | Check | Admitted | Denied
+Step = SendPacket | Check | Admitted | Denied
 
 
 class Gate:
@@ -287,7 +287,7 @@
         self._plugin = wanted
         if wanted != plugin or switch:
             self._has_switched = True
-            return Say(AuthSwitch(wanted, self._salt).encode())
+            return SendPacket(AuthSwitch(wanted, self._salt).encode())
         return self._answered(answer)
 
     def read(self, payload: bytes) -> Step:
@@ -298,7 +298,7 @@
         if not self._awaits_key_or_password:
             raise ProtocolError("authentication: nothing was asked for")
         if payload == _ASK_KEY:
-            return Say(more_data(self._users.key.public))
+            return SendPacket(more_data(self._users.key.public))
         self._awaits_key_or_password = False
         password = self._password = self._users.key.password(payload, self._salt)
         if len(password) > _MOST_PASSWORD:
@@ -326,7 +326,7 @@
         if sha2_fits(answer, self._salt, self._users.cached(self._name)) and user is not None:
             return Admitted(user, more_data(_FAST_OK))
         self._awaits_key_or_password = True
-        return Say(more_data(_FULL))
+        return SendPacket(more_data(_FULL))
 
     def _denied(self, used: str) -> Denied:
         text = f"Access denied for user '{self._name}'@'{self._host}' (using password: {used})"
--- a/micadeck/mysql/config.py
+++ b/micadeck/mysql/config.py
@@ -10,20 +10,20 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from micadeck.engine import Entry, Listing
+from micadeck.engine import EndpointEntry, EndpointUpdate
 from micadeck.keys import key_and_text
 from micadeck.membership.consul.config import ConsulConfig, ConsulConfigError
 from micadeck.membership.consul.config import load as load_consul
 from micadeck.mysql.auth import User, Verifier, parse_native
-from micadeck.mysql.listener import FrontLimits
+from micadeck.mysql.listener import ListenerLimits
 from micadeck.mysql.pool import Limits
 from micadeck.mysql.routes import Rule
 from micadeck.mysql.server_connection import Credentials
-from micadeck.mysql.transport import CarrierLimits
+from micadeck.mysql.transport import TransportLimits
 from micadeck.network import Address, parse_address
 from micadeck.policy import Settings
 from micadeck.policy.events import ListedServer
-from micadeck.policy.settings import Repeat
+from micadeck.policy.settings import Idempotency
 
 _Name = Annotated[str, Meta(pattern=r"^[^\r\n\x00]{1,80}$")]
 _Count = Annotated[int, Meta(ge=1, le=10**9)]
@@ -48,9 +48,9 @@
     credentials: Credentials
     discovery: Address | None
     consul: ConsulConfig | None
-    known: Listing
-    front: FrontLimits
-    carrier: CarrierLimits
+    known: EndpointUpdate
+    front: ListenerLimits
+    carrier: TransportLimits
 
 
 # The file, as it is written
@@ -174,7 +174,7 @@
         discovery=_address("servers.roster", servers.roster) if servers.roster else None,
         consul=_consul(servers.consul),
         known=_known(servers.static),
-        front=FrontLimits(
+        front=ListenerLimits(
             most_clients=limits.clients,
             most_in_packet=limits.packet_bytes,
             most_read=limits.unfinished_bytes,
@@ -185,7 +185,7 @@
             idle_s=limits.idle_s,
             idle_bound_s=limits.idle_bound_s,
         ),
-        carrier=CarrierLimits(
+        carrier=TransportLimits(
             pool=Limits(
                 limits.connections, limits.connections_per_server, int(limits.idle_connection_s * 1e6)
             ),
@@ -261,11 +261,14 @@
 
 
 def _rules(file: _File) -> tuple[Rule, ...]:
-    repeats = {each.name: Repeat(each.repeat) for each in file.classes}
+    repeats = {each.name: Idempotency(each.repeat) for each in file.classes}
     rules = []
     for number, each in enumerate(file.rules):
         key = f"rules[{number}]"
-        for field, name, needed in (("read", each.read, Repeat.SAFE), ("write", each.write, Repeat.UNSAFE)):
+        for field, name, needed in (
+            ("read", each.read, Idempotency.IDEMPOTENT),
+            ("write", each.write, Idempotency.NON_IDEMPOTENT),
+        ):
             if name not in repeats:
                 _wrong(f"{key}.{field}", f"there is no class {name!r}")
             if repeats[name] is not needed:
@@ -309,9 +312,9 @@
         _wrong("servers.consul", str(fault))
 
 
-def _known(static: tuple[_Static, ...]) -> Listing:
+def _known(static: tuple[_Static, ...]) -> EndpointUpdate:
     entries = tuple(
-        Entry(
+        EndpointEntry(
             ListedServer(each.name, zone=each.zone),
             _address(f"servers.static[{number}].address", each.address),
         )
@@ -319,4 +322,4 @@
     )
     if len({each.listed.server for each in entries}) < len(entries):
         _wrong("servers.static", "a name stands twice")
-    return Listing(0, True, entries)
+    return EndpointUpdate(0, True, entries)
--- a/micadeck/mysql/error_mapping.py
+++ b/micadeck/mysql/error_mapping.py
@@ -20,7 +20,7 @@
 
 
 @unique
-class Was(Enum):
+class StatementContext(Enum):
     """What the statement was, and where its session stood."""
 
     READ = "a safe read outside a transaction"
@@ -32,7 +32,7 @@
 
 
 @unique
-class Befell(Enum):
+class StatementFault(Enum):
     """What happened to it."""
 
     REFUSED = "no attempt of it can have run"
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
+class ClientError:
     """The final answer, and what follows from it.  `error` None: OK."""
 
     error: Err | None
@@ -84,56 +84,58 @@
 
 _NONE, _BACK, _OPEN = Transaction.NONE, Transaction.ROLLED_BACK, Transaction.UNKNOWN
 
-TABLE: dict[tuple[Was, Befell], Fate] = {
-    (Was.READ, Befell.REFUSED): Fate(_AGAIN, _NONE),
-    (Was.READ, Befell.LOST): Fate(_READ_LOST, _NONE),
-    (Was.READ, Befell.LATE): Fate(_LATE_READ, _NONE),
-    (Was.READ, Befell.CUT): Fate(_CUT, _NONE),
-    (Was.READ, Befell.DEFECT): Fate(_READ_LOST, _NONE),
-    (Was.WRITE, Befell.REFUSED): Fate(_AGAIN, _NONE),
-    (Was.WRITE, Befell.LOST): Fate(_UNKNOWN, _NONE),
-    (Was.WRITE, Befell.LATE): Fate(_LATE_UNKNOWN, _NONE),
-    (Was.WRITE, Befell.CUT): Fate(_CUT_UNKNOWN, _NONE),
-    (Was.WRITE, Befell.DEFECT): Fate(_DEFECT, _NONE),
+TABLE: dict[tuple[StatementContext, StatementFault], ClientError] = {
+    (StatementContext.READ, StatementFault.REFUSED): ClientError(_AGAIN, _NONE),
+    (StatementContext.READ, StatementFault.LOST): ClientError(_READ_LOST, _NONE),
+    (StatementContext.READ, StatementFault.LATE): ClientError(_LATE_READ, _NONE),
+    (StatementContext.READ, StatementFault.CUT): ClientError(_CUT, _NONE),
+    (StatementContext.READ, StatementFault.DEFECT): ClientError(_READ_LOST, _NONE),
+    (StatementContext.WRITE, StatementFault.REFUSED): ClientError(_AGAIN, _NONE),
+    (StatementContext.WRITE, StatementFault.LOST): ClientError(_UNKNOWN, _NONE),
+    (StatementContext.WRITE, StatementFault.LATE): ClientError(_LATE_UNKNOWN, _NONE),
+    (StatementContext.WRITE, StatementFault.CUT): ClientError(_CUT_UNKNOWN, _NONE),
+    (StatementContext.WRITE, StatementFault.DEFECT): ClientError(_DEFECT, _NONE),
     # Only its own connection could have committed it, and that is closed without a COMMIT.
-    (Was.IN_TRANSACTION, Befell.REFUSED): Fate(_ROLLED_BACK, _BACK),
-    (Was.IN_TRANSACTION, Befell.LOST): Fate(_ROLLED_BACK, _BACK),
-    (Was.IN_TRANSACTION, Befell.LATE): Fate(_LATE_ROLLED_BACK, _BACK),
-    (Was.IN_TRANSACTION, Befell.CUT): Fate(_ROLLED_BACK, _BACK),
-    (Was.IN_TRANSACTION, Befell.DEFECT): Fate(_ROLLED_BACK, _BACK),
+    (StatementContext.IN_TRANSACTION, StatementFault.REFUSED): ClientError(_ROLLED_BACK, _BACK),
+    (StatementContext.IN_TRANSACTION, StatementFault.LOST): ClientError(_ROLLED_BACK, _BACK),
+    (StatementContext.IN_TRANSACTION, StatementFault.LATE): ClientError(_LATE_ROLLED_BACK, _BACK),
+    (StatementContext.IN_TRANSACTION, StatementFault.CUT): ClientError(_ROLLED_BACK, _BACK),
+    (StatementContext.IN_TRANSACTION, StatementFault.DEFECT): ClientError(_ROLLED_BACK, _BACK),
     # Rolled back is what it asked for.
-    (Was.ROLLBACK, Befell.REFUSED): Fate(None, _BACK),
-    (Was.ROLLBACK, Befell.LOST): Fate(None, _BACK),
-    (Was.ROLLBACK, Befell.LATE): Fate(None, _BACK),
-    (Was.ROLLBACK, Befell.CUT): Fate(None, _BACK),
-    (Was.ROLLBACK, Befell.DEFECT): Fate(None, _BACK),
-    (Was.MAY_COMMIT, Befell.REFUSED): Fate(_ROLLED_BACK, _BACK),
-    (Was.MAY_COMMIT, Befell.LOST): Fate(_UNKNOWN, _OPEN),
-    (Was.MAY_COMMIT, Befell.LATE): Fate(_LATE_UNKNOWN, _OPEN),
-    (Was.MAY_COMMIT, Befell.CUT): Fate(_CUT_UNKNOWN, _OPEN),
-    (Was.MAY_COMMIT, Befell.DEFECT): Fate(_DEFECT, _OPEN),
+    (StatementContext.ROLLBACK, StatementFault.REFUSED): ClientError(None, _BACK),
+    (StatementContext.ROLLBACK, StatementFault.LOST): ClientError(None, _BACK),
+    (StatementContext.ROLLBACK, StatementFault.LATE): ClientError(None, _BACK),
+    (StatementContext.ROLLBACK, StatementFault.CUT): ClientError(None, _BACK),
+    (StatementContext.ROLLBACK, StatementFault.DEFECT): ClientError(None, _BACK),
+    (StatementContext.MAY_COMMIT, StatementFault.REFUSED): ClientError(_ROLLED_BACK, _BACK),
+    (StatementContext.MAY_COMMIT, StatementFault.LOST): ClientError(_UNKNOWN, _OPEN),
+    (StatementContext.MAY_COMMIT, StatementFault.LATE): ClientError(_LATE_UNKNOWN, _OPEN),
+    (StatementContext.MAY_COMMIT, StatementFault.CUT): ClientError(_CUT_UNKNOWN, _OPEN),
+    (StatementContext.MAY_COMMIT, StatementFault.DEFECT): ClientError(_DEFECT, _OPEN),
     # State that the client counts on is gone: it must not go on as if nothing had been.
-    (Was.PINNED, Befell.REFUSED): Fate(_STATE_LOST, _BACK, closes=True),
-    (Was.PINNED, Befell.LOST): Fate(_UNKNOWN, _OPEN, closes=True),
-    (Was.PINNED, Befell.LATE): Fate(_LATE_UNKNOWN, _OPEN, closes=True),
-    (Was.PINNED, Befell.CUT): Fate(_CUT_UNKNOWN, _OPEN, closes=True),
-    (Was.PINNED, Befell.DEFECT): Fate(_DEFECT, _OPEN, closes=True),
+    (StatementContext.PINNED, StatementFault.REFUSED): ClientError(_STATE_LOST, _BACK, closes=True),
+    (StatementContext.PINNED, StatementFault.LOST): ClientError(_UNKNOWN, _OPEN, closes=True),
+    (StatementContext.PINNED, StatementFault.LATE): ClientError(_LATE_UNKNOWN, _OPEN, closes=True),
+    (StatementContext.PINNED, StatementFault.CUT): ClientError(_CUT_UNKNOWN, _OPEN, closes=True),
+    (StatementContext.PINNED, StatementFault.DEFECT): ClientError(_DEFECT, _OPEN, closes=True),
 }
 
 
 def was(
     statement: Statement, *, in_transaction: bool, has_state: bool, is_safe: bool, is_doubtful: bool = False
-) -> Was:
+) -> StatementContext:
     """The row of a statement, by its session before it ran.
 
     `is_doubtful`: an error may have ended the transaction, and then this statement commits by itself.
     """
     if has_state:
-        return Was.PINNED
+        return StatementContext.PINNED
     if in_transaction:
         if statement.kind is Kind.ROLLBACK:
-            return Was.ROLLBACK
+            return StatementContext.ROLLBACK
         sets_autocommit = any(name == "autocommit" for name, _ in statement.assignments)
         is_inside = statement.is_plain and not statement.pins and not sets_autocommit
-        return Was.IN_TRANSACTION if is_inside and not is_doubtful else Was.MAY_COMMIT
-    return Was.READ if is_safe else Was.WRITE
+        return (
+            StatementContext.IN_TRANSACTION if is_inside and not is_doubtful else StatementContext.MAY_COMMIT
+        )
+    return StatementContext.READ if is_safe else StatementContext.WRITE
--- a/micadeck/mysql/listener.py
+++ b/micadeck/mysql/listener.py
@@ -11,10 +11,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from micadeck.engine import Cause, Engine
-from micadeck.mysql.auth import Admitted, Check, Denied, Gate, Say, Step, User, Users, new_salt
+from micadeck.engine import Engine, FailureCause
+from micadeck.mysql.auth import Admitted, Check, Denied, Gate, SendPacket, Step, User, Users, new_salt
 from micadeck.mysql.charsets import names_of
-from micadeck.mysql.error_mapping import TABLE, Befell, Fate, Transaction, Was, was
+from micadeck.mysql.error_mapping import (
+    TABLE,
+    ClientError,
+    StatementContext,
+    StatementFault,
+    Transaction,
+    was,
+)
 from micadeck.mysql.protocol.answers import (
     Definition,
     DefinitionsEnd,
@@ -39,11 +46,11 @@
 from micadeck.mysql.protocol.packets import PacketReader, TooLarge, frame
 from micadeck.mysql.protocol.wire import Cursor, ProtocolError, lenenc
 from micadeck.mysql.routes import Routes
-from micadeck.mysql.server_connection import Link
+from micadeck.mysql.server_connection import ServerConnection
 from micadeck.mysql.session import Handle, Session, TooMuch
 from micadeck.mysql.statements import Kind as Does
 from micadeck.mysql.statements import Pin, Reader, Refusal, Statement
-from micadeck.mysql.transport import Answer, Call, Carrier, StatementRequest
+from micadeck.mysql.transport import Answer, Call, MysqlTransport, StatementRequest
 from micadeck.network import Address, Listener, Network, Timer
 
 OFFERED = (
@@ -77,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontLimits:
+class ListenerLimits:
     """What clients may take."""
 
     most_clients: int
@@ -91,17 +98,17 @@
     idle_bound_s: float  # the same, while a server connection is held for it
 
 
-class Front:
+class MysqlListener:
     """All clients of one listener."""
 
     def __init__(
         self,
         network: Network,
         engine: Engine,
-        carrier: Carrier,
+        carrier: MysqlTransport,
         users: Users,
         routes: Routes,
-        limits: FrontLimits,
+        limits: ListenerLimits,
         log: Callable[[str], None],
     ) -> None:
         self.network = network
@@ -113,7 +120,7 @@
         self.log = log
         self.reader = Reader()
         self.checks = asyncio.Semaphore(_CHECKS_AT_ONCE)
-        self.clients: set[Client] = set()
+        self.clients: set[ClientSession] = set()
         self.read = 0  # bytes of unfinished packets
         self.is_draining = False
         self.tasks: set[asyncio.Task[None]] = set()
@@ -128,9 +135,9 @@
         assert self._listener is not None
         return self._listener.port
 
-    def _accept(self) -> Client:
+    def _accept(self) -> ClientSession:
         number, self._next_client = self._next_client, self._next_client + 1
-        return Client(self, number)
+        return ClientSession(self, number)
 
     def drain(self) -> None:
         """No new clients; where no transaction is open, the next statement is refused and the last."""
@@ -162,7 +169,7 @@
         for each in list(self.clients):
             each.close()
 
-    def spawn(self, work: Step, client: Client) -> None:
+    def spawn(self, work: Step, client: ClientSession) -> None:
         """Run a check off the event loop, a few at a time."""
         assert isinstance(work, Check)
 
@@ -181,7 +188,9 @@
 
     __slots__ = ("call", "client", "deadline", "handle", "has_begun", "number", "request", "row", "statement")
 
-    def __init__(self, client: Client, statement: Statement, row: Was, deadline: int) -> None:
+    def __init__(
+        self, client: ClientSession, statement: Statement, row: StatementContext, deadline: int
+    ) -> None:
         self.client = client
         self.statement = statement
         self.row = row
@@ -211,25 +220,25 @@
 
     def refused(self, retry_after_us: int) -> None:
         is_late = self.client.front.network.now() >= self.deadline
-        befell = Befell.LATE if is_late else Befell.REFUSED
-        self.client.failed(self, Befell.CUT if self.has_begun else befell)
+        befell = StatementFault.LATE if is_late else StatementFault.REFUSED
+        self.client.failed(self, StatementFault.CUT if self.has_begun else befell)
 
-    def failed(self, cause: Cause, may_have_run: bool) -> None:
+    def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         if self.has_begun:
-            befell = Befell.CUT
+            befell = StatementFault.CUT
         elif not may_have_run:
-            befell = Befell.REFUSED
-        elif cause is Cause.TIME:
-            befell = Befell.LATE
+            befell = StatementFault.REFUSED
+        elif cause is FailureCause.TIME:
+            befell = StatementFault.LATE
         else:
-            befell = Befell.DEFECT if cause is Cause.DEFECT else Befell.LOST
+            befell = StatementFault.DEFECT if cause is FailureCause.DEFECT else StatementFault.LOST
         self.client.failed(self, befell)
 
 
-class Client(asyncio.Protocol):
+class ClientSession(asyncio.Protocol):
     """One client's connection."""
 
-    def __init__(self, front: Front, number: int) -> None:
+    def __init__(self, front: MysqlListener, number: int) -> None:
         self.front = front
         self._number = number
         self._commands = 0
@@ -243,7 +252,7 @@
         self.session: Session | None = None
         self._user: User | None = None
         self._running: _Running | None = None
-        self._link: Link | None = None  # while the session is bound to one
+        self._link: ServerConnection | None = None  # while the session is bound to one
         self._is_lost = False  # the connection it was bound to ended, and the client has not been told
         self._is_choked = False  # what was written to it lies unread
         self._is_held = False  # it is read no further until its statement is answered
@@ -358,7 +367,7 @@
 
     def _step(self, step: Step) -> None:
         match step:
-            case Say(payload):
+            case SendPacket(payload):
                 self._write(payload)
                 self._packets.sequence = self._sequence
             case Check():
@@ -616,7 +625,7 @@
         running = _Running(self, statement, row, front.network.now() + route.deadline_us - _TIME_SPARE_US)
         if self._is_lost:
             self._running = running
-            self.failed(running, Befell.REFUSED)
+            self.failed(running, StatementFault.REFUSED)
             return None
         self._commands += 1
         running.request = request = StatementRequest(
@@ -688,7 +697,7 @@
         self._idle()
         self._next_soon()
 
-    def _bind_if_needed(self, session: Session, link: Link) -> bool:
+    def _bind_if_needed(self, session: Session, link: ServerConnection) -> bool:
         if not session.pins:
             self._link = None
             return False
@@ -699,7 +708,7 @@
         self._is_lost = session.connection_lost()
         return False
 
-    def failed(self, running: _Running, befell: Befell) -> None:
+    def failed(self, running: _Running, befell: StatementFault) -> None:
         """The one final answer, from here."""
         session = self.session
         assert session is not None and self._running is running
@@ -707,12 +716,14 @@
         fate = TABLE[running.row, befell]
         request = running.request
         if (
-            befell is Befell.REFUSED
+            befell is StatementFault.REFUSED
             and request is not None
             and request.error is not None
             and not session.pins
         ):
-            fate = Fate(request.error, Transaction.NONE)  # no server would have the session: this is why
+            fate = ClientError(
+                request.error, Transaction.NONE
+            )  # no server would have the session: this is why
         if request is not None and request.handle is not None:
             session.clear_long_data(request.handle)
         if fate.transaction is not Transaction.NONE:
--- a/micadeck/mysql/server_connection.py
+++ b/micadeck/mysql/server_connection.py
@@ -75,7 +75,7 @@
         self.over = over
 
 
-class Link(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """`on_closed` is called once, when nothing can be written any more."""
 
     def __init__(
@@ -86,7 +86,7 @@
         *,
         found_rows: bool,
         most_in_packet: int,
-        on_closed: Callable[[Link], None],
+        on_closed: Callable[[ServerConnection], None],
     ) -> None:
         self._network = network
         self.server = server
@@ -110,7 +110,9 @@
     # What the owner calls
 
     @staticmethod
-    async def open(make: Callable[[], Link], network: Network, address: Address) -> Link:
+    async def open(
+        make: Callable[[], ServerConnection], network: Network, address: Address
+    ) -> ServerConnection:
         """Dial and log in; raise OSError or LoginFailed.  The caller bounds the time."""
         link = await network.dial(make, address)
         try:
--- a/micadeck/mysql/service.py
+++ b/micadeck/mysql/service.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
-from micadeck.engine import Engine, Listing, Source
-from micadeck.membership.discovery_watcher import Roster
-from micadeck.membership.sources import Sources
+from micadeck.engine import EndpointSource, EndpointUpdate, Engine
+from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.membership.sources import EndpointSources
 from micadeck.mysql.auth import Users
 from micadeck.mysql.config import MysqlConfig
-from micadeck.mysql.listener import Front
+from micadeck.mysql.listener import MysqlListener
 from micadeck.mysql.routes import Routes
-from micadeck.mysql.transport import Carrier
+from micadeck.mysql.transport import MysqlTransport
 from micadeck.network import Network
 
 _LOOK_AGAIN_S = 0.01
@@ -21,11 +21,11 @@
 class Static:
     """Servers that only a reload changes."""
 
-    def __init__(self, listing: Listing) -> None:
+    def __init__(self, listing: EndpointUpdate) -> None:
         self._listing = listing
-        self._on_list: Callable[[Listing], None] = lambda _: None
+        self._on_list: Callable[[EndpointUpdate], None] = lambda _: None
 
-    def start(self, on_list: Callable[[Listing], None], on_failed: Callable[[], None]) -> None:
+    def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None:
         self._on_list = on_list
 
     def follow(self, wanted: bool) -> None:
@@ -38,8 +38,8 @@
     def doubt(self) -> None:
         """There is nobody to ask."""
 
-    def replace(self, listing: Listing) -> None:
-        self._listing = Listing(self._listing.version + 1, True, listing.entries)
+    def replace(self, listing: EndpointUpdate) -> None:
+        self._listing = EndpointUpdate(self._listing.version + 1, True, listing.entries)
         self._on_list(self._listing)
 
     def close(self) -> None:
@@ -64,23 +64,27 @@
         self._log = log
         self._config = config
         settings = config.settings
-        self.carrier = Carrier(network, settings, config.credentials, config.carrier, log)
-        self._source: Source
+        self.carrier = MysqlTransport(network, settings, config.credentials, config.carrier, log)
+        self._source: EndpointSource
         self._static: Static | None = None
-        roster: Roster | None = None
+        roster: DiscoveryWatcher | None = None
         if config.discovery is not None:
             allowed_us = settings.rules.ask_within_us
             salt = f"{seed} {config.name}"
-            roster = Roster(network, config.discovery, 0, False, allowed_us=allowed_us, seed=salt, log=log)
+            roster = DiscoveryWatcher(
+                network, config.discovery, 0, False, allowed_us=allowed_us, seed=salt, log=log
+            )
         if config.consul is not None:
-            self._source = Sources(network, roster, config.known, config.consul, seed, config.name, log)
+            self._source = EndpointSources(
+                network, roster, config.known, config.consul, seed, config.name, log
+            )
         elif roster is not None:
             self._source = roster
         else:
             self._source = self._static = Static(config.known)
         self.engine = Engine(settings, seed, network, self.carrier, self._source, _NoMessages(), log)
         self.users = Users(config.users)
-        self.front = Front(
+        self.front = MysqlListener(
             network, self.engine, self.carrier, self.users, self._routes(config), config.front, log
         )
 
--- a/micadeck/mysql/transport.py
+++ b/micadeck/mysql/transport.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from micadeck.engine import Done, Listing, Request
+from micadeck.engine import AttemptCallback, EndpointUpdate, Request
 from micadeck.mysql.auth import LoginFailed
 from micadeck.mysql.pool import Full, Limits, Pool, Use
 from micadeck.mysql.protocol.answers import AnswerReader, Definition, Kind, Part, Row, Words
 from micadeck.mysql.protocol.constants import Command, ErrorCode
 from micadeck.mysql.protocol.messages import Err, Ok, Prepared
-from micadeck.mysql.server_connection import FULL_AT_LOGIN, Credentials, Link, Lost
+from micadeck.mysql.server_connection import FULL_AT_LOGIN, Credentials, Lost, ServerConnection
 from micadeck.mysql.session import Handle, Session, must_reset, put
 from micadeck.mysql.statements import Statement
 from micadeck.network import Address, Network, Timer
@@ -58,7 +58,7 @@
     command: bytes  # as it is written; of an execution, what follows the statement's number
     kind: Kind
     sink: Sink
-    link: Link | None = None  # the session's own, if it is bound to one
+    link: ServerConnection | None = None  # the session's own, if it is bound to one
     handle: Handle | None = None  # of an execution
     error: Err | None = None  # why a server would not have the session
 
@@ -67,7 +67,7 @@
 class Answer:
     """An answer that came whole, or whose last part has just gone to its sink."""
 
-    link: Link
+    link: ServerConnection
     parts: list[Part]
     reader: AnswerReader
     is_kept: bool = field(default=False)  # set by whoever takes it: the connection stays with the session
@@ -90,7 +90,9 @@
         "timer",
     )
 
-    def __init__(self, carrier: Carrier, server: str, request: StatementRequest, done: Done) -> None:
+    def __init__(
+        self, carrier: MysqlTransport, server: str, request: StatementRequest, done: AttemptCallback
+    ) -> None:
         self.carrier = carrier
         self.server = server
         self.request = request
@@ -98,7 +100,7 @@
         self.ended = False
         self.is_written = False  # a byte of the statement itself may be at the server
         self.is_streaming = False
-        self.link: Link | None = None
+        self.link: ServerConnection | None = None
         self.parts: list[Part] = []
         self.size = 0
         self.timer: Timer | None = None
@@ -155,7 +157,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CarrierLimits:
+class TransportLimits:
     """What the carrier may hold."""
 
     pool: Limits
@@ -165,7 +167,7 @@
     may_kill: bool
 
 
-class Carrier:
+class MysqlTransport:
     """All connections to MySQL servers; the engine's `Carrier`."""
 
     def __init__(
@@ -173,7 +175,7 @@
         network: Network,
         settings: Settings,
         credentials: Credentials,
-        limits: CarrierLimits,
+        limits: TransportLimits,
         log: Callable[[str], None],
     ) -> None:
         self._network = network
@@ -182,11 +184,11 @@
         self._credentials = credentials
         self._limits = limits
         self._log = log
-        self.pool: Pool[Link] = Pool(limits.pool)
+        self.pool: Pool[ServerConnection] = Pool(limits.pool)
         self.held = 0
         self._servers: dict[str, _Server] = {}
-        self._homes: dict[Link, _Server] = {}
-        self._bound: dict[Link, Callable[[], None]] = {}
+        self._homes: dict[ServerConnection, _Server] = {}
+        self._bound: dict[ServerConnection, Callable[[], None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._sweep: Timer | None = None
         self._is_closed = False
@@ -196,7 +198,7 @@
 
     # The list
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointUpdate) -> None:
         if listing.full:
             for name in self._servers.keys() - {each.listed.server for each in listing.entries}:
                 self._drop(name)
@@ -244,21 +246,21 @@
 
     # Sessions
 
-    def bind(self, link: Link, on_lost: Callable[[], None]) -> bool:
+    def bind(self, link: ServerConnection, on_lost: Callable[[], None]) -> bool:
         """The connection belongs to one session until `unbind`; False if its server takes nothing new."""
         if not link.is_open or not self.takes_bound(link):
             return False
         self._bound[link] = on_lost
         return True
 
-    def takes_bound(self, link: Link) -> bool:
+    def takes_bound(self, link: ServerConnection) -> bool:
         """Whether the connection's server may still have statements of its session."""
         server = self._homes.get(link)
         if server is None:
             return False
         return server.sessions_end_at is None or self._network.now() < server.sessions_end_at
 
-    def unbind(self, link: Link, *, is_good: bool = True) -> None:
+    def unbind(self, link: ServerConnection, *, is_good: bool = True) -> None:
         """The session has no more need of it, or can't trust it any more."""
         self._bound.pop(link, None)
         if is_good:
@@ -269,7 +271,12 @@
     # Attempts
 
     def start(
-        self, server: str, until: int, request: StatementRequest, done: Done, write_by: int | None = None
+        self,
+        server: str,
+        until: int,
+        request: StatementRequest,
+        done: AttemptCallback,
+        write_by: int | None = None,
     ) -> Call:
         assert write_by is None  # no class of statements is keyed
         call = Call(self, server, request, done)
@@ -280,7 +287,7 @@
         else:
             may = home is not None and not home.is_leaving
         if not may or left_us <= 0:
-            self._network.call_soon(self._end, call, Outcome.UNSENT)
+            self._network.call_soon(self._end, call, Outcome.NOT_SENT)
             return call
         call.timer = self._network.call_later(left_us / 1e6, self._expire, call)
         self._spawn(self._carry(call, home))
@@ -294,7 +301,7 @@
 
     def withdraw(self, attempt: Call) -> None:
         if not attempt.is_written:
-            self._give_up(attempt, Outcome.UNSENT)
+            self._give_up(attempt, Outcome.NOT_SENT)
 
     def _give_up(self, attempt: Call, outcome: Outcome) -> None:
         if attempt.ended:
@@ -302,7 +309,7 @@
         self._stop(attempt)
         self._network.call_soon(attempt.done, outcome, None, None)
 
-    def probe(self, server: str, until: int, done: Done) -> None:
+    def probe(self, server: str, until: int, done: AttemptCallback) -> None:
         self._spawn(self._ping(server, until, done))
 
     def close_idle(self, server: str) -> None:
@@ -349,7 +356,7 @@
 
     async def _obtain(
         self, name: str, home: _Server, kinds: Sequence[_Kind], call: Call | None
-    ) -> Link | None:
+    ) -> ServerConnection | None:
         """A connection for the attempt, or None: then it has ended."""
         what = self.pool.assign(name, kinds, self._network.now())
         while isinstance(what, Use):
@@ -360,16 +367,20 @@
         if isinstance(what, Full):
             # Within `start` nobody may be told yet.
             await self._network.sleep(0)
-            self._end(call, Outcome.UNSENT)
+            self._end(call, Outcome.NOT_SENT)
             return None
         for each in what.close:
             each.close()
         return await self._dial(name, home, kinds[0][0], call)
 
-    async def _dial(self, name: str, home: _Server, found_rows: bool, call: Call | None) -> Link | None:
-        outcome, link = Outcome.DIAL_FAILED, None
+    async def _dial(
+        self, name: str, home: _Server, found_rows: bool, call: Call | None
+    ) -> ServerConnection | None:
+        outcome, link = Outcome.CONNECT_FAILED, None
         try:
-            opening = Link.open(lambda: self._new_link(name, found_rows), self._network, home.address)
+            opening = ServerConnection.open(
+                lambda: self._new_link(name, found_rows), self._network, home.address
+            )
             link = await within_own_time(self._network, self._dial_within_s, opening)
         except LoginFailed as fault:
             self._log(f"mysql: log-in at {name} failed: {fault}")
@@ -377,9 +388,9 @@
                 outcome = Outcome.FULL
         except (OSError, TimeoutError) as fault:
             if isinstance(fault, ConnectionRefusedError):
-                outcome = Outcome.TURNED_DOWN
+                outcome = Outcome.CONNECTION_REFUSED
             elif isinstance(fault, OSError) and fault.errno in _OWN_FAULTS:
-                outcome = Outcome.UNSENT
+                outcome = Outcome.NOT_SENT
         except asyncio.CancelledError:
             self.pool.failed(name)
             raise
@@ -394,15 +405,15 @@
             was_open = link.is_open
             link.close()
             self._closed(link)
-            self._end(call, Outcome.UNSENT if was_open else Outcome.DIAL_FAILED)
+            self._end(call, Outcome.NOT_SENT if was_open else Outcome.CONNECT_FAILED)
             return None
         if call is not None and call.ended:
             self._release(link)
             return None
         return link
 
-    def _new_link(self, server: str, found_rows: bool) -> Link:
-        return Link(
+    def _new_link(self, server: str, found_rows: bool) -> ServerConnection:
+        return ServerConnection(
             self._network,
             server,
             self._credentials,
@@ -411,7 +422,7 @@
             on_closed=self._closed,
         )
 
-    async def _prepare(self, call: Call, link: Link) -> bool:
+    async def _prepare(self, call: Call, link: ServerConnection) -> bool:
         """Put the session on the connection; False if the attempt has ended over it.
 
         Nothing of the statement is written yet: whatever goes wrong here, it did not run.
@@ -439,7 +450,7 @@
             return await self._prepare_statement(call, link, request.handle)
         return True
 
-    async def _prepare_statement(self, call: Call, link: Link, handle: Handle) -> bool:
+    async def _prepare_statement(self, call: Call, link: ServerConnection, handle: Handle) -> bool:
         key = (link.state.schema, handle.text)
         if key in link.prepared:
             link.prepared.move_to_end(key)
@@ -470,7 +481,7 @@
             return False
         return True
 
-    def _drains_by_now(self, call: Call, link: Link) -> bool:
+    def _drains_by_now(self, call: Call, link: ServerConnection) -> bool:
         """Whether word of its server's drain came while the session was put there; that ends the attempt.
 
         Guards rule 3: what comes before a statement may take as long as the server likes.
@@ -479,17 +490,17 @@
         bound = call.request.link is not None
         if home is not None and (self.takes_bound(link) if bound else not home.is_leaving):
             return False
-        self._end(call, Outcome.UNSENT)
+        self._end(call, Outcome.NOT_SENT)
         self._release_unless_bound(call, link)
         return True
 
-    async def _ask(self, call: Call, link: Link, command: bytes, kind: Kind) -> AnswerReader:
+    async def _ask(self, call: Call, link: ServerConnection, command: bytes, kind: Kind) -> AnswerReader:
         try:
             return await link.exchange(command, kind, _ignore)
         except Lost:
             raise Lost(written=False) from None
 
-    async def _run(self, call: Call, link: Link) -> AnswerReader:
+    async def _run(self, call: Call, link: ServerConnection) -> AnswerReader:
         request = call.request
         if call.ended:
             raise Lost(written=False)
@@ -506,7 +517,7 @@
 
     # How attempts end
 
-    def _answered(self, call: Call, link: Link, reader: AnswerReader) -> None:
+    def _answered(self, call: Call, link: ServerConnection, reader: AnswerReader) -> None:
         request, error = call.request, reader.error
         oks = [each for each in call.parts if isinstance(each, Ok)]
         link.state.ran(request.statement, reader.status, oks[-1] if oks else None, error is not None)
@@ -527,7 +538,7 @@
             self._bound.pop(link, None)
             self._release(link)
 
-    def _prepared(self, call: Call, link: Link) -> None:
+    def _prepared(self, call: Call, link: ServerConnection) -> None:
         """A client's own prepare: the statement stays on the connection, for whoever executes it there."""
         key, prepared = (link.state.schema, call.request.command[1:]), call.parts[0]
         assert isinstance(prepared, Prepared)
@@ -536,20 +547,20 @@
         else:
             link.remember(key, prepared)
 
-    def _lost(self, call: Call, link: Link, lost: Lost) -> None:
+    def _lost(self, call: Call, link: ServerConnection, lost: Lost) -> None:
         if not lost.written:
-            self._end(call, Outcome.DIAL_FAILED)
+            self._end(call, Outcome.CONNECT_FAILED)
         elif link.fault is not None:
             self._log(f"mysql: {call.server} sent what can't be read: {link.fault}")
-            self._end(call, Outcome.SPOILT)
+            self._end(call, Outcome.MALFORMED)
         else:
-            self._end(call, Outcome.DROPPED)
+            self._end(call, Outcome.CONNECTION_LOST)
 
     def _expire(self, call: Call) -> None:
         if call.ended:
             return
         self._stop(call)
-        call.done(Outcome.EXPIRED if call.is_written else Outcome.DIAL_FAILED, None, None)
+        call.done(Outcome.TIMED_OUT if call.is_written else Outcome.CONNECT_FAILED, None, None)
 
     def _stop(self, call: Call) -> None:
         """Nothing is written for it from here on."""
@@ -573,11 +584,11 @@
 
     # Connections
 
-    def _release_unless_bound(self, call: Call, link: Link) -> None:
+    def _release_unless_bound(self, call: Call, link: ServerConnection) -> None:
         if call.request.link is None:
             self._release(link)
 
-    def _release(self, link: Link) -> None:
+    def _release(self, link: ServerConnection) -> None:
         """Back to rest, after a reset where somebody's locks, tables or transaction would stay."""
         server = self._homes.get(link)
         if server is None or server.is_leaving or not link.is_usable():
@@ -587,7 +598,7 @@
         else:
             self._rest(link)
 
-    async def _reset(self, link: Link) -> None:
+    async def _reset(self, link: ServerConnection) -> None:
         try:
             async with self._network.timeout(self._dial_within_s):
                 reader = await link.exchange(_RESET, Kind.RESULT, _ignore)
@@ -601,7 +612,7 @@
         link.forget_prepared()
         self._release(link)
 
-    def _rest(self, link: Link) -> None:
+    def _rest(self, link: ServerConnection) -> None:
         now = self._network.now()
         if not self.pool.freed(link, (link.found_rows, link.state.schema is not None), now):
             link.close()
@@ -615,7 +626,7 @@
         if self.pool.count:
             self._sweep = self._network.call_later(self._limits.pool.idle_us / 4e6, self._close_old)
 
-    def _closed(self, link: Link) -> None:
+    def _closed(self, link: ServerConnection) -> None:
         self.pool.closed(link)
         self._homes.pop(link, None)
         on_lost = self._bound.pop(link, None)
@@ -640,12 +651,12 @@
         else:
             self._release(link)
 
-    async def _ping(self, server: str, until: int, done: Done) -> None:
+    async def _ping(self, server: str, until: int, done: AttemptCallback) -> None:
         home = self._servers.get(server)
-        outcome = Outcome.DIAL_FAILED
+        outcome = Outcome.CONNECT_FAILED
         await self._network.sleep(0)
         if home is not None and not home.is_leaving:
-            link: Link | None = None
+            link: ServerConnection | None = None
             try:
                 async with self._network.timeout(max(until - self._network.now(), 0) / 1e6):
                     link = await self._obtain(server, home, _ANY, None)
@@ -653,9 +664,9 @@
                         await link.exchange(_PING, Kind.RESULT, _ignore)
                         outcome = Outcome.DELIVERED
             except Lost:
-                outcome = Outcome.DROPPED
+                outcome = Outcome.CONNECTION_LOST
             except TimeoutError:
-                outcome = Outcome.EXPIRED
+                outcome = Outcome.TIMED_OUT
             if link is not None:
                 self._release(link)
         done(outcome, None, None)
--- a/micadeck/network/__init__.py
+++ b/micadeck/network/__init__.py
@@ -4,17 +4,26 @@
 the system's clocks and sockets.  A virtual clock and an in-memory network can take its place in a simulation.
 """
 
-from micadeck.network.interfaces import Address, Apart, Listener, Network, Stream, Timer, parse_address, place
+from micadeck.network.interfaces import (
+    Address,
+    Listener,
+    Network,
+    Stream,
+    ThreadNetwork,
+    Timer,
+    parse_address,
+    place,
+)
 from micadeck.network.loop import LoopNetwork, OnLoop
 
 __all__ = [
     "Address",
-    "Apart",
     "Listener",
     "LoopNetwork",
     "Network",
     "OnLoop",
     "Stream",
+    "ThreadNetwork",
     "Timer",
     "parse_address",
     "place",
--- a/micadeck/network/interfaces.py
+++ b/micadeck/network/interfaces.py
@@ -81,7 +81,7 @@
         """Accept what has connected by now, and nothing after."""
 
 
-class Apart(Protocol):
+class ThreadNetwork(Protocol):
     """A thread that has a network of its own."""
 
     @property
@@ -115,7 +115,7 @@
     def call_from_apart(self, callback: Callable[..., object]) -> object:
         """As `call_soon`, by another thread; in order."""
 
-    def apart(self, name: str) -> Apart:
+    def apart(self, name: str) -> ThreadNetwork:
         """A thread of this name for what must not wait for its turn on this one."""
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]: ...
--- a/micadeck/network/loop.py
+++ b/micadeck/network/loop.py
@@ -14,7 +14,7 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Any, TypeVar
 
-from micadeck.network.interfaces import Address, Apart
+from micadeck.network.interfaces import Address, ThreadNetwork
 
 _BACKLOG = 1_024
 _ENDS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # also behind bytes that nobody has read
@@ -232,12 +232,12 @@
         self.wall = wall
         self.stream = _stream
 
-    def apart(self, name: str) -> Apart:
+    def apart(self, name: str) -> ThreadNetwork:
         from micadeck.network.thread_loop import (
-            LoopApart,  # nothing of it is loaded where it is not asked for
+            ThreadLoop,  # nothing of it is loaded where it is not asked for
         )
 
-        return LoopApart(name)
+        return ThreadLoop(name)
 
     async def dial(self, make: Callable[[], P], address: Address) -> P:
         _, protocol = await self._loop.create_connection(make, *address)
--- a/micadeck/network/thread_loop.py
+++ b/micadeck/network/thread_loop.py
@@ -17,7 +17,7 @@
 T = TypeVar("T")
 
 
-class LoopApart:
+class ThreadLoop:
     """Runs until `end`; a process that ends without it does not wait for it."""
 
     def __init__(self, name: str) -> None:
--- a/micadeck/operations/__init__.py
+++ b/micadeck/operations/__init__.py
@@ -5,10 +5,20 @@
 sidecar, `ids` what is open there.
 """
 
-from micadeck.operations.admin_thread import DoorApart
-from micadeck.operations.hot_restart import Beside, share_of
-from micadeck.operations.lifecycle import LetGo, Life, Phase
-from micadeck.operations.request_id_registry import OpenIds
-from micadeck.operations.statsd_report import Counts, report
+from micadeck.operations.admin_thread import AdminThread
+from micadeck.operations.hot_restart import HotRestart, share_of
+from micadeck.operations.lifecycle import ConnectionsToClose, Lifecycle, Phase
+from micadeck.operations.request_id_registry import RequestIdRegistry
+from micadeck.operations.statsd_report import RuntimeStatistics, report
 
-__all__ = ["Beside", "Counts", "DoorApart", "LetGo", "Life", "OpenIds", "Phase", "report", "share_of"]
+__all__ = [
+    "AdminThread",
+    "ConnectionsToClose",
+    "HotRestart",
+    "Lifecycle",
+    "Phase",
+    "RequestIdRegistry",
+    "RuntimeStatistics",
+    "report",
+    "share_of",
+]
--- a/micadeck/operations/admin_protocol.py
+++ b/micadeck/operations/admin_protocol.py
@@ -7,7 +7,7 @@
 MOST_LINE = 64  # bytes, its end not counted
 
 
-class Staffed(Protocol):
+class AdminTarget(Protocol):
     """What the door asks of the sidecar."""
 
     def is_ready(self) -> str | None:
@@ -23,11 +23,11 @@
         """Take clients again; false if the process is stopping."""
 
 
-class BadCall(Exception):
+class BadCommandError(Exception):
     """What came is no call; the text says why."""
 
 
-class CallReader:
+class CommandReader:
     """Reads the one line of a connection."""
 
     def __init__(self) -> None:
@@ -41,9 +41,9 @@
         line, end, behind = (self._part + data).partition(b"\n")
         line = line.removesuffix(b"\r") if end else line
         if len(line) > MOST_LINE:
-            raise BadCall("the line is too long")
+            raise BadCommandError("the line is too long")
         if behind:
-            raise BadCall("one line to a connection")
+            raise BadCommandError("one line to a connection")
         if end:
             return line
         self._part = line
@@ -54,7 +54,7 @@
         return self._part
 
 
-def answer(line: bytes, staffed: Staffed) -> bytes:
+def answer(line: bytes, staffed: AdminTarget) -> bytes:
     """What is answered to a whole line; the call is carried out."""
     if line == b"READY":
         why = staffed.is_ready()
--- a/micadeck/operations/admin_server.py
+++ b/micadeck/operations/admin_server.py
@@ -6,17 +6,17 @@
 from typing import cast
 
 from micadeck.network import Address, Listener, Network, Timer
-from micadeck.operations.admin_protocol import BadCall, CallReader, Staffed, answer, refusal
+from micadeck.operations.admin_protocol import AdminTarget, BadCommandError, CommandReader, answer, refusal
 
 MOST_CALLERS = 16  # descriptors that the sidecar sets aside for them
 _CALL_WITHIN_S = 3.0  # a caller that has not finished its line by then is cut off
 _READ_WITHIN_S = 2.0  # and one that has not read its answer
 
 
-class Door:
+class AdminServer:
     """Answers calls, one line to a connection.  No limit of clients binds it."""
 
-    def __init__(self, network: Network, staffed: Staffed) -> None:
+    def __init__(self, network: Network, staffed: AdminTarget) -> None:
         self.network = network
         self.staffed = staffed
         self._listener: Listener | None = None
@@ -48,9 +48,9 @@
 
 
 class _Caller(asyncio.Protocol):
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AdminServer) -> None:
         self._door = door
-        self._reader = CallReader()
+        self._reader = CommandReader()
         self._transport: asyncio.Transport | None = None
         self._timer: Timer | None = None
         self._is_answered = False
@@ -66,7 +66,7 @@
             return
         try:
             line = self._reader.feed(data)
-        except BadCall as fault:
+        except BadCommandError as fault:
             self._say(refusal(str(fault)))
         else:
             if line is not None:
--- a/micadeck/operations/admin_thread.py
+++ b/micadeck/operations/admin_thread.py
@@ -12,33 +12,33 @@
 
 from typing import Protocol
 
-from micadeck.network import Address, Apart, Network
-from micadeck.operations.admin_protocol import Staffed
-from micadeck.operations.admin_server import Door
+from micadeck.network import Address, Network, ThreadNetwork
+from micadeck.operations.admin_protocol import AdminTarget
+from micadeck.operations.admin_server import AdminServer
 from micadeck.operations.lifecycle import Phase
 
 
-class Sidecar(Staffed, Protocol):
+class Sidecar(AdminTarget, Protocol):
     """What is asked of the sidecar, which has a life that is told by other threads too."""
 
     @property
     def phase(self) -> Phase: ...
 
 
-class DoorApart:
+class AdminThread:
     """A door from its first listening to its end."""
 
     def __init__(self, network: Network, sidecar: Sidecar) -> None:
         self._network = network
         self._sidecar = sidecar
-        self._apart: Apart | None = None
-        self._door: Door | None = None
+        self._apart: ThreadNetwork | None = None
+        self._door: AdminServer | None = None
 
     def listen(self, address: Address) -> None:
         """Raises OSError if the address is taken, or not this machine's."""
         if self._apart is None or self._door is None:  # else listening is tried again
             self._apart = self._network.apart("micadeck-door")
-            self._door = Door(self._apart.network, _Across(self._network, self._sidecar))
+            self._door = AdminServer(self._apart.network, _Across(self._network, self._sidecar))
         door = self._door
         self._apart.run(lambda: door.listen(address))
 
--- a/micadeck/operations/hot_restart.py
+++ b/micadeck/operations/hot_restart.py
@@ -12,7 +12,7 @@
 import re
 from pathlib import Path
 
-from micadeck.operations.request_id_registry import OpenIds
+from micadeck.operations.request_id_registry import RequestIdRegistry
 
 _TRIES = 5
 _SAFE = re.compile(r"[^A-Za-z0-9_-]")
@@ -23,7 +23,7 @@
     return limit // (1 + others)
 
 
-class Beside:
+class HotRestart:
     """Counts the processes that are there beside this one; without a folder there are none."""
 
     def __init__(self, folder: str | None, name: str) -> None:
@@ -39,10 +39,10 @@
         """How many processes are there beside this one."""
         return len(self._alive)
 
-    def ids(self) -> OpenIds | None:
+    def ids(self) -> RequestIdRegistry | None:
         """Where ids of open requests are held so that the others see them; None if it can't be done."""
         try:
-            return OpenIds(self._fd, self._alive)
+            return RequestIdRegistry(self._fd, self._alive)
         except OSError:
             return None
 
--- a/micadeck/operations/lifecycle.py
+++ b/micadeck/operations/lifecycle.py
@@ -35,7 +35,7 @@
 
 
 @unique
-class LetGo(Enum):
+class ConnectionsToClose(Enum):
     """Which of the clients' connections are closed now."""
 
     NONE = "none"
@@ -55,7 +55,7 @@
 }
 
 
-class Life:
+class Lifecycle:
     """The phase of one process, and since when it is leaving."""
 
     def __init__(self) -> None:
@@ -104,8 +104,10 @@
         """Whether every answer closes its connection."""
         return self.phase in (Phase.DRAINING, Phase.STOPPING)
 
-    def lets_go(self, now: float) -> LetGo:
+    def lets_go(self, now: float) -> ConnectionsToClose:
         """Which connections are to be closed at this time."""
         if not self.is_leaving or now < self._leaving_since + _SPARED_S:
-            return LetGo.NONE
-        return LetGo.IDLE if now < self._leaving_since + _ALL_GO_S else LetGo.RESTING
+            return ConnectionsToClose.NONE
+        return (
+            ConnectionsToClose.IDLE if now < self._leaving_since + _ALL_GO_S else ConnectionsToClose.RESTING
+        )
--- a/micadeck/operations/request_id_registry.py
+++ b/micadeck/operations/request_id_registry.py
@@ -35,7 +35,7 @@
     return len(FORM) + bucket * _BUCKET, mark if mark != _EMPTY else b"\1" + mark[1:]
 
 
-class OpenIds(set[bytes]):
+class RequestIdRegistry(set[bytes]):
     """A set of ids: what is added is shown to others, and what others show counts as a member."""
 
     def __init__(self, own: int, others: Sequence[Path]) -> None:
--- a/micadeck/operations/startup_retry.py
+++ b/micadeck/operations/startup_retry.py
@@ -29,11 +29,11 @@
 )
 
 
-class StartCalledOff(Exception):
+class StartCancelledError(Exception):
     """The process was told to end while its start waited: nothing was taken."""
 
 
-class StartWait:
+class StartupRetry:
     """The wait for one thing that a start needs; times in seconds, on one clock."""
 
     def __init__(self, now: float) -> None:
--- a/micadeck/operations/statsd_report.py
+++ b/micadeck/operations/statsd_report.py
@@ -6,14 +6,14 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from micadeck.engine import Account
+from micadeck.engine import OutcomeCounters
 
 _PREFIX = "edge_balancer"
 _NOT_OF_A_NAME = re.compile(r"[^A-Za-z0-9_-]")  # dots part a name, colons and bars end it
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
+class RuntimeStatistics:
     """What is read off the state itself at the time of the report."""
 
     in_progress: int  # requests taken and not ended
@@ -31,7 +31,7 @@
     descriptors: int  # open in the process
 
 
-def report(account: Account, classes: Iterable[str], counts: Counts) -> bytes:
+def report(account: OutcomeCounters, classes: Iterable[str], counts: RuntimeStatistics) -> bytes:
     """Lines `name:figure|type`; a class that is in force or was asked for has all three of its own."""
     lines: list[str] = []
     for name in dict.fromkeys([*classes, *account]):
--- a/micadeck/peer_datagrams.py
+++ b/micadeck/peer_datagrams.py
@@ -12,7 +12,7 @@
 MOST_BYTES = 256  # of a datagram; a longer one is never sent
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerDatagrams(asyncio.DatagramProtocol):
     """Sends to sidecars of the tier by number, and tells who a datagram came from."""
 
     def __init__(
--- a/micadeck/policy/actions.py
+++ b/micadeck/policy/actions.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Bound:
+class SetAttemptDeadline:
     """Abandon an attempt that is out at another time than its Send said."""
 
     request: int
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class SendPeerMessage:
     """Send a message to one balancer of the tier, or to all (None)."""
 
     receiver: int | None
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True)
-class Follow:
+class WatchEndpoints:
     """Subscribe to changes of the server list, or end that."""
 
     wanted: bool = True
@@ -100,5 +100,16 @@
 
 
 Action = (
-    Send | Refuse | Fail | Cancel | Bound | SetTimer | Probe | CloseIdle | Tell | Follow | FetchList | Log
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | SetAttemptDeadline
+    | SetTimer
+    | Probe
+    | CloseIdle
+    | SendPeerMessage
+    | WatchEndpoints
+    | FetchList
+    | Log
 )
