--- a/micadeck/policy/balancer.py
+++ b/micadeck/policy/balancer.py
@@ -17,36 +17,43 @@
 
 from micadeck.policy.actions import (
     Action,
-    Bound,
     Cancel,
     CloseIdle,
     Fail,
-    Follow,
     Log,
     Refuse,
     Send,
+    SetAttemptDeadline,
     SetTimer,
+    WatchEndpoints,
 )
-from micadeck.policy.decaying_rate import Rate
+from micadeck.policy.decaying_rate import DecayingRate
 from micadeck.policy.events import (
     AnswerStarted,
     AttemptEnded,
+    ClientDisconnected,
     Event,
     ListedServer,
     ListKind,
     RequestArrived,
-    RequestGone,
-    RequestWhole,
+    RequestCompleted,
     ServersListed,
     ServerState,
     SettingsChanged,
     TimerFired,
 )
 from micadeck.policy.outcomes import Outcome
-from micadeck.policy.settings import TOLD_US, Discovery, Group, Repeat, ServiceClass, Settings
+from micadeck.policy.settings import (
+    NOTIFICATION_DEADLINE_US,
+    DeduplicationScope,
+    DiscoveryMode,
+    Idempotency,
+    ServiceClass,
+    Settings,
+)
 from micadeck.policy.slow_start import plausible_start
-from micadeck.policy.statistics import Figures
-from micadeck.policy.traffic import Mix
+from micadeck.policy.statistics import BalancerStatistics
+from micadeck.policy.traffic import TrafficShare
 
 # ---------------------------------------------------------------------------------------------------
 # Constants: ratios of what the settings give or of what was observed
@@ -138,13 +145,13 @@
 
     name: str
     place: float  # chance, drawn once: this balancer's order of the servers
-    bad: Rate  # attempts that failed
-    ended: Rate  # and all that ended
+    bad: DecayingRate  # attempts that failed
+    ended: DecayingRate  # and all that ended
     zone: str = ""
     cell: int = 0
     nominal: float = 1.0
     pace: float = 1.0  # how long it takes, relative to the usual
-    state: ServerState = ServerState.GONE
+    state: ServerState = ServerState.REMOVED
     state_at: int = 0  # when it was heard
     started_at: int | None = None  # as the list tells it
     start: int | None = None  # as far as that can be so
@@ -261,25 +268,25 @@
         self._mean_size = 1.0
         self._cold: dict[str, Server] = {}  # those that turned cold, until it is seen that they are not
         self._bearable_at = -1
-        self._bad = Rate(FAILING_AIMS * self._longest_aim)  # attempts that failed, at all servers
-        self._ended = Rate(FAILING_AIMS * self._longest_aim)  # and all that ended
+        self._bad = DecayingRate(FAILING_AIMS * self._longest_aim)  # attempts that failed, at all servers
+        self._ended = DecayingRate(FAILING_AIMS * self._longest_aim)  # and all that ended
         self._answers = 0  # answers so far, from all servers
         self._extra = EXTRA_PER_REQUEST * EXTRA_SAVED / 2
         self._mean_cost: dict[str, float] = {}
-        self._arrivals = Rate(RATE_SPANS * settings.rules.fall_us)
-        self._served_warm = Rate(RATE_SPANS * settings.rules.fall_us)
+        self._arrivals = DecayingRate(RATE_SPANS * settings.rules.fall_us)
+        self._served_warm = DecayingRate(RATE_SPANS * settings.rules.fall_us)
         self._norms: dict[tuple[str, int], float] = {}  # usual time of a class and size, over all servers
         self._spent = 0.0  # the part of its aim that the typical answer takes
         self._cores: float | None = None  # how busy servers report their cores, on average; None: not at all
         self._late = 0.0  # part of the answers that come after their aim
         self._floor: float | None = None  # the least that part has been of late
         self._window = math.inf  # how many own requests in flight the fleet bears in time
-        self._served_aims = Rate(self._longest_aim)  # time allowed to what was answered, per time
+        self._served_aims = DecayingRate(self._longest_aim)  # time allowed to what was answered, per time
         self._bound = False  # whether the window refused anything since it was last sized
         self._mean_load = 0.0  # own requests in flight, averaged
         self._load_at = 0
         self._sized_at = 0
-        self._mix: dict[tuple[str, str | None], Mix] = {}
+        self._mix: dict[tuple[str, str | None], TrafficShare] = {}
 
     def _take_up(self, settings: Settings) -> None:
         self._settings = settings
@@ -320,9 +327,9 @@
                 self._timer_fired()
             case ServersListed():
                 self._servers_listed(event)
-            case RequestGone():
+            case ClientDisconnected():
                 self._request_gone(event)
-            case RequestWhole():
+            case RequestCompleted():
                 self._request_whole(event)
             case AnswerStarted():
                 self._answer_started(event)
@@ -335,14 +342,16 @@
 
     def known(self) -> int:
         """How many servers are on the list; any thread may ask, here and below."""
-        return sum(each.state is not ServerState.GONE for each in list(self._servers.values()))
+        return sum(each.state is not ServerState.REMOVED for each in list(self._servers.values()))
 
     def avoided(self) -> int:
         """How many of these get nothing new, or only trials."""
         return self.known() - sum(each.ejected_until is None for each in list(self._ready))
 
-    def figures(self) -> Figures:
-        return Figures(self._load(), self._window, self._spent, self._late, self._cores, len(self._ejected))
+    def figures(self) -> BalancerStatistics:
+        return BalancerStatistics(
+            self._load(), self._window, self._spent, self._late, self._cores, len(self._ejected)
+        )
 
     # -----------------------------------------------------------------------------------------------
     # The server list
@@ -352,8 +361,8 @@
 
         A call that is never answered is made again: an instance may not pass `ask_within_us` unheard.
         """
-        if self._settings.discovery is Discovery.ON_REQUEST:
-            self._actions.append(Follow(True))
+        if self._settings.discovery is DiscoveryMode.ON_REQUEST:
+            self._actions.append(WatchEndpoints(True))
             self._ask_in(ASK_AGAIN_MOST * self._settings.rules.ask_within_us)
 
     def _ask_in(self, wait: float) -> None:
@@ -367,7 +376,7 @@
         Guards against a wait that outlasts an outage: a change counts as told however the calls fared.
         """
         allowed = self._settings.rules.ask_within_us
-        most = min(ASK_AGAIN_MOST * allowed, ASK_AGAIN_TOLD * TOLD_US)
+        most = min(ASK_AGAIN_MOST * allowed, ASK_AGAIN_TOLD * NOTIFICATION_DEADLINE_US)
         wait = min(ASK_AGAIN * allowed * 2**self._failed_calls, most)
         self._failed_calls = min(self._failed_calls + 1, 8)
         self._ask_in(wait * (0.5 + 0.5 * self._random.random()))
@@ -386,7 +395,7 @@
             self._ready, self._ready_far, self._ready_size = [], 0, 0.0
             for server in self._servers.values():
                 if server.name not in listed:
-                    self._state_heard(server, ServerState.GONE)
+                    self._state_heard(server, ServerState.REMOVED)
         else:
             # What one change costs must not grow with the list: only these are taken out, and in again.
             for server in [self._servers[name] for name in listed if name in self._servers]:
@@ -420,12 +429,12 @@
         server = self._servers.get(line.server)
         if server is None:
             span = self._bad.span_us
-            server = Server(line.server, self._random.random(), Rate(span), Rate(span))
+            server = Server(line.server, self._random.random(), DecayingRate(span), DecayingRate(span))
             self._servers[line.server] = server
-        was_listed = server.state is not ServerState.GONE
+        was_listed = server.state is not ServerState.REMOVED
         server.zone = line.zone
         server.cell = line.cell
-        if server.state is ServerState.GONE or line.nominal != server.nominal:
+        if server.state is ServerState.REMOVED or line.nominal != server.nominal:
             server.pace = 0.0  # to be set by its nominal size
         server.nominal = max(line.nominal, 0.0)
         self._state_heard(server, line.state)
@@ -443,7 +452,7 @@
         Guards against growth where servers are replaced all day, and against ejected ones that are long gone
         counting as a part of the list.  One that comes back tells its start time, and is cold by that.
         """
-        if server.state is ServerState.GONE and server.in_flight == 0:
+        if server.state is ServerState.REMOVED and server.in_flight == 0:
             if self._servers.get(server.name) is server:
                 del self._servers[server.name]
             if server in self._ejected:
@@ -503,7 +512,7 @@
             if not request.is_out():
                 self._finish(request)
 
-    def _request_whole(self, event: RequestWhole) -> None:
+    def _request_whole(self, event: RequestCompleted) -> None:
         """Its time runs from here: no server began it before, however long it took to come."""
         request = self._requests.get(event.request)
         if request is None or request.answered:
@@ -516,7 +525,7 @@
                 attempt.sent_at = self._now
                 self._passes(attempt, False)
                 self._schedule(self._now + self._patience(request, attempt), request.ident, attempt.index)
-                self._actions.append(Bound(request.ident, attempt.index, request.answer_by))
+                self._actions.append(SetAttemptDeadline(request.ident, attempt.index, request.answer_by))
 
     def _passes(self, attempt: Attempt, passing: bool) -> None:
         """Guards against taking slow clients for busy servers: a large body takes no server's time."""
@@ -525,7 +534,7 @@
         attempt.server.passing += by
         self._passing += by
 
-    def _request_gone(self, event: RequestGone) -> None:
+    def _request_gone(self, event: ClientDisconnected) -> None:
         request = self._requests.get(event.request)
         if request is not None and not request.answered:
             self._close(request)
@@ -636,7 +645,9 @@
         """
         mine = self._mix.get((kind.name, tenant))
         if mine is None:
-            mine = self._mix[(kind.name, tenant)] = Mix(kind, tenant, Rate(MIX_AIMS * self._longest_aim))
+            mine = self._mix[(kind.name, tenant)] = TrafficShare(
+                kind, tenant, DecayingRate(MIX_AIMS * self._longest_aim)
+            )
         mine.rate.add(self._now, 1.0)
         fill = self._fill()
         if fill <= FREE:
@@ -648,7 +659,7 @@
         self._bound = True
         return True
 
-    def _standing(self, mine: Mix) -> float:
+    def _standing(self, mine: TrafficShare) -> float:
         """The part of the traffic that is worth less, counting half of what is worth the same.
 
         A request is worth what its class is, less what its tenant asks beyond its share.  Sidecars see
@@ -666,7 +677,7 @@
         same = sum(rate for rate, worth in zip(rates, worths, strict=True) if worth == own)
         return (below + 0.5 * same) / all_asked if all_asked > 0.0 else 0.5
 
-    def _worth(self, mix: Mix, asked: float, all_asked: float) -> float:
+    def _worth(self, mix: TrafficShare, asked: float, all_asked: float) -> float:
         tenant = self._tenants.get(mix.tenant or "")
         if tenant is None or asked <= 0.0:
             return mix.kind.worth
@@ -882,9 +893,9 @@
         begun: less one tick, since the clock is read once a tick, and less the way there.
         """
         first = next((each for each in request.attempts if each.may_have_run), None)
-        if first is None or request.kind.repeat is Repeat.SAFE:
+        if first is None or request.kind.repeat is Idempotency.IDEMPOTENT:
             return None
-        if request.kind.repeat is Repeat.UNSAFE:
+        if request.kind.repeat is Idempotency.NON_IDEMPOTENT:
             return 0
         memory = request.kind.memory_us
         way = min(WAY_DIALS * self._settings.limits.dial_timeout_us, WAY_MOST * memory)
@@ -893,12 +904,16 @@
     @staticmethod
     def _in_group(request: Request, server: Server) -> bool:
         """Whether a keyed request that may have run would have its repeat dropped at this server."""
-        if request.kind.repeat is not Repeat.KEYED or request.kind.group is Group.ALL:
+        if request.kind.repeat is not Idempotency.KEYED or request.kind.group is DeduplicationScope.ALL:
             return True
         for each in request.attempts:
             if each.may_have_run:
                 zone, cell = each.group
-                return zone == server.zone if request.kind.group is Group.ZONE else cell == server.cell
+                return (
+                    zone == server.zone
+                    if request.kind.group is DeduplicationScope.ZONE
+                    else cell == server.cell
+                )
         return True
 
     # -----------------------------------------------------------------------------------------------
@@ -908,8 +923,10 @@
         """The one way out for an answer that is not a server's: a refusal where legal, else a failure."""
         if request.answered:
             return
-        harmless = request.kind.repeat is Repeat.SAFE or not any(a.may_have_run for a in request.attempts)
-        if request.kind.repeat is Repeat.KEYED and request.kind.group is Group.ALL:
+        harmless = request.kind.repeat is Idempotency.IDEMPOTENT or not any(
+            a.may_have_run for a in request.attempts
+        )
+        if request.kind.repeat is Idempotency.KEYED and request.kind.group is DeduplicationScope.ALL:
             harmless = True
         self._actions.append(
             Refuse(request.ident, self._come_back_in(request)) if harmless else Fail(request.ident)
@@ -962,10 +979,10 @@
             self._stuck -= 1
         self._close_if_leaving(attempt.server)
         given_up = event.outcome is Outcome.CANCELLED and event.elapsed_us >= request.kind.aim_us
-        self._judge(attempt, Outcome.EXPIRED if given_up else event.outcome)
+        self._judge(attempt, Outcome.TIMED_OUT if given_up else event.outcome)
         if event.report and "util" in event.report:
             self._follow_cores(min(max(event.report["util"], 0.0), 1.0))
-        if event.outcome in (Outcome.EXPIRED, Outcome.CANCELLED):
+        if event.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             until = self._now + int(GHOST_LIFE * event.elapsed_us)
             attempt.server.ghosts.append(until)
             if attempt.server.ejected_until is None:
@@ -998,7 +1015,7 @@
             request.tried.append(attempt.server)
             if not event.again:
                 request.most = 0
-            full, turned_down = event.outcome is Outcome.FULL, event.outcome is Outcome.TURNED_DOWN
+            full, turned_down = event.outcome is Outcome.FULL, event.outcome is Outcome.CONNECTION_REFUSED
             request.said_full += full
             request.turned_down += turned_down
             left = self._has_attempts_left(request) and self._may_run_again(request)
@@ -1144,30 +1161,35 @@
                 self._served_warm.add(self._now, 1.0)
             if server.ejected_until is not None:
                 self._readmit(server)
-        elif outcome is Outcome.TURNED_DOWN:
+        elif outcome is Outcome.CONNECTION_REFUSED:
             self._eject(server, outcome.value)
             if server.ejected_until is not None:
                 server.is_vacant = True
                 self._turned_cold(server, self._now)  # who listens there next has just started
-        elif outcome is Outcome.SPOILT:
+        elif outcome is Outcome.MALFORMED:
             # Guards against ejecting servers for what comes spoilt from all of them alike.
             server.spoilt += 1
             server.last_answer_at = self._now
             if trial or (server.spoilt >= SPOILT_STRIKES and server.ejected_until is None):
                 self._eject(server, outcome.value)
-        elif outcome in (Outcome.EXPIRED, Outcome.DROPPED, Outcome.DIAL_FAILED, Outcome.ERROR):
-            if outcome is Outcome.EXPIRED and server.last_answer_at > attempt.sent_at:
+        elif outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.ERROR):
+            if outcome is Outcome.TIMED_OUT and server.last_answer_at > attempt.sent_at:
                 return  # it is slow, not sick: it answered others meanwhile
-            if outcome in (Outcome.EXPIRED, Outcome.DROPPED) and self._silent_on_idle(attempt) and not trial:
+            if (
+                outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
+                and self._silent_on_idle(attempt)
+                and not trial
+            ):
                 return
             self._count_end(server, 1.0)
             server.strikes += 1
             enough = max(
-                STRIKES_DROPPED if outcome is Outcome.DROPPED else STRIKES, self._row_by_chance(server)
+                STRIKES_DROPPED if outcome is Outcome.CONNECTION_LOST else STRIKES,
+                self._row_by_chance(server),
             )
             if trial or (server.strikes >= enough and server.ejected_until is None):
                 self._eject(server, outcome.value)
-                if trial and outcome is Outcome.DIAL_FAILED:
+                if trial and outcome is Outcome.CONNECT_FAILED:
                     # It is down for good, and may come back before the list says so.  Connections that break
                     # say less: the way may do that, and a fleet held for cold has no room for anyone.
                     self._turned_cold(server, self._now)
@@ -1197,7 +1219,7 @@
         if server.ejected_until is None:
             ready, vacant = len(self._ready), sum(each.is_vacant for each in self._ejected)
             out, room = len(self._ejected) - vacant, most * min(ready - vacant, self._reach())
-            if reason == Outcome.TURNED_DOWN.value:
+            if reason == Outcome.CONNECTION_REFUSED.value:
                 # Guards against a list of servers that are gone: it is certain, and takes nobody's room.
                 out, room = len(self._ejected), max(most * ready, ready - DRAWN)
             if out + 1 > room:
@@ -1232,7 +1254,7 @@
 
     def _trial_due(self, request: Request) -> Server | None:
         """An ejected server comes back by one trial at a time, with a request that may be repeated."""
-        if request.kind.repeat is not Repeat.SAFE or request.attempts:
+        if request.kind.repeat is not Idempotency.IDEMPOTENT or request.attempts:
             return None
         for server in self._ejected:
             waited = server.ejected_until is not None and self._now >= server.ejected_until
--- a/micadeck/policy/decaying_rate.py
+++ b/micadeck/policy/decaying_rate.py
@@ -5,7 +5,7 @@
 import math
 
 
-class Rate:
+class DecayingRate:
     """A rate over a sliding span of time: an exponentially fading count."""
 
     __slots__ = ("_at", "_count", "span_us")
--- a/micadeck/policy/events.py
+++ b/micadeck/policy/events.py
@@ -19,7 +19,7 @@
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 @unique
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class RequestWhole:
+class RequestCompleted:
     """The last byte of a request came that was taken before; its time counts from here."""
 
     request: int
@@ -104,7 +104,7 @@
 
 
 @dataclass(slots=True)
-class RequestGone:
+class ClientDisconnected:
     """The client went away; nothing is owed any more."""
 
     request: int
@@ -148,10 +148,10 @@
 Event = (
     ServersListed
     | RequestArrived
-    | RequestWhole
+    | RequestCompleted
     | AnswerStarted
     | AttemptEnded
-    | RequestGone
+    | ClientDisconnected
     | TimerFired
     | ProbeEnded
     | MessageReceived
--- a/micadeck/policy/outcomes.py
+++ b/micadeck/policy/outcomes.py
@@ -12,11 +12,11 @@
     DELIVERED = "delivered"
     ERROR = "error"
     FULL = "full"
-    EXPIRED = "expired"
-    DIAL_FAILED = "dial_failed"
-    TURNED_DOWN = "turned_down"  # nobody listens there, and the dial was told so at once
-    DROPPED = "dropped"
+    TIMED_OUT = "expired"
+    CONNECT_FAILED = "dial_failed"
+    CONNECTION_REFUSED = "turned_down"  # nobody listens there, and the dial was told so at once
+    CONNECTION_LOST = "dropped"
     CANCELLED = "cancelled"
-    UNSENT = "unsent"
-    SPOILT = "spoilt"  # an answer came that can't be used; nothing is said of the server's health
+    NOT_SENT = "unsent"
+    MALFORMED = "spoilt"  # an answer came that can't be used; nothing is said of the server's health
     REJECTED = "rejected"  # the server is well and found fault with the request
--- a/micadeck/policy/settings.py
+++ b/micadeck/policy/settings.py
@@ -16,7 +16,7 @@
 from micadeck.policy.outcomes import Outcome
 from micadeck.policy.settings_reader import MappingReader
 
-TOLD_US = 6_000_000
+NOTIFICATION_DEADLINE_US = 6_000_000
 """What discovery has, and could be reached for, counts as told so long after, whatever became of the calls.
 
 The one clock of all that is asked of discovery: each wait before a call and each limit on one is a part of
@@ -25,16 +25,16 @@
 
 
 @unique
-class Repeat(Enum):
+class Idempotency(Enum):
     """What a class of requests says of a second attempt."""
 
-    SAFE = "safe"  # may run any number of times
+    IDEMPOTENT = "safe"  # may run any number of times
     KEYED = "keyed"  # repeats are dropped inside one group of servers, for a while
-    UNSAFE = "unsafe"  # must never run twice
+    NON_IDEMPOTENT = "unsafe"  # must never run twice
 
 
 @unique
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which servers drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -43,7 +43,7 @@
 
 
 @unique
-class Discovery(Enum):
+class DiscoveryMode(Enum):
     """Whether changes of the server list come unasked."""
 
     PUSHED = "pushed"
@@ -51,7 +51,7 @@
 
 
 @unique
-class Weights(Enum):
+class CapacityWeights(Enum):
     """What a server's nominal figure means."""
 
     SILENT = "silent"
@@ -70,7 +70,7 @@
 
 
 @unique
-class WorthBy(Enum):
+class PriorityWeightUnit(Enum):
     """What a class's worth is counted for."""
 
     REQUEST = "request"
@@ -86,8 +86,8 @@
     aim_us: int
     worth: float = 1.0
     late_worth: float = 0.0
-    repeat: Repeat = Repeat.UNSAFE
-    group: Group = Group.CELL
+    repeat: Idempotency = Idempotency.NON_IDEMPOTENT
+    group: DeduplicationScope = DeduplicationScope.CELL
     memory_us: int = 0
     streaming: bool = False
     aim_stretch: float = 0.0
@@ -140,11 +140,11 @@
         """Whether the outcome proves that the server did nothing of the request: the one place to ask."""
         if outcome is Outcome.FULL:
             return not self.full_may_have_run
-        return outcome in (Outcome.DIAL_FAILED, Outcome.TURNED_DOWN, Outcome.UNSENT)
+        return outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_REFUSED, Outcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
-class Prices:
+class TrafficPrices:
     """What extra traffic costs, as a part of all service, mostly for one a request."""
 
     cross_zone: float = 0.0
@@ -179,15 +179,15 @@
     me: int = 0
     group_size: int = 1
     tick_us: int = 1_000
-    discovery: Discovery = Discovery.ON_REQUEST
-    weights: Weights = Weights.SILENT
-    worth_by: WorthBy = WorthBy.REQUEST
+    discovery: DiscoveryMode = DiscoveryMode.ON_REQUEST
+    weights: CapacityWeights = CapacityWeights.SILENT
+    worth_by: PriorityWeightUnit = PriorityWeightUnit.REQUEST
     over_share_worth: float = 1.0
     report_source: ReportSource = ReportSource.SILENT
     report_columns: tuple[str, ...] = ()
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
-    prices: Prices = field(default_factory=Prices)
+    prices: TrafficPrices = field(default_factory=TrafficPrices)
     goal: Goal = field(default_factory=Goal)
     kinds: tuple[str, ...] = ()  # the kinds of machines that lists may name
     clients_mark_retries: bool = False
@@ -217,9 +217,9 @@
             me=top.whole("me", 0),
             group_size=top.whole("group_size", 1, low=1),
             tick_us=top.whole("tick_us", 1_000, low=1),
-            discovery=top.choice("discovery", Discovery, Discovery.ON_REQUEST),
-            weights=top.choice("weights", Weights, Weights.SILENT),
-            worth_by=top.choice("worth_by", WorthBy, WorthBy.REQUEST),
+            discovery=top.choice("discovery", DiscoveryMode, DiscoveryMode.ON_REQUEST),
+            weights=top.choice("weights", CapacityWeights, CapacityWeights.SILENT),
+            worth_by=top.choice("worth_by", PriorityWeightUnit, PriorityWeightUnit.REQUEST),
             over_share_worth=top.number("over_share_worth", 1.0, high=1.0),
             report_source=report.choice("source", ReportSource, ReportSource.SILENT),
             report_columns=report.texts("columns"),
@@ -250,7 +250,7 @@
                 full_may_have_run=rules.flag("full_may_have_run", False),
                 close_idle_within_us=rules.optional_whole("close_idle_within_us"),
             ),
-            prices=Prices(
+            prices=TrafficPrices(
                 cross_zone=prices.number("cross_zone", 0.0),
                 probe=prices.number("probe", 0.0),
                 message=prices.number("message", 0.0),
@@ -282,8 +282,8 @@
         aim_us=min(each.whole("aim_us", deadline, low=1), deadline),
         worth=each.number("worth", 1.0),
         late_worth=each.number("late_worth", 0.0),
-        repeat=each.choice("repeat", Repeat, Repeat.UNSAFE),
-        group=each.choice("group", Group, Group.CELL),
+        repeat=each.choice("repeat", Idempotency, Idempotency.NON_IDEMPOTENT),
+        group=each.choice("group", DeduplicationScope, DeduplicationScope.CELL),
         memory_us=each.whole("memory_us", 0),
         streaming=each.flag("streaming", False),
         aim_stretch=each.number("aim_stretch", 0.0),
--- a/micadeck/policy/slow_start.py
+++ b/micadeck/policy/slow_start.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from micadeck.policy.settings import TOLD_US
+from micadeck.policy.settings import NOTIFICATION_DEADLINE_US
 
 LONGEST_STEP_US = 2 * 3_600 * 1_000_000  # no step of a clock is taken for longer: what is older is old
 
@@ -22,5 +22,5 @@
     """
     if last_word is None or now - told > LONGEST_STEP_US:
         return min(told, now)
-    earliest = last_word if was_listed else last_word - TOLD_US
+    earliest = last_word if was_listed else last_word - NOTIFICATION_DEADLINE_US
     return min(max(told, earliest), now)
--- a/micadeck/policy/statistics.py
+++ b/micadeck/policy/statistics.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class BalancerStatistics:
     """How a balancer stands, for those who look on."""
 
     load: int  # own requests in flight that count
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -11,24 +11,34 @@
 
 from micadeck.config import Config
 from micadeck.engine import Engine
-from micadeck.http.body_stream import Budget
-from micadeck.http.listener import ClientLimits, Frontend
-from micadeck.http.upstream import Upstream
-from micadeck.membership.discovery_watcher import Roster
-from micadeck.memory.budget import Kind, MemoryAccount, Stage
+from micadeck.http.body_stream import BufferBudget
+from micadeck.http.listener import DownstreamLimits, HttpListener
+from micadeck.http.upstream import ConnectionPool
+from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.memory.budget import MemoryBudget, MemoryUse, PressureLevel
 from micadeck.memory.resident import MB, open_descriptors
 from micadeck.network import Address, Network, place
-from micadeck.operations import Beside, Counts, DoorApart, LetGo, Life, OpenIds, Phase, report, share_of
+from micadeck.operations import (
+    AdminThread,
+    ConnectionsToClose,
+    HotRestart,
+    Lifecycle,
+    Phase,
+    RequestIdRegistry,
+    RuntimeStatistics,
+    report,
+    share_of,
+)
 from micadeck.operations.shutdown_budget import FLUSH_S, KILLED_AFTER_S, answered_by
-from micadeck.operations.startup_retry import StartCalledOff, StartWait
-from micadeck.peer_datagrams import Peers
+from micadeck.operations.startup_retry import StartCancelledError, StartupRetry
+from micadeck.peer_datagrams import PeerDatagrams
 from micadeck.policy import IS_COMPILED
-from micadeck.policy.settings import Discovery
+from micadeck.policy.settings import DiscoveryMode
 
 if TYPE_CHECKING:
     from micadeck.fleet.host import FleetHost
     from micadeck.incidents.recording import Recording
-    from micadeck.membership.sources import Sources
+    from micadeck.membership.sources import EndpointSources
     from micadeck.mysql.service import MysqlService
     from micadeck.policy import Balancer, Settings
     from micadeck.traces.record import Recorder
@@ -75,12 +85,12 @@
         self.network = network
         self.others = 0  # processes of this sidecar that share its limits
         self._log = log
-        self.memory = MemoryAccount(config.memory_mb * MB)
-        self.budget = Budget(config.memory_mb * _PASSED_ON_OF_MEMORY, self.memory)
-        self.upstream = Upstream(network, settings, self.budget)
-        is_pushed = settings.discovery is Discovery.PUSHED
+        self.memory = MemoryBudget(config.memory_mb * MB)
+        self.budget = BufferBudget(config.memory_mb * _PASSED_ON_OF_MEMORY, self.memory)
+        self.upstream = ConnectionPool(network, settings, self.budget)
+        is_pushed = settings.discovery is DiscoveryMode.PUSHED
         self.roster = (
-            Roster(
+            DiscoveryWatcher(
                 network,
                 config.discovery,
                 config.known.version,
@@ -96,7 +106,7 @@
         self.sources = self._with_consul(config)
         source = self.sources or self.roster
         assert source is not None  # the configuration has one of them
-        self.peers = Peers(network, config.peers, config.peers_all, settings.me)
+        self.peers = PeerDatagrams(network, config.peers, config.peers_all, settings.me)
         self.engine = make_engine(settings, config.seed, network, self.upstream, source, self.peers, log)
         self.fleet = self._with_fleet(config, source.doubt)
         self.recorder = self._recorded(config) if config.trace else None
@@ -154,13 +164,13 @@
         )
         return recording
 
-    def _with_consul(self, config: Config) -> Sources | None:
+    def _with_consul(self, config: Config) -> EndpointSources | None:
         """The roster and Consul as one source; without Consul, nothing of it is loaded."""
         if config.consul is None:
             return None
-        from micadeck.membership.sources import Sources
+        from micadeck.membership.sources import EndpointSources
 
-        return Sources(
+        return EndpointSources(
             self.network, self.roster, config.known, config.consul, config.seed, config.name, self._log
         )
 
@@ -259,12 +269,12 @@
         config: Config,
         network: Network,
         log: Callable[[str], None],
-        client_limits: ClientLimits | None = None,
-        beside: Beside | None = None,
+        client_limits: DownstreamLimits | None = None,
+        beside: HotRestart | None = None,
     ) -> None:
         self._beside = beside
         self._watching: asyncio.Task[None] | None = None
-        self._ids: OpenIds | None = None  # only while there are others
+        self._ids: RequestIdRegistry | None = None  # only while there are others
         self._network = network
         self._log = log
         self._core = Core(config, network, log)
@@ -272,17 +282,17 @@
         if self._core.sources is not None:
             # A list of thousands comes after the start: a collection that looks at all of it takes 50 ms.
             self._core.sources.settle = gc.freeze
-        client_limits = client_limits or ClientLimits(most_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
-        self.frontend = Frontend(config.settings, client_limits, self._engine, network, self._core.budget)
+        client_limits = client_limits or DownstreamLimits(most_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
+        self.frontend = HttpListener(config.settings, client_limits, self._engine, network, self._core.budget)
         self.frontend.most = self._core.for_clients
         self.frontend.on_settings = self._core.retune
         self._engine.memory = self._core.memory  # a host's own memory is not this library's to ration
         self._core.memory.on_stage = self._relieve_soon
         self.mysql = self._with_mysql(config, network, log)
-        self.life = Life()
-        self.door = DoorApart(network, self) if config.operator is not None else None
+        self.life = Lifecycle()
+        self.door = AdminThread(network, self) if config.operator is not None else None
         self._leaving: asyncio.Task[None] | None = None
-        self.on_memory_stage: Callable[[Stage], object] = _nothing
+        self.on_memory_stage: Callable[[PressureLevel], object] = _nothing
         self._is_relieving = False
         self._loads = self._load_errors = 0
         self._started_at = 0.0
@@ -323,7 +333,7 @@
         self, key: str, address: Address, listen: Callable[[Address], None], is_ending: Callable[[], bool]
     ) -> None:
         """Listen at the address of this key, and wait out what fails for a moment."""
-        wait = StartWait(self._network.time())
+        wait = StartupRetry(self._network.time())
         while True:
             try:
                 listen(address)
@@ -333,12 +343,12 @@
                 retry_s = wait.retry_in_s(fault, self._network.time())
                 told = f"{key}: {place(address)}: {fault}"
             if retry_s is None:
-                raise CannotListen(told)
+                raise ListenError(told)
             if is_first:
                 self._log(f"waits to listen: {told}")
             await self._network.sleep(retry_s)
             if is_ending():
-                raise StartCalledOff
+                raise StartCancelledError
 
     @property
     def open_requests(self) -> int:
@@ -353,7 +363,7 @@
         if self.mysql is not None and config.mysql is not None:
             self.mysql.reload(config.mysql)
 
-    async def _watch_beside(self, beside: Beside) -> None:
+    async def _watch_beside(self, beside: HotRestart) -> None:
         while True:
             await self._network.sleep(_LOOK_BESIDE_S)
             if beside.look():
@@ -378,19 +388,19 @@
     # Memory
 
     @property
-    def memory(self) -> MemoryAccount:
+    def memory(self) -> MemoryBudget:
         """What is kept of what others send."""
         return self._core.memory
 
     def count_memory(self) -> None:
         """Book what is not counted with each message."""
-        self.memory.set(Kind.UNSENT, self.frontend.unsent_bytes)
-        self.memory.set(Kind.BODIES, self._core.budget.held)
+        self.memory.set(MemoryUse.UNSENT, self.frontend.unsent_bytes)
+        self.memory.set(MemoryUse.BODIES, self._core.budget.held)
 
-    def _relieve_soon(self, stage: Stage) -> None:
+    def _relieve_soon(self, stage: PressureLevel) -> None:
         """Act on a stage, but not within whatever booked something just now."""
         self.on_memory_stage(stage)
-        if stage >= Stage.GIVE_UP and not self._is_relieving:
+        if stage >= PressureLevel.GIVE_UP and not self._is_relieving:
             self._is_relieving = True
             self._network.call_soon(self._relieve)
 
@@ -400,12 +410,12 @@
         A part at a time: what is resident is only seen to shrink a moment later.
         """
         for _ in range(self.frontend.half_sent // _GIVEN_UP_AT_ONCE + 1):
-            if self.memory.stage < Stage.GIVE_UP or not self.frontend.give_up_oldest():
+            if self.memory.stage < PressureLevel.GIVE_UP or not self.frontend.give_up_oldest():
                 break
-        if self.memory.stage >= Stage.CLOSE_IDLE:
+        if self.memory.stage >= PressureLevel.CLOSE_IDLE:
             self.frontend.close_idle()
             self._core.upstream.close_all_idle()
-        self._is_relieving = self.memory.stage >= Stage.GIVE_UP
+        self._is_relieving = self.memory.stage >= PressureLevel.GIVE_UP
         if self._is_relieving:
             self._network.call_later(_RELIEVE_EVERY_S, self._relieve)
 
@@ -423,7 +433,7 @@
 
     def figures(self) -> bytes:
         engine = self._engine
-        counts = Counts(
+        counts = RuntimeStatistics(
             in_progress=engine.in_progress + self.frontend.tails,
             known_servers=engine.known_servers,
             skipped_servers=engine.skipped_servers,
@@ -467,9 +477,9 @@
         """Close clients' connections for as long as they are to leave."""
         while self.life.is_leaving:
             what = self.life.lets_go(self._network.time())
-            if what is LetGo.IDLE:
+            if what is ConnectionsToClose.IDLE:
                 self.frontend.close_idle()
-            elif what is LetGo.RESTING:
+            elif what is ConnectionsToClose.RESTING:
                 self.frontend.close_resting()
             await self._network.sleep(_LOOK_AGAIN_S)
 
@@ -534,5 +544,5 @@
     """Nobody hears of it."""
 
 
-class CannotListen(OSError):
+class ListenError(OSError):
     """An address of the configuration is taken, or not this machine's; the text begins with its key."""
--- a/micadeck/stand_ins/incident_days.py
+++ b/micadeck/stand_ins/incident_days.py
@@ -18,7 +18,7 @@
 from micadeck.incidents.kinds import Head, Record
 from micadeck.incidents.observer import Observer
 from micadeck.policy import Balancer, Settings
-from micadeck.policy.actions import Action, Cancel, Fail, FetchList, Follow, Refuse, Send, SetTimer
+from micadeck.policy.actions import Action, Cancel, Fail, FetchList, Refuse, Send, SetTimer, WatchEndpoints
 from micadeck.policy.events import (
     AttemptEnded,
     Event,
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from micadeck.policy.outcomes import Outcome
-from micadeck.policy.statistics import Figures
+from micadeck.policy.statistics import BalancerStatistics
 
 MS = 1_000
 S = 1_000_000
@@ -203,7 +203,7 @@
         self.tell(server, heir)
 
         def gone() -> None:
-            server.state = ServerState.GONE
+            server.state = ServerState.REMOVED
             self.tell(server)
 
         self.after(6 * S, gone)
@@ -221,7 +221,7 @@
             ready = [each for each in self.servers.values() if each.state is ServerState.READY]
             for each in self.drawn.sample(ready, len(ready) // 3):
                 each.sickness = "crash"
-                each.state = ServerState.GONE
+                each.state = ServerState.REMOVED
                 self._join(each.zone)
         elif kind == "release":
             ready = [each for each in self.servers.values() if each.state is ServerState.READY]
@@ -238,7 +238,7 @@
     def _relief(self) -> None:
         self.cut, self.surge, self.slow, self.lagging = "", 1.0, 1.0, -1
         for each in self.servers.values():
-            if each.state is not ServerState.GONE:
+            if each.state is not ServerState.REMOVED:
                 each.sickness = ""
         if self.list_is_down:
             self.list_is_down = False
@@ -248,7 +248,7 @@
     # The roster
 
     def listed(self) -> list[ListedServer]:
-        return [_line(each) for each in self.servers.values() if each.state is not ServerState.GONE]
+        return [_line(each) for each in self.servers.values() if each.state is not ServerState.REMOVED]
 
     def tell(self, *servers: _Server) -> None:
         self.version += 1
@@ -262,8 +262,8 @@
         server = self.servers[name]
         if self.cut and server.zone == self.cut:
             return
-        if server.sickness == "crash" or server.state is ServerState.GONE:
-            self.after(2 * MS, lambda: done(Outcome.DIAL_FAILED, 0.0))
+        if server.sickness == "crash" or server.state is ServerState.REMOVED:
+            self.after(2 * MS, lambda: done(Outcome.CONNECT_FAILED, 0.0))
         elif server.sickness == "hang":
             return
         elif server.sickness == "fails" and self.drawn.random() < 0.7:
@@ -322,7 +322,7 @@
     def ident(self, request: int) -> bytes:
         return b"%d-%s-%d" % (self.number, self.start[-4:].encode(), request)
 
-    def figures(self) -> Figures:
+    def figures(self) -> BalancerStatistics:
         return self._balancer.figures()
 
     def begin(self) -> None:
@@ -357,7 +357,7 @@
             case Cancel():
                 request, attempt = action.request, action.attempt
                 world.after(1, lambda: self._done(request, attempt, Outcome.CANCELLED, 0.0))
-            case Follow(wanted):
+            case WatchEndpoints(wanted):
                 self._follows = wanted
                 if wanted:
                     self.fetch()
@@ -430,7 +430,7 @@
 
         self.world.work(self, action.server, held[0], done)
         wait = max(until - self._now, 1)
-        self.world.after(wait, lambda: self._done(request, attempt, Outcome.EXPIRED, 0.0))
+        self.world.after(wait, lambda: self._done(request, attempt, Outcome.TIMED_OUT, 0.0))
 
     def _done(self, request: int, attempt: int, outcome: Outcome, util: float) -> None:
         held = self._requests.get(request)
--- a/micadeck/stand_ins/mysql/server.py
+++ b/micadeck/stand_ins/mysql/server.py
@@ -18,7 +18,7 @@
     Denied,
     Gate,
     KeyPair,
-    Say,
+    SendPacket,
     Step,
     User,
     Users,
@@ -262,7 +262,7 @@
     async def _admit(self, gate: Gate, step: Step, schema: bytes) -> None:
         while not isinstance(step, Admitted):
             match step:
-                case Say(payload):
+                case SendPacket(payload):
                     self._write(payload)
                     self._packets.sequence = self._sequence
                     step = gate.read(await self._payload())
--- a/micadeck/stand_ins/mysql_demo.py
+++ b/micadeck/stand_ins/mysql_demo.py
@@ -14,7 +14,7 @@
 from micadeck.mysql.auth import Verifier
 from micadeck.mysql.config import parse
 from micadeck.mysql.protocol.answers import Kind, Part, Row
-from micadeck.mysql.server_connection import Credentials, Link
+from micadeck.mysql.server_connection import Credentials, ServerConnection
 from micadeck.mysql.service import MysqlService
 from micadeck.network import LoopNetwork
 from micadeck.stand_ins.discovery_server import StandInRoster
@@ -35,7 +35,7 @@
         self.lodgings: dict[str, str] = {}
 
 
-async def _ask(link: Link, text: str) -> tuple[int | None, list[bytes]]:
+async def _ask(link: ServerConnection, text: str) -> tuple[int | None, list[bytes]]:
     """The error's code, if there is one, and the rows."""
     rows: list[bytes] = []
 
@@ -47,17 +47,17 @@
     return (reader.error.code if reader.error is not None else None), rows
 
 
-async def _connect(network: LoopNetwork, port: int) -> Link:
-    def make() -> Link:
+async def _connect(network: LoopNetwork, port: int) -> ServerConnection:
+    def make() -> ServerConnection:
         credentials = Credentials("desk", PASSWORD)
-        return Link(
+        return ServerConnection(
             network, "", credentials, found_rows=False, most_in_packet=1 << 24, on_closed=lambda _: None
         )
 
-    return await Link.open(make, network, (HOST, port))
+    return await ServerConnection.open(make, network, (HOST, port))
 
 
-async def _read(link: Link, told: Told, until: float) -> None:
+async def _read(link: ServerConnection, told: Told, until: float) -> None:
     loop = asyncio.get_running_loop()
     while loop.time() < until:
         error, rows = await _ask(link, "SELECT code, rate FROM tariff ORDER BY code")
@@ -66,7 +66,7 @@
         await asyncio.sleep(0.01)
 
 
-async def _lodge(link: Link, told: Told, who: int, until: float) -> None:
+async def _lodge(link: ServerConnection, told: Told, who: int, until: float) -> None:
     loop = asyncio.get_running_loop()
     number = 0
     while loop.time() < until:
--- a/tests/broken_builds.py
+++ b/tests/broken_builds.py
@@ -11,12 +11,12 @@
 from micadeck.http import listener
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import Response
-from micadeck.http.upstream import Upstream
+from micadeck.http.upstream import ConnectionPool
 from micadeck.membership import watch_health
 from micadeck.policy import balancer
 from micadeck.policy.events import ServerState
 from micadeck.policy.outcomes import Outcome
-from micadeck.policy.settings import Group, Rules
+from micadeck.policy.settings import DeduplicationScope, Rules
 
 Mutant = Callable[[], contextlib.AbstractContextManager[Any]]
 
@@ -26,7 +26,7 @@
 
 
 def _answers_twice() -> contextlib.AbstractContextManager[Any]:
-    answer = listener.ClientSide.answer
+    answer = listener.DownstreamConnection.answer
 
     def twice(self: Any, status: int, headers: Any, body: bytes) -> None:
         transport = self._transport
@@ -34,23 +34,25 @@
         if status == 502 and transport is not None:
             transport.write(b"HTTP/1.1 502 Again\r\nContent-Length: 0\r\n\r\n")
 
-    return mock.patch.object(listener.ClientSide, "answer", twice)
+    return mock.patch.object(listener.DownstreamConnection, "answer", twice)
 
 
 def _forgets_answers() -> contextlib.AbstractContextManager[Any]:
     """A failure is never told."""
-    return mock.patch.object(listener.ClientSide, "failed", lambda self, cause, may_have_run: None)
+    return mock.patch.object(listener.DownstreamConnection, "failed", lambda self, cause, may_have_run: None)
 
 
 def _drops_are_unsent() -> contextlib.AbstractContextManager[Any]:
     never_ran = Rules.never_ran
     return mock.patch.object(
-        Rules, "never_ran", lambda self, outcome: outcome is Outcome.DROPPED or never_ran(self, outcome)
+        Rules,
+        "never_ran",
+        lambda self, outcome: outcome is Outcome.CONNECTION_LOST or never_ran(self, outcome),
     )
 
 
 def _any_cell() -> contextlib.AbstractContextManager[Any]:
-    in_group = staticmethod(lambda request, server: request.kind.group is not Group.ZONE)
+    in_group = staticmethod(lambda request, server: request.kind.group is not DeduplicationScope.ZONE)
     return mock.patch.object(balancer.Balancer, "_in_group", in_group)
 
 
@@ -80,7 +82,7 @@
 
 def _overhears_drains() -> contextlib.AbstractContextManager[Any]:
     heard = balancer.Balancer._state_heard
-    listed = Upstream.listed
+    listed = ConnectionPool.listed
 
     def ready(self: Any, server: Any, state: ServerState) -> None:
         heard(self, server, ServerState.READY if state is ServerState.DRAINING else state)
@@ -93,7 +95,7 @@
     @contextlib.contextmanager
     def both() -> Iterator[None]:
         with mock.patch.object(balancer.Balancer, "_state_heard", ready):
-            with mock.patch.object(Upstream, "listed", list_all):
+            with mock.patch.object(ConnectionPool, "listed", list_all):
                 yield
 
     return both()
@@ -175,18 +177,18 @@
     def again(self: Any) -> None:
         self._network.call_soon(again, self)
 
-    return mock.patch.object(Upstream, "_close_old", again)
+    return mock.patch.object(ConnectionPool, "_close_old", again)
 
 
 def waits_long() -> contextlib.AbstractContextManager[Any]:
     """Watches whose calls wait for twenty seconds, as they once did; no drawn day lasts that long."""
 
     def allow(self: Any, allowed_us: int, grace_us: int) -> None:
-        self.waiting = watch_health.Patience(20_000, 22.0, 22.0, 22.0, 22.0, 1, False)
+        self.waiting = watch_health.ResponseTimeout(20_000, 22.0, 22.0, 22.0, 22.0, 1, False)
         self.second = self.waiting
-        self.first = watch_health.Patience(0, 5.0, 5.0, 5.0, 5.0, 1, False)
+        self.first = watch_health.ResponseTimeout(0, 5.0, 5.0, 5.0, 5.0, 1, False)
 
-    return mock.patch.object(watch_health.Vigil, "allow", allow)
+    return mock.patch.object(watch_health.WatchHealth, "allow", allow)
 
 
 # Each with the rules, any of which it has to be found by.
@@ -207,7 +209,7 @@
         {"no leak"},
     ),
     "connections at rest are never closed": (
-        _in_place(Upstream, "_close_old", lambda self: None),
+        _in_place(ConnectionPool, "_close_old", lambda self: None),
         {"no leak"},
     ),
     "ejected servers stay out": (_ejects_for_good, {"service returns"}),
--- a/tests/discovery_stage.py
+++ b/tests/discovery_stage.py
@@ -16,8 +16,8 @@
 
 from helpers import S, settings
 
-from micadeck.engine import Engine, Listing
-from micadeck.membership.discovery_watcher import Roster
+from micadeck.engine import EndpointUpdate, Engine
+from micadeck.membership.discovery_watcher import DiscoveryWatcher
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.roster import Discovery
@@ -175,7 +175,7 @@
 class NoServers:
     """A carrier that nothing is sent by."""
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointUpdate) -> None:
         pass
 
     def tell(self, receiver: int | None, payload: bytes) -> bool:
@@ -205,7 +205,7 @@
         self.network = VirtualNetwork(wire.machine(self.host, f"10.0.{number // 250}.{number % 250 + 1}"))
         rules = {"ask_within_us": int(allowed_s * S), "drain_grace_us": int(grace_s * S)}
         given = settings(rules=rules, discovery="pushed" if pushed else "on_request")
-        self.roster = Roster(
+        self.roster = DiscoveryWatcher(
             self.network,
             discovery.place,
             0,
@@ -221,9 +221,9 @@
         self.lists = 0
 
     def start(self) -> None:
-        self.host.context.copy().run(self.engine.start, Listing(0, True, ()))
+        self.host.context.copy().run(self.engine.start, EndpointUpdate(0, True, ()))
 
-    def _listed(self, listing: Listing) -> None:
+    def _listed(self, listing: EndpointUpdate) -> None:
         self.lists += 1
         for each in listing.entries:
             if each.listed.state.value != "ready":
--- a/tests/embedding_parity.py
+++ b/tests/embedding_parity.py
@@ -17,7 +17,7 @@
 from micadeck.asgi import MicadeckMiddleware
 from micadeck.config import Config
 from micadeck.http.h1 import Request, RequestReader
-from micadeck.http.listener import ClientLimits
+from micadeck.http.listener import DownstreamLimits
 from micadeck.library import Micadeck
 from micadeck.network import LoopNetwork
 from micadeck.sidecar import Sidecar
@@ -100,7 +100,7 @@
     """The daemon's sidecar, in this process."""
 
     @staticmethod
-    async def start(config: Config, log: Callable[[str], None], limits: ClientLimits | None) -> DaemonWay:
+    async def start(config: Config, log: Callable[[str], None], limits: DownstreamLimits | None) -> DaemonWay:
         way = DaemonWay()
         way.sidecar = Sidecar(config, LoopNetwork(), log, limits)
         await way.sidecar.start()
@@ -184,7 +184,9 @@
     """The library, used from the test's event loop."""
 
     @staticmethod
-    async def start(config: Config, log: Callable[[str], None], limits: ClientLimits | None) -> LibraryWay:
+    async def start(
+        config: Config, log: Callable[[str], None], limits: DownstreamLimits | None
+    ) -> LibraryWay:
         way = LibraryWay()
         way.balancer = Micadeck(config, log=log)
         way.balancer.start()
@@ -245,7 +247,9 @@
     """The middleware before an application that knows nothing, under uvicorn in this process."""
 
     @staticmethod
-    async def start(config: Config, log: Callable[[str], None], limits: ClientLimits | None) -> MiddlewareWay:
+    async def start(
+        config: Config, log: Callable[[str], None], limits: DownstreamLimits | None
+    ) -> MiddlewareWay:
         way = MiddlewareWay()
         balancer = Micadeck(config, log=log)
         way.sidecar = _Facade(balancer)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from micadeck.config import parse
-from micadeck.http.listener import ClientLimits
+from micadeck.http.listener import DownstreamLimits
 from micadeck.http.reuse_delay import LEAST_REST_US
 from micadeck.stand_ins.consul import NODE, StandInConsul, State
 
@@ -391,7 +391,7 @@
     given: dict[str, Any] | None = None,
     listed: bool = True,
     others: Sequence[dict[str, Any]] = (),
-    client_limits: ClientLimits | None = None,
+    client_limits: DownstreamLimits | None = None,
     **settings: Any,
 ) -> AsyncIterator[Stage]:
     """A sidecar, its discovery and one server for each script, all known to it from the start.
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -13,17 +13,17 @@
 from micadeck.policy.actions import Cancel, CloseIdle, Fail, Refuse, Send, SetTimer
 from micadeck.policy.events import AttemptEnded as Ended
 from micadeck.policy.events import (
+    ClientDisconnected,
     Event,
     ListedServer,
     ListKind,
     RequestArrived,
-    RequestGone,
     ServersListed,
     ServerState,
     TimerFired,
 )
 from micadeck.policy.outcomes import Outcome
-from micadeck.policy.settings import Repeat
+from micadeck.policy.settings import Idempotency
 
 SERVERS = names(7)
 ZONES = ("east", "west")
@@ -46,7 +46,7 @@
             limits={"second_copies": second_copies, "max_attempts": attempts},
             rules=further,
         )
-        self.never_ran = [Outcome.DIAL_FAILED, Outcome.TURNED_DOWN, Outcome.UNSENT]
+        self.never_ran = [Outcome.CONNECT_FAILED, Outcome.CONNECTION_REFUSED, Outcome.NOT_SENT]
         self.never_ran += [] if strict else [Outcome.FULL]
         self.to_close: dict[str, int] = {}  # by when idle connections to a leaving server must be closed
         self.balancer = Balancer(self.settings, rng_seed)
@@ -83,14 +83,14 @@
         assert line.state is ServerState.READY, "sent to a draining or gone server"
         earlier = request["attempts"]
         # Where nobody listened, nothing was written: that was no attempt.
-        nobody = sum(each["outcome"] is Outcome.TURNED_DOWN for each in earlier)
+        nobody = sum(each["outcome"] is Outcome.CONNECTION_REFUSED for each in earlier)
         assert len(earlier) - nobody < self.settings.limits.max_attempts, "more attempts than allowed"
         if not self.settings.limits.second_copies:
             assert not any(each["pending"] for each in earlier), "two copies out at once"
         maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.never_ran]
-        if maybe and kind.repeat is Repeat.UNSAFE:
+        if maybe and kind.repeat is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.repeat is Repeat.KEYED:
+        if maybe and kind.repeat is Idempotency.KEYED:
             assert self.now < maybe[0]["at"] + kind.memory_us, "sent after servers forgot"
             for each in maybe:
                 assert kind.group.value != "zone" or each["line"].zone == line.zone, "left the zone"
@@ -103,13 +103,13 @@
         request = self.requests[action.request]
         assert not request["over"], "two final answers"
         assert self.now < request["deadline"] or request["late"], "answered after the deadline"
-        if isinstance(action, Refuse) and request["kind"].repeat is not Repeat.SAFE:
+        if isinstance(action, Refuse) and request["kind"].repeat is not Idempotency.IDEMPOTENT:
             maybe = [
                 each
                 for each in request["attempts"]
                 if each["pending"] or each["outcome"] not in self.never_ran
             ]
-            whole = request["kind"].repeat is Repeat.KEYED and request["kind"].group.value == "all"
+            whole = request["kind"].repeat is Idempotency.KEYED and request["kind"].group.value == "all"
             assert not maybe or whole, "a refusal that may have run"
         request["over"] = True
 
@@ -163,13 +163,13 @@
         if waiting:
             number = waiting[choice % len(waiting)]
             self.requests[number]["over"] = True
-            self.play(RequestGone(number))
+            self.play(ClientDisconnected(number))
 
     def list(self, kind: ListKind, lines: list[ListedServer]) -> None:
         before = {name: line.state for name, line in self.listed.items()}
         if kind is not ListKind.CHANGES:
             for line in self.listed.values():
-                line.state = ServerState.GONE
+                line.state = ServerState.REMOVED
         for line in lines:
             self.listed[line.server] = line
         for name, line in self.listed.items():
@@ -201,7 +201,7 @@
     zone=st.sampled_from(ZONES),
     kind=st.just("box"),
     cell=st.integers(0, 2),
-    state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.GONE]),
+    state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.REMOVED]),
     nominal=st.sampled_from([0.0, 1.0, 3.0]),
     started_at=st.sampled_from([None, START - 5 * S, START, START + 2 * S]),
 )
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,9 +13,9 @@
 import pytest
 from loopback import HOST, PATIENCE_S, Client, Stage, played, read_head, request, rested, soon, stage, until
 
-from micadeck.http.body_stream import MOST_KEPT, Budget, Pipe
+from micadeck.http.body_stream import MOST_KEPT, BodyStream, BufferBudget
 from micadeck.http.h1 import Request, RequestReader, Response, ResponseReader
-from micadeck.http.listener import ClientLimits
+from micadeck.http.listener import DownstreamLimits
 
 LARGE = 4 << 20
 DOOR = {"operator": f"{HOST}:0"}
@@ -28,11 +28,11 @@
     """A writer and a reader by hand."""
 
     def __init__(self, most: int = 1 << 20, length: int | None = None) -> None:
-        self.budget = Budget(most)
+        self.budget = BufferBudget(most)
         self.paused = False
         self.out = b""
         self.ends = 0
-        self.pipe = Pipe(self.budget, length, self._pause, self._resume)
+        self.pipe = BodyStream(self.budget, length, self._pause, self._resume)
 
     def _pause(self) -> None:
         assert not self.paused
@@ -82,8 +82,8 @@
 
 
 def test_many_pipes_share_one_budget() -> None:
-    budget = Budget(400_000)
-    pipes = [Pipe(budget, None, lambda: None, lambda: None) for _ in range(40)]
+    budget = BufferBudget(400_000)
+    pipes = [BodyStream(budget, None, lambda: None, lambda: None) for _ in range(40)]
     for _ in range(100):
         for each in pipes:
             if not each.is_paused:
@@ -98,8 +98,8 @@
 
 
 def read_cut(raw: bytes, size: int) -> list[tuple[bytes, bool]]:
-    budget = Budget(1 << 30)
-    reader = RequestReader(1 << 24, lambda length: Pipe(budget, length, lambda: None, lambda: None))
+    budget = BufferBudget(1 << 30)
+    reader = RequestReader(1 << 24, lambda length: BodyStream(budget, length, lambda: None, lambda: None))
     for at in range(0, len(raw), size):
         reader.feed(raw[at : at + size])
     assert reader.fault is None
@@ -138,8 +138,8 @@
 
 
 def test_a_chunked_body_over_the_bound_is_turned_away_as_it_passes_it() -> None:
-    budget = Budget(1 << 30)
-    reader = RequestReader(100_000, lambda length: Pipe(budget, length, lambda: None, lambda: None))
+    budget = BufferBudget(1 << 30)
+    reader = RequestReader(100_000, lambda length: BodyStream(budget, length, lambda: None, lambda: None))
     reader.feed(request("lodge", Content_Length="", Transfer_Encoding="chunked"))
     for _ in range(10):
         reader.feed(b"2710\r\n" + b"x" * 10_000 + b"\r\n")
@@ -185,7 +185,7 @@
 
 
 def test_only_a_large_answer_is_passed_on_and_nobody_needs_a_large_error() -> None:
-    budget = Budget(1 << 30)
+    budget = BufferBudget(1 << 30)
     for status, size, passed in ((200, MOST_KEPT, 0), (200, MOST_KEPT + 1, 1), (500, MOST_KEPT + 1, 0)):
         begun: list[Response] = []
 
@@ -193,7 +193,9 @@
             begun.append(response)
             return True
 
-        reader = ResponseReader(1 << 20, lambda length: Pipe(budget, length, lambda: None, lambda: None))
+        reader = ResponseReader(
+            1 << 20, lambda length: BodyStream(budget, length, lambda: None, lambda: None)
+        )
         reader.expect(begin)
         reader.feed(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, size) + b"x" * size)
         assert len(begun) == passed
@@ -398,7 +400,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + answer[:size])
             await writer.drain()
 
-    async with beside(serve, client_limits=ClientLimits(reading_s=1.5)) as (_, scene):
+    async with beside(serve, client_limits=DownstreamLimits(reading_s=1.5)) as (_, scene):
         budget = scene.sidecar._core.budget
         slow: list[Client] = []
         for _ in range(10):
@@ -469,7 +471,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             broken.set()
 
-    async with beside(serve, client_limits=ClientLimits(stall_s=0.3, sweep_s=0.02)) as (_, scene):
+    async with beside(serve, client_limits=DownstreamLimits(stall_s=0.3, sweep_s=0.02)) as (_, scene):
         client = await scene.client()
         client.send(request("lodge", body=content(LARGE))[:200_000])
         assert (await client.answer()).status == 408
@@ -570,9 +572,9 @@
 
 
 def test_the_head_of_a_request_that_is_passed_on_says_how_its_body_is_framed() -> None:
-    budget = Budget(1)
+    budget = BufferBudget(1)
     for length, told in ((5, b""), (None, b"")):
-        stream = Pipe(budget, length, lambda: None, lambda: None)
+        stream = BodyStream(budget, length, lambda: None, lambda: None)
         made = Request(b"POST", b"/", [(b"host", b"x")], b"", True, stream)
         assert made.encode() == b"POST / HTTP/1.1\r\nhost: x\r\n\r\n" + told
         stream.drop()
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -16,10 +16,10 @@
 import pytest
 from helpers import S, settings
 
-from micadeck.engine import Engine, Entry, Listing
-from micadeck.engine.ports import Cause
-from micadeck.http.request_validation import Incoming
-from micadeck.http.upstream import Upstream
+from micadeck.engine import EndpointEntry, EndpointUpdate, Engine
+from micadeck.engine.ports import FailureCause
+from micadeck.http.request_validation import ValidatedRequest
+from micadeck.http.upstream import ConnectionPool
 from micadeck.policy.events import ListedServer, ServerState
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
@@ -49,20 +49,20 @@
         self.order: list[str] = []
         self.answers: list[str] = []
         given = settings(limits={"second_copies": False, "dial_timeout_us": S})
-        self.upstream = Upstream(self.network, given)
+        self.upstream = ConnectionPool(self.network, given)
         self.upstream.most = 10
         self.engine = Engine(given, 1, self.network, self.upstream, _NoSource(), _NoMessages(), _ignore)
         self.request: int | None = None
         self._listed = listed
 
-    def line(self, name: str, state: ServerState = ServerState.READY) -> Entry:
-        return Entry(ListedServer(name, zone="east", state=state), self.places[name])
+    def line(self, name: str, state: ServerState = ServerState.READY) -> EndpointEntry:
+        return EndpointEntry(ListedServer(name, zone="east", state=state), self.places[name])
 
     # What may be put at an instant
 
     def drains(self, name: str) -> None:
         self.order.append("other")
-        self.engine._listed(Listing(2, False, (self.line(name, ServerState.DRAINING),)))
+        self.engine._listed(EndpointUpdate(2, False, (self.line(name, ServerState.DRAINING),)))
 
     def leaves(self) -> None:
         self.order.append("other")
@@ -77,7 +77,7 @@
     def refused(self, retry_after_us: int) -> None:
         self.answers.append("refused")
 
-    def failed(self, cause: Cause, may_have_run: bool) -> None:
+    def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         self.answers.append("failed")
 
     def play(self, at_us: int | None, other: Callable[[Scene], None]) -> Scene:
@@ -87,7 +87,7 @@
             network.listen(functools.partial(_Server, self, name), (address, port), 8)
 
         async def work() -> None:
-            self.engine.start(Listing(1, True, tuple(self.line(name) for name in self._listed)))
+            self.engine.start(EndpointUpdate(1, True, tuple(self.line(name) for name in self._listed)))
             self.loop.call_later(REQUEST_S, self._ask)
             if at_us is not None:
                 self.loop.call_later(at_us / 1e6, self._after, self.seed % HOPS, other)
@@ -106,7 +106,7 @@
             other(self)
 
     def _ask(self) -> None:
-        incoming = Incoming(
+        incoming = ValidatedRequest(
             "look", None, None, 1 * S, None, False, b"r-1", False, b"GET", b"/x", [(b"host", b"o")], b""
         )
         self.request = self.engine.take(incoming, self)
@@ -190,7 +190,7 @@
         assert scene.reached == ([] if was_told else ["s-1"])  # written before the word, it may end there
         assert scene.answers == (["refused"] if was_told else ["served"])
 
-    both_orders((Upstream, "_write"), lambda scene: scene.drains("s-1"), holds)
+    both_orders((ConnectionPool, "_write"), lambda scene: scene.drains("s-1"), holds)
 
 
 def test_a_client_that_leaves_and_the_dial_that_comes_up() -> None:
@@ -200,7 +200,7 @@
         assert scene.answers == []  # nobody is there to have one
         assert scene.engine.open_requests == 0
 
-    both_orders((Upstream, "_write"), Scene.leaves, holds)
+    both_orders((ConnectionPool, "_write"), Scene.leaves, holds)
 
 
 @pytest.mark.parametrize("what", ["the other server drains", "the client leaves"])
--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -12,7 +12,7 @@
 from helpers import Stage, settings
 
 from micadeck.membership.consul.view import ENTRIES_AT_ONCE, ServiceView
-from micadeck.membership.endpoint_merge import Caution, Merge, Sighting
+from micadeck.membership.endpoint_merge import EndpointMerge, Observation, Precedence
 from micadeck.policy.events import ListedServer, ListKind, ServersListed, ServerState
 
 FEW, MANY = 100, 3_000
@@ -41,15 +41,15 @@
     return f"10.0.{number // 250}.{number % 250 + 1}", 80
 
 
-def _merge(count: int, flip: Caution) -> Callable[[], object]:
-    merge = Merge()
+def _merge(count: int, flip: Precedence) -> Callable[[], object]:
+    merge = EndpointMerge()
     for source in ("roster", "consul"):
         merge.add(source)
-        merge.heard(1.0, source, [Sighting(_address(n), Caution.READY) for n in range(count)])
+        merge.heard(1.0, source, [Observation(_address(n), Precedence.READY) for n in range(count)])
     merge.changes(1.0)
 
     def work() -> None:
-        merge.changed(2.0, "consul", [Sighting(_address(7), flip)])
+        merge.changed(2.0, "consul", [Observation(_address(7), flip)])
         told = merge.changes(2.0)
         assert told is not None and len(told.entries) == 1
 
@@ -88,8 +88,8 @@
 @pytest.mark.parametrize(
     "made",
     [
-        lambda count: _merge(count, Caution.DRAINS),
-        lambda count: _merge(count, Caution.DOUBTFUL),
+        lambda count: _merge(count, Precedence.DRAINS),
+        lambda count: _merge(count, Precedence.DOUBTFUL),
         _decisions,
     ],
     ids=["a drain in the merge", "a doubt in the merge", "a drain and a cold return in the decisions"],
@@ -116,13 +116,13 @@
     assert sum(1 for _ in view.read(_body(MANY, critical=9))) == steps
     news = view.taken(2)
     assert len(read) == 1 and not news.gone and not news.is_whole
-    assert [(each.address, each.caution) for each in news.sightings] == [(_address(9), Caution.DOUBTFUL)]
+    assert [(each.address, each.caution) for each in news.sightings] == [(_address(9), Precedence.DOUBTFUL)]
 
 
 def test_a_list_of_the_view_and_a_whole_one_come_to_the_same() -> None:
     """Diffs over drawn answers, against each answer read by a view that knows nothing."""
     view = ServiceView()
-    held: dict[tuple[str, int], Caution] = {}
+    held: dict[tuple[str, int], Precedence] = {}
     for turn in range(60):
         body = json.dumps(_drawn(turn)).encode()
         list(view.read(body))
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -16,9 +16,9 @@
 from loopback import CLASSES, HOST, Client, ScriptedDiscovery, consul_config, line, play, soon, until
 
 from micadeck.config import ConfigError, parse
-from micadeck.engine import Entry, Listing
+from micadeck.engine import EndpointEntry, EndpointUpdate
 from micadeck.membership.consul.config import load
-from micadeck.membership.sources import Sources
+from micadeck.membership.sources import EndpointSources
 from micadeck.network import LoopNetwork
 from micadeck.policy.events import ListedServer, ServerState
 from micadeck.sidecar import Sidecar
@@ -457,11 +457,13 @@
         pauses: list[float] = []
         lists: list[int] = [0] * 100
         made = [
-            Sources(NotedNetwork(pauses), None, Listing(0, True, ()), config, 5, f"n-{n}", lambda _: None)
+            EndpointSources(
+                NotedNetwork(pauses), None, EndpointUpdate(0, True, ()), config, 5, f"n-{n}", lambda _: None
+            )
             for n in range(100)
         ]
 
-        def heard(number: int) -> Callable[[Listing], None]:
+        def heard(number: int) -> Callable[[EndpointUpdate], None]:
             return lambda listing: lists.__setitem__(number, lists[number] + len(listing.entries))
 
         for number, each in enumerate(made):  # of one seed; their names alone set them apart
@@ -489,21 +491,23 @@
         (tariff,) = config.services
         # A service may have any name, also that of a roster.
         config = replace(config, services=(tariff, replace(tariff, name="roster")))
-        known = [Entry(ListedServer(f"{HOST}:{port}"), (HOST, port)) for port in (1, 2, 3)]
+        known = [EndpointEntry(ListedServer(f"{HOST}:{port}"), (HOST, port)) for port in (1, 2, 3)]
         states: dict[str, ServerState] = {each.listed.server: each.listed.state for each in known}
-        lists: list[Listing] = []
+        lists: list[EndpointUpdate] = []
 
-        def heard(listing: Listing) -> None:
+        def heard(listing: EndpointUpdate) -> None:
             lists.append(listing)
             states.update({each.listed.server: each.listed.state for each in listing.entries})
 
-        sources = Sources(LoopNetwork(), None, Listing(1, True, tuple(known)), config, 1, "n", lambda _: None)
+        sources = EndpointSources(
+            LoopNetwork(), None, EndpointUpdate(1, True, tuple(known)), config, 1, "n", lambda _: None
+        )
         consul.faults.append(Fault("status", 2))  # one of both is heard later, whichever it is
         consul.change(lambda state: state.put_service(NODE, {"Name": "roster", "Address": HOST, "Port": 2}))
         sources.start(heard, lambda: None)
         await until(lambda: len(sources.unheard) == 1)
         assert set(states.values()) == {ServerState.READY}
-        await until(lambda: not sources.unheard and states[f"{HOST}:3"] is ServerState.GONE)
+        await until(lambda: not sources.unheard and states[f"{HOST}:3"] is ServerState.REMOVED)
         assert states[f"{HOST}:1"] is states[f"{HOST}:2"] is ServerState.READY
         sources.close()
         consul.stop()
--- a/tests/test_consul_source.py
+++ b/tests/test_consul_source.py
@@ -11,7 +11,7 @@
 from loopback import play, soon, until
 
 from micadeck.membership.consul import Agents, Ask, ConsulClient, Heard, ServiceWatch, watch
-from micadeck.membership.endpoint_merge import Merge, Trust
+from micadeck.membership.endpoint_merge import EndpointMerge, SourceTrust
 from micadeck.network import LoopNetwork, parse_address
 from micadeck.policy.events import ServerState
 from micadeck.stand_ins.consul import NODE, Fault, StandInConsul
@@ -22,9 +22,11 @@
 class Listener:
     """A merge fed by one watched service; it keeps when each server was last told to be what."""
 
-    def __init__(self, *agents: StandInConsul, wait_s: float = 10.0, trust: Trust | None = None) -> None:
+    def __init__(
+        self, *agents: StandInConsul, wait_s: float = 10.0, trust: SourceTrust | None = None
+    ) -> None:
         self.network = LoopNetwork()
-        self.merge = Merge()
+        self.merge = EndpointMerge()
         self.merge.add("consul", trust)
         self.states: dict[str, tuple[ServerState, float]] = {}
         self.starts: dict[str, int | None] = {}
@@ -135,7 +137,7 @@
         other = await StandInConsul().start()
         for each in (agent, other):
             put(each, 80)
-        listener = Listener(agent, other, trust=Trust(doubt_s=60.0))
+        listener = Listener(agent, other, trust=SourceTrust(doubt_s=60.0))
         await until(lambda: listener.used() == {"10.0.0.1:80"})
         seen = listener.lists
         agent.restart_empty()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,8 +8,8 @@
 import pytest
 from loopback import HOST, Heard, ScriptedDiscovery, ScriptedServer, line, play, reply, soon, until
 
-from micadeck.engine import Listing
-from micadeck.membership.discovery_watcher import Roster, parse_listing
+from micadeck.engine import EndpointUpdate
+from micadeck.membership.discovery_watcher import DiscoveryWatcher, parse_listing
 from micadeck.network import LoopNetwork, parse_address
 
 
@@ -17,14 +17,14 @@
     """What discovery told."""
 
     def __init__(self, server: ScriptedServer, version: int = 41, pushed: bool = False) -> None:
-        self.events: asyncio.Queue[Listing | None] = asyncio.Queue()
+        self.events: asyncio.Queue[EndpointUpdate | None] = asyncio.Queue()
         self.log: list[str] = []
-        self.discovery = Roster(
+        self.discovery = DiscoveryWatcher(
             LoopNetwork(), parse_address(server.address), version, pushed, log=self.log.append
         )
         self.discovery.start(self.events.put_nowait, lambda: self.events.put_nowait(None))
 
-    async def next(self) -> Listing | None:
+    async def next(self) -> EndpointUpdate | None:
         return await soon(self.events.get())
 
 
@@ -185,7 +185,7 @@
         assert news is not None and news.version == 42
         release.set()
         late = await ears.next()
-        assert late == Listing(42, False, ())
+        assert late == EndpointUpdate(42, False, ())
         ears.discovery.close()
         server.stop()
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -48,7 +48,7 @@
     return stage, ejected
 
 
-def _alike(part: float, outcome: Outcome = Outcome.DROPPED) -> Fails:
+def _alike(part: float, outcome: Outcome = Outcome.CONNECTION_LOST) -> Fails:
     return lambda server, chance: outcome if chance.random() < part else None
 
 
@@ -56,12 +56,12 @@
     def fails(server: str, chance: random.Random) -> Outcome | None:
         if server in servers:
             return Outcome.ERROR
-        return Outcome.DROPPED if chance.random() < noise else None
+        return Outcome.CONNECTION_LOST if chance.random() < noise else None
 
     return fails
 
 
-@pytest.mark.parametrize("outcome", [Outcome.DROPPED, Outcome.ERROR, Outcome.DIAL_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.CONNECTION_LOST, Outcome.ERROR, Outcome.CONNECT_FAILED])
 @pytest.mark.parametrize(("part", "most"), [(0.02, 1), (0.10, 2), (0.30, 3)])
 def test_what_meets_all_alike_ejects_next_to_nobody(part: float, most: int, outcome: Outcome) -> None:
     _, ejected = _day(15, _alike(part, outcome), seconds=10, per_s=150, seed=3)
--- a/tests/test_endpoint_merge.py
+++ b/tests/test_endpoint_merge.py
@@ -7,33 +7,33 @@
 
 import pytest
 
-from micadeck.engine import Entry, Listing
-from micadeck.membership.endpoint_merge import Caution, Merge, Sighting, Trust
+from micadeck.engine import EndpointEntry, EndpointUpdate
+from micadeck.membership.endpoint_merge import EndpointMerge, Observation, Precedence, SourceTrust
 from micadeck.policy.events import ListedServer, ServerState
 
-READY, DOUBTFUL, DRAINS = Caution
+READY, DOUBTFUL, DRAINS = Precedence
 A, B = ("10.0.0.1", 80), ("10.0.0.2", 80)
 USED = ServerState.READY
 
 
-def sight(caution: Caution = READY, address: tuple[str, int] = A, **how: Any) -> Sighting:
-    return Sighting(address, caution, **how)
+def sight(caution: Precedence = READY, address: tuple[str, int] = A, **how: Any) -> Observation:
+    return Observation(address, caution, **how)
 
 
-def merge(*sources: str, **trust: Any) -> Merge:
-    made = Merge()
+def merge(*sources: str, **trust: Any) -> EndpointMerge:
+    made = EndpointMerge()
     for source in sources or ("roster", "consul"):
-        made.add(source, Trust(**trust))
+        made.add(source, SourceTrust(**trust))
     return made
 
 
-def states(made: Merge, now: float) -> dict[str, ServerState]:
+def states(made: EndpointMerge, now: float) -> dict[str, ServerState]:
     """What has been told by now, from changes alone."""
     made.changes(now)
     return {each.listed.server: each.listed.state for each in made.whole().entries}
 
 
-def used(made: Merge, now: float) -> set[str]:
+def used(made: EndpointMerge, now: float) -> set[str]:
     return {name for name, state in states(made, now).items() if state is USED}
 
 
@@ -51,7 +51,7 @@
     ],
 )
 def test_the_more_cautious_word_holds(
-    roster: Caution | None, consul: Caution | None, expected: ServerState
+    roster: Precedence | None, consul: Precedence | None, expected: ServerState
 ) -> None:
     made = merge(in_use=0.0)
     made.heard(1.0, "roster", [sight(roster, name="s-1")] if roster is not None else [])
@@ -77,7 +77,7 @@
     made = merge()
     made.heard(1.0, "consul", [sight(), sight(address=B)])
     first = made.changes(1.0)
-    assert isinstance(first, Listing) and (first.version, len(first.entries)) == (1, 2)
+    assert isinstance(first, EndpointUpdate) and (first.version, len(first.entries)) == (1, 2)
     made.heard(2.0, "consul", [sight(), sight(address=B)])
     assert made.changes(2.0) is None
     made.heard(3.0, "consul", [sight(DRAINS), sight(address=B)])
@@ -87,7 +87,7 @@
     made.heard(4.0, "consul", [sight(address=B)])
     gone = made.changes(4.0)
     assert gone is not None and [(e.listed.state, e.address) for e in gone.entries] == [
-        (ServerState.GONE, None)
+        (ServerState.REMOVED, None)
     ]
 
 
@@ -158,7 +158,7 @@
     assert made.heard(1.0, "consul", [])
 
 
-def _many(count: int, caution: Caution) -> list[Sighting]:
+def _many(count: int, caution: Precedence) -> list[Observation]:
     return [sight(caution, (f"10.0.1.{number}", 80), why="critical") for number in range(count)]
 
 
@@ -189,7 +189,7 @@
 def test_sidecars_differ_in_which_doubtful_servers_they_use() -> None:
     chosen = []
     for salt in range(30):
-        made = Merge(salt)
+        made = EndpointMerge(salt)
         made.add("consul")
         made.heard(1.0, "consul", _many(10, DOUBTFUL))
         chosen.append(frozenset(used(made, 1.0)))
@@ -212,9 +212,9 @@
 
 
 def test_lent_nodes_are_used_in_their_hours_alone() -> None:
-    made = Merge()
+    made = EndpointMerge()
     made.add("own")
-    made.add("lent", Trust(lent=lambda now: 100.0 <= now < 200.0))
+    made.add("lent", SourceTrust(lent=lambda now: 100.0 <= now < 200.0))
     made.heard(1.0, "own", [sight(name="s-1")])
     made.heard(1.0, "lent", [sight(address=B)])
     assert used(made, 50.0) == {"s-1"}
@@ -307,12 +307,14 @@
 
 def test_a_remembered_list_holds_until_its_source_speaks() -> None:
     made = merge("roster", "consul")
-    lines = [Entry(ListedServer(f"s-{n}", state=USED), (f"10.0.0.{n}", 80)) for n in (1, 2)]
-    twin = Entry(ListedServer("s-9", state=USED), ("10.0.0.1", 80))
-    made.remembered("roster", Listing(4, True, (*lines, twin)))
+    lines = [EndpointEntry(ListedServer(f"s-{n}", state=USED), (f"10.0.0.{n}", 80)) for n in (1, 2)]
+    twin = EndpointEntry(ListedServer("s-9", state=USED), ("10.0.0.1", 80))
+    made.remembered("roster", EndpointUpdate(4, True, (*lines, twin)))
     told = made.changes(1.0)
     assert told is not None  # of two ids at one address, one is told to be gone
-    assert [(each.listed.server, each.listed.state) for each in told.entries] == [("s-9", ServerState.GONE)]
+    assert [(each.listed.server, each.listed.state) for each in told.entries] == [
+        ("s-9", ServerState.REMOVED)
+    ]
     made.heard(2.0, "consul", [sight(address=B)])
     assert used(made, 2.0) == {"s-1", "s-2"}
     made.heard(3.0, "roster", [sight(name="s-1")])
@@ -333,7 +335,7 @@
     first = made.changes(2.0, 2)
     assert first is not None and {each.listed.state for each in first.entries} == {
         ServerState.DRAINING,
-        ServerState.GONE,
+        ServerState.REMOVED,
     }
 
 
@@ -342,7 +344,7 @@
     made.heard(1.0, "roster", [sight(name="s-1")])
     made.heard(1.0, "consul", [sight(DOUBTFUL), sight(DOUBTFUL, B)])
     assert used(made, 1.0) == set()
-    made.trust("consul", Trust(in_use=0.5))
+    made.trust("consul", SourceTrust(in_use=0.5))
     assert len(used(made, 2.0)) == 1
     made.remove("consul")
     assert used(made, 3.0) == {"s-1"} and len(states(made, 3.0)) == 1
@@ -360,14 +362,14 @@
         now += chance.choice((0.1, 0.5, 2.0, 9.0))
         source = chance.choice(("roster", "consul"))
         some = chance.sample(places, chance.randrange(0, 4))
-        said = [sight(chance.choice(tuple(Caution)), each) for each in some]
+        said = [sight(chance.choice(tuple(Precedence)), each) for each in some]
         gone = [each for each in chance.sample(places, 2) if each not in some]
         made.changed(now, source, said, gone, lag_s=chance.choice((0.0, 0.0, 3.0)))
         while True:
             told = made.changes(now, chance.choice((1, 3, None)))
             for entry in told.entries if told is not None else ():
                 held[entry.listed.server] = entry.listed.state
-                if entry.listed.state is ServerState.GONE:
+                if entry.listed.state is ServerState.REMOVED:
                     del held[entry.listed.server]
             if not made.is_behind:
                 break
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,8 +10,8 @@
 import pytest
 from loopback import CLASSES
 
-from micadeck.engine import Cause, Engine, Entry, IdInUse, Listing, Request
-from micadeck.library.engine import WaiterFirstEngine
+from micadeck.engine import EndpointEntry, EndpointUpdate, Engine, FailureCause, Request, RequestIdInUseError
+from micadeck.library.engine import HandlerFirstEngine
 from micadeck.policy.events import AttemptEnded, Event, ListedServer, RequestArrived
 from micadeck.policy.outcomes import Outcome
 from micadeck.simulator_adapter import settings_from_wire
@@ -70,7 +70,7 @@
     def end(self, attempt: int, outcome: Outcome = Outcome.DELIVERED) -> None:
         self.attempts[attempt][2](outcome, "answer" if outcome is Outcome.DELIVERED else None, None)
 
-    def listed(self, listing: Listing) -> None: ...
+    def listed(self, listing: EndpointUpdate) -> None: ...
 
     def probe(self, *given: Any) -> None: ...
 
@@ -96,7 +96,7 @@
     def refused(self, retry_after_us: int) -> None:
         self.got.append(("refused",))
 
-    def failed(self, cause: Cause, may_have_run: bool) -> None:
+    def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         self.got.append(("failed", cause, may_have_run))
 
 
@@ -115,8 +115,8 @@
             return handle(now, event)
 
         self.engine._balancer.handle = heard  # type: ignore[method-assign]
-        entries = [Entry(ListedServer(f"s-{n}"), ("127.0.0.1", 1 + n)) for n in range(3)]
-        self.engine.start(Listing(1, True, tuple(entries)))
+        entries = [EndpointEntry(ListedServer(f"s-{n}"), ("127.0.0.1", 1 + n)) for n in range(3)]
+        self.engine.start(EndpointUpdate(1, True, tuple(entries)))
         self._idents = itertools.count()
 
     def ask(self, kind: str = "lodge", ident: bytes | None = None) -> tuple[Waiter, int | None]:
@@ -134,10 +134,10 @@
     ("outcome", "got"),
     [
         (Outcome.DELIVERED, ("served", "answer")),
-        (Outcome.ERROR, ("failed", Cause.SERVERS, True)),
-        (Outcome.DROPPED, ("failed", Cause.SERVERS, True)),
-        (Outcome.EXPIRED, ("failed", Cause.TIME, True)),
-        (Outcome.SPOILT, ("failed", Cause.SERVERS, True)),
+        (Outcome.ERROR, ("failed", FailureCause.SERVERS, True)),
+        (Outcome.CONNECTION_LOST, ("failed", FailureCause.SERVERS, True)),
+        (Outcome.TIMED_OUT, ("failed", FailureCause.TIME, True)),
+        (Outcome.MALFORMED, ("failed", FailureCause.SERVERS, True)),
     ],
 )
 def test_an_unsafe_attempt_that_may_have_run_is_the_last(outcome: Outcome, got: tuple[Any, ...]) -> None:
@@ -153,7 +153,7 @@
     waiter, _ = stage.ask()
     for attempt in range(3):
         assert waiter.got == []
-        stage.world.end(attempt, Outcome.DIAL_FAILED)
+        stage.world.end(attempt, Outcome.CONNECT_FAILED)
     assert waiter.got == [("refused",)]
 
 
@@ -161,7 +161,7 @@
     stage = Stage()
     waiter, _ = stage.ask()
     stage.engine.fail_open()
-    assert waiter.got == [("failed", Cause.TIME, True)]
+    assert waiter.got == [("failed", FailureCause.TIME, True)]
     assert stage.engine.open_requests == 1  # its attempt is still out
     stage.world.end(0)
     assert len(waiter.got) == 1 and stage.engine.open_requests == 0
@@ -181,7 +181,7 @@
 def test_an_open_id_is_not_taken_again_and_a_full_house_refuses() -> None:
     stage = Stage(maxOpen=2)
     stage.ask(ident=b"same")
-    with pytest.raises(IdInUse):
+    with pytest.raises(RequestIdInUseError):
         stage.ask(ident=b"same")
     stage.ask()
     waiter, number = stage.ask()
@@ -191,7 +191,7 @@
 
 
 def test_with_pauses_between_requests_the_waiter_comes_first() -> None:
-    stage = Stage(WaiterFirstEngine)
+    stage = Stage(HandlerFirstEngine)
     for number in range(3):
         stage.world.wait(5 * MS)
         waiter, _ = stage.ask()
@@ -203,7 +203,7 @@
 
 
 def test_the_decisions_hear_of_an_attempt_before_the_next_request_whatever_the_pauses() -> None:
-    stage = Stage(WaiterFirstEngine)
+    stage = Stage(HandlerFirstEngine)
     stage.world.wait(5 * MS)
     for number in range(6):
         stage.ask()
@@ -215,7 +215,7 @@
 
 
 def test_back_to_back_the_decisions_hear_at_once() -> None:
-    stage = Stage(WaiterFirstEngine)
+    stage = Stage(HandlerFirstEngine)
     stage.world.wait(5 * MS)
     for number in range(4):
         stage.ask()
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -13,13 +13,13 @@
 
 from micadeck import errors
 from micadeck.config import ConfigError, parse
-from micadeck.engine import Entry, Listing
+from micadeck.engine import EndpointEntry, EndpointUpdate
 from micadeck.fleet.config import FleetConfig, FleetConfigError, load
 from micadeck.fleet.encryption import Keys, Seal
 from micadeck.fleet.host import FleetHost
 from micadeck.fleet.messages import Ask
 from micadeck.fleet.settings import FleetSettings
-from micadeck.peer_datagrams import Peers
+from micadeck.peer_datagrams import PeerDatagrams
 from micadeck.policy.events import ListedServer, ServerState
 from micadeck.sidecar import Core
 from micadeck.simulation.loop import Host, VirtualLoop
@@ -51,7 +51,7 @@
     async def start(self) -> None:
         for number, place in enumerate(self.places):
             network = host_of(self.wire, number)
-            peers = Peers(network, self.places, None, number)
+            peers = PeerDatagrams(network, self.places, None, number)
 
             def doubt(number: int = number) -> None:
                 self.doubts[number] += 1
@@ -76,16 +76,16 @@
         self.loop.run_until_complete(whole())
 
 
-def entry(name: str, state: ServerState) -> Entry:
-    address = None if state is ServerState.GONE else ("10.1.0.1", 80)
-    return Entry(ListedServer(name, state=state), address)
+def entry(name: str, state: ServerState) -> EndpointEntry:
+    address = None if state is ServerState.REMOVED else ("10.1.0.1", 80)
+    return EndpointEntry(ListedServer(name, state=state), address)
 
 
 def test_word_of_a_drain_makes_the_others_ask_discovery_and_nothing_else() -> None:
     fleet = Fleetful(4)
 
     async def work() -> None:
-        told = Listing(7, False, (entry("s-1", ServerState.DRAINING), entry("s-2", ServerState.READY)))
+        told = EndpointUpdate(7, False, (entry("s-1", ServerState.DRAINING), entry("s-2", ServerState.READY)))
         fleet.hosts[3].listed(told)
         fleet.hosts[1].listed(told)  # it was told by its own discovery as well
         await asyncio.sleep(5.0)
@@ -103,8 +103,8 @@
 
     async def work() -> None:
         many = tuple(entry(f"s-{number}", ServerState.DRAINING) for number in range(200))
-        fleet.hosts[0].listed(Listing(8, False, many))
-        fleet.hosts[0].listed(Listing(9, True, many[:3]))
+        fleet.hosts[0].listed(EndpointUpdate(8, False, many))
+        fleet.hosts[0].listed(EndpointUpdate(9, True, many[:3]))
         await asyncio.sleep(5.0)
 
     fleet.play(work)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -10,7 +10,7 @@
 from loopback import OK, Heard, play, request, soon, stage, until
 
 from micadeck.http.h1 import MOST_BODY
-from micadeck.http.listener import ClientLimits
+from micadeck.http.listener import DownstreamLimits
 
 
 @pytest.mark.parametrize(
@@ -231,7 +231,7 @@
     play(work)
 
 
-SHORT = ClientLimits(
+SHORT = DownstreamLimits(
     header_timeout_s=0.15, request_timeout_s=0.3, idle_timeout_s=0.15, linger_s=0.05, sweep_s=0.01
 )
 
@@ -324,7 +324,7 @@
 def test_what_half_sent_requests_hold_in_memory_is_bounded() -> None:
     # Guards against many clients that each send most of a body: together they would take all memory.
     async def work() -> None:
-        async with stage(OK, client_limits=ClientLimits(most_bytes=300_000)) as scene:
+        async with stage(OK, client_limits=DownstreamLimits(most_bytes=300_000)) as scene:
             clients = [await scene.client() for _ in range(6)]
             for client in clients:
                 client.send(request("lodge", body=b"x" * 65_000)[:-1])
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -16,7 +16,7 @@
 from loopback import HOST, OK, Client, Heard, play, played, request, soon, stage, until
 from test_program import program, started
 
-from micadeck.operations import Beside, OpenIds, share_of
+from micadeck.operations import HotRestart, RequestIdRegistry, share_of
 from micadeck.sidecar import _LEAST_ROOM, _RESERVED
 
 ROOT = Path(__file__).parent.parent
@@ -50,7 +50,7 @@
 
 
 def test_a_process_sees_another_of_its_name_and_its_end_however_it_ended(tmp_path: Path) -> None:
-    beside = Beside(str(tmp_path), "n0")
+    beside = HotRestart(str(tmp_path), "n0")
     beside.enter()
     assert beside.others == 0 and not beside.look()
     with other(tmp_path) as second, other(tmp_path, "n1"):
@@ -70,7 +70,7 @@
 def test_a_dead_processs_file_and_nonsense_count_for_nothing(tmp_path: Path) -> None:
     (tmp_path / "micadeck-n0-1").write_bytes(b"cut o")
     (tmp_path / "micadeck-n0-2").mkdir()
-    beside = Beside(str(tmp_path), "n0")
+    beside = HotRestart(str(tmp_path), "n0")
     beside.enter()
     assert beside.others == 0
     beside.leave()
@@ -78,7 +78,7 @@
 
 def test_without_a_folder_nothing_is_said_and_nobody_is_seen(tmp_path: Path) -> None:
     for folder in (None, "", str(tmp_path / "not there")):
-        beside = Beside(folder, "n0")
+        beside = HotRestart(folder, "n0")
         beside.enter()
         assert beside.others == 0 and not beside.look()
         beside.leave()
@@ -87,7 +87,7 @@
 def test_a_folder_that_vanishes_ends_nothing(tmp_path: Path) -> None:
     folder = tmp_path / "common"
     folder.mkdir()
-    beside = Beside(str(folder), "n0")
+    beside = HotRestart(str(folder), "n0")
     beside.enter()
     for each in folder.iterdir():
         each.unlink()
@@ -107,7 +107,7 @@
         resting = [await scene.client() for _ in range(60)]
         for each in resting:
             assert (await each.ask()).status == 200
-        beside = sidecar._beside = Beside(str(tmp_path), "n0")
+        beside = sidecar._beside = HotRestart(str(tmp_path), "n0")
         beside.enter()
         with other(tmp_path):
             assert beside.look()
@@ -145,11 +145,11 @@
 # Which requests are open
 
 
-def tables(folder: Path) -> tuple[OpenIds, OpenIds, Path]:
+def tables(folder: Path) -> tuple[RequestIdRegistry, RequestIdRegistry, Path]:
     """Two processes' tables, and the second's file."""
     paths = [folder / "one", folder / "two"]
     fds = [os.open(each, os.O_RDWR | os.O_CREAT) for each in paths]
-    return OpenIds(fds[0], paths[1:]), OpenIds(fds[1], paths[:1]), paths[1]
+    return RequestIdRegistry(fds[0], paths[1:]), RequestIdRegistry(fds[1], paths[:1]), paths[1]
 
 
 def test_an_id_is_in_use_for_both_processes_until_it_is_over(tmp_path: Path) -> None:
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -7,13 +7,13 @@
 import pytest
 from loopback import OK, Client, Stage, play, request, soon, stage, until
 
-from micadeck.http.idle_connections import Resting, rest_for_s
-from micadeck.http.listener import ClientLimits
+from micadeck.http.idle_connections import IdleConnections, rest_for_s
+from micadeck.http.listener import DownstreamLimits
 
 ROOM = 160
 
 
-def _ask_once(resting: Resting[int], numbers: range) -> None:
+def _ask_once(resting: IdleConnections[int], numbers: range) -> None:
     """Each comes to rest after one request; what is too many is closed."""
     for number in numbers:
         resting.rests(number, 1, ROOM)
@@ -22,7 +22,7 @@
 
 
 def test_those_that_never_come_back_keep_a_quarter_of_the_room() -> None:
-    resting: Resting[int] = Resting()
+    resting: IdleConnections[int] = IdleConnections()
     for turn in range(5):  # the witnesses are closed by time, 20 in each turn
         _ask_once(resting, range(turn * 1_000, turn * 1_000 + 400))
         for number in range(turn * 1_000, turn * 1_000 + 400):
@@ -31,7 +31,7 @@
 
 
 def test_those_that_come_back_keep_more_and_the_estimate_recovers() -> None:
-    resting: Resting[int] = Resting()
+    resting: IdleConnections[int] = IdleConnections()
     for number in range(800):
         resting.rests(number, 1, ROOM)
         resting.ends(number)
@@ -45,14 +45,14 @@
 
 def test_closing_early_teaches_nothing() -> None:
     # Guards against a part that shrinks because it is small: whoever is closed early can't come back.
-    resting: Resting[int] = Resting()
+    resting: IdleConnections[int] = IdleConnections()
     resting.comes_back = 0.5
     _ask_once(resting, range(5_000))  # all but the witnesses are closed
     assert resting.comes_back == 0.5
 
 
 def test_one_that_asked_twice_counts_against_nobody() -> None:
-    resting: Resting[int] = Resting()
+    resting: IdleConnections[int] = IdleConnections()
     for number in range(1_000):
         resting.rests(number, 2, ROOM)
     assert resting.too_many(ROOM) == 0 and list(resting.spare(ROOM)) == []
@@ -63,7 +63,7 @@
     assert rest_for_s(5.0, used, ROOM) == pytest.approx(seconds)
 
 
-PATIENT = ClientLimits(idle_timeout_s=60.0)  # nothing here is closed by time
+PATIENT = DownstreamLimits(idle_timeout_s=60.0)  # nothing here is closed by time
 SMALL = {"limits": {"sockets": 112}}  # room for 32 clients
 
 
--- a/tests/test_library_request_validation.py
+++ b/tests/test_library_request_validation.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from loopback import CLASSES
 
-from micadeck.http.request_validation import BadRequest
+from micadeck.http.request_validation import BadRequestError
 from micadeck.library.request_validation import Reader, Wanted, _plain, read_wanted, worded
 from micadeck.policy.settings import ServiceClass
 from micadeck.simulator_adapter import settings_from_wire
@@ -51,7 +51,7 @@
 def test_whatever_is_asked_is_read_or_refused_with_a_status(asked: Wanted, kind: ServiceClass) -> None:
     try:
         incoming = read_wanted(READER, kind, asked)
-    except BadRequest as fault:
+    except BadRequestError as fault:
         assert 400 <= fault.status < 500
     else:
         assert all(b"\r" not in value and b"\n" not in value for _, value in incoming.headers)
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -12,8 +12,8 @@
 from test_program import GOOD
 
 from micadeck.config import parse
-from micadeck.memory.budget import ENTERED_AT_BOOKED, LEFT_AT, Kind, MemoryAccount, Stage
-from micadeck.memory.monitor import MemoryKeeper
+from micadeck.memory.budget import ENTERED_AT_BOOKED, LEFT_AT, MemoryBudget, MemoryUse, PressureLevel
+from micadeck.memory.monitor import MemoryMonitor
 from micadeck.memory.resident import MB
 from micadeck.network import LoopNetwork
 from micadeck.policy.outcomes import Outcome
@@ -26,14 +26,16 @@
     return int(LIMIT * share)
 
 
-@pytest.mark.parametrize("stage_", [each for each in Stage if each is not Stage.NORMAL])
-@pytest.mark.parametrize("kind", [Kind.REQUESTS, Kind.ANSWERS])
-def test_a_stage_is_entered_at_its_share_and_left_at_a_lower_one(kind: Kind, stage_: Stage) -> None:
-    told: list[Stage] = []
-    account = MemoryAccount(LIMIT, told.append)
+@pytest.mark.parametrize("stage_", [each for each in PressureLevel if each is not PressureLevel.NORMAL])
+@pytest.mark.parametrize("kind", [MemoryUse.REQUESTS, MemoryUse.ANSWERS])
+def test_a_stage_is_entered_at_its_share_and_left_at_a_lower_one(
+    kind: MemoryUse, stage_: PressureLevel
+) -> None:
+    told: list[PressureLevel] = []
+    account = MemoryBudget(LIMIT, told.append)
     enters = at(ENTERED_AT_BOOKED[stage_])
     account.book(kind, enters - 1)
-    assert account.stage is Stage(stage_ - 1)
+    assert account.stage is PressureLevel(stage_ - 1)
     account.book(kind, 1)
     assert account.stage is stage_
     account.set(kind, int(LEFT_AT * enters))
@@ -41,18 +43,18 @@
     account.book(kind, -1)
     assert account.stage < stage_
     account.set(kind, 0)
-    assert account.stage is Stage.NORMAL and told[-1] is Stage.NORMAL
+    assert account.stage is PressureLevel.NORMAL and told[-1] is PressureLevel.NORMAL
 
 
-@pytest.mark.parametrize("kind", [Kind.BODIES, Kind.UNSENT])
-def test_what_has_a_bound_of_its_own_refuses_nobody(kind: Kind) -> None:
-    account = MemoryAccount(LIMIT)
+@pytest.mark.parametrize("kind", [MemoryUse.BODIES, MemoryUse.UNSENT])
+def test_what_has_a_bound_of_its_own_refuses_nobody(kind: MemoryUse) -> None:
+    account = MemoryBudget(LIMIT)
     account.book(kind, LIMIT)
-    assert account.stage is Stage.NORMAL and account.booked[kind] == LIMIT
+    assert account.stage is PressureLevel.NORMAL and account.booked[kind] == LIMIT
 
 
 def test_resident_memory_that_nobody_booked_leads_to_a_stage_as_well() -> None:
-    account = MemoryAccount(LIMIT)
+    account = MemoryBudget(LIMIT)
     account.starts_at(at(0.2))
     stages = []
     for resident in (0.2, 0.5, 0.57, 0.69, 0.77, 0.85, 0.6, 0.45, 0.2):
@@ -62,42 +64,47 @@
 
 
 def test_a_limit_that_the_idle_process_nearly_takes_still_lets_a_trickle_through() -> None:
-    account = MemoryAccount(16 * MB)
+    account = MemoryBudget(16 * MB)
     account.starts_at(15 * MB)
     stages = []
     for resident_mb in (15.0, 15.2, 15.9):
-        account.book(Kind.REQUESTS, 20_000)
+        account.book(MemoryUse.REQUESTS, 20_000)
         account.saw_resident(int(resident_mb * MB))
         stages.append(account.stage)
-    assert stages == [Stage.NORMAL, Stage.NORMAL, Stage.CLOSE_IDLE]
+    assert stages == [PressureLevel.NORMAL, PressureLevel.NORMAL, PressureLevel.CLOSE_IDLE]
 
 
 def test_two_processes_that_share_a_limit_shed_at_half_of_it() -> None:
-    account = MemoryAccount(LIMIT)
-    account.book(Kind.REQUESTS, at(0.07))
+    account = MemoryBudget(LIMIT)
+    account.book(MemoryUse.REQUESTS, at(0.07))
     stages = [account.stage]
     for limit in (LIMIT // 2, LIMIT):
         account.limit(limit)
         stages.append(account.stage)
-    account.book(Kind.REQUESTS, -at(0.01))
+    account.book(MemoryUse.REQUESTS, -at(0.01))
     stages.append(account.stage)
     # Passing on is entered at 0.08 of the limit and left at 0.064.
-    assert stages == [Stage.NORMAL, Stage.SHED, Stage.PASS_ON, Stage.NORMAL]
+    assert stages == [PressureLevel.NORMAL, PressureLevel.SHED, PressureLevel.PASS_ON, PressureLevel.NORMAL]
 
 
-@given(st.lists(st.tuples(st.sampled_from(Kind), st.integers(-(20 * MB), 20 * MB)), max_size=40))
-def test_the_stage_is_that_of_the_amounts_however_they_came(steps: list[tuple[Kind, int]]) -> None:
-    account = MemoryAccount(LIMIT)
+@given(st.lists(st.tuples(st.sampled_from(MemoryUse), st.integers(-(20 * MB), 20 * MB)), max_size=40))
+def test_the_stage_is_that_of_the_amounts_however_they_came(steps: list[tuple[MemoryUse, int]]) -> None:
+    account = MemoryBudget(LIMIT)
     for kind, more in steps:
         before = account.stage
         account.book(kind, more)
-        booked = account.booked[Kind.REQUESTS] + account.booked[Kind.ANSWERS]
+        booked = account.booked[MemoryUse.REQUESTS] + account.booked[MemoryUse.ANSWERS]
         assert account.counted == booked
-        enters = max(each for each in Stage if booked >= at(ENTERED_AT_BOOKED[each]) or each is Stage.NORMAL)
+        enters = max(
+            each
+            for each in PressureLevel
+            if booked >= at(ENTERED_AT_BOOKED[each]) or each is PressureLevel.NORMAL
+        )
         stays = max(
             each
-            for each in Stage
-            if each is Stage.NORMAL or (each <= before and booked >= LEFT_AT * at(ENTERED_AT_BOOKED[each]))
+            for each in PressureLevel
+            if each is PressureLevel.NORMAL
+            or (each <= before and booked >= LEFT_AT * at(ENTERED_AT_BOOKED[each]))
         )
         assert account.stage is max(enters, stays)
 
@@ -116,12 +123,12 @@
             taken = await scene.client()
             taken.send(request("lodge"))
             await until(lambda: len(scene.heard) == 1)
-            memory.book(Kind.ANSWERS, int(memory.limit_bytes * ENTERED_AT_BOOKED[Stage.SHED]))
+            memory.book(MemoryUse.ANSWERS, int(memory.limit_bytes * ENTERED_AT_BOOKED[PressureLevel.SHED]))
             refused = await scene.ask("lodge")
             assert refused.status == 503 and refused.headers["retry-after"] == "0.300"
             release.set()
             assert (await taken.answer()).status == 200
-            memory.set(Kind.ANSWERS, 0)
+            memory.set(MemoryUse.ANSWERS, 0)
             assert (await scene.ask("lodge")).status == 200
             assert len(scene.heard) == 2  # the refused one was sent on to nobody
             assert scene.sidecar._engine.shed == 1
@@ -138,11 +145,13 @@
             await until(lambda: len(scene.heard) == 1)
             half.send(request("lodge", body=b"x" * 1_000)[:-1])
             await until(lambda: scene.sidecar.frontend.half_sent == 1)
-            memory.book(Kind.ANSWERS, int(memory.limit_bytes * ENTERED_AT_BOOKED[Stage.CLOSE_IDLE]))
+            memory.book(
+                MemoryUse.ANSWERS, int(memory.limit_bytes * ENTERED_AT_BOOKED[PressureLevel.CLOSE_IDLE])
+            )
             assert (await half.answer()).status == 503
             await asyncio.sleep(0.3)
             assert scene.sidecar.open_requests == 1  # it is owed its answer
-            memory.set(Kind.ANSWERS, 0)
+            memory.set(MemoryUse.ANSWERS, 0)
 
     play(work)
 
@@ -157,7 +166,9 @@
         async with stage(half) as scene:
             memory = scene.sidecar.memory
             client = await scene.client()
-            memory.book(Kind.REQUESTS, int(memory.limit_bytes * ENTERED_AT_BOOKED[Stage.PASS_ON]))
+            memory.book(
+                MemoryUse.REQUESTS, int(memory.limit_bytes * ENTERED_AT_BOOKED[PressureLevel.PASS_ON])
+            )
             client.send(request("lodge"))
             head = await client.reader.readuntil(b"\r\n\r\n")
             assert b" 200 " in head and b"content-length: 30000" in head
@@ -176,7 +187,7 @@
                     assert (await client.answer()).status == 200
             half = await scene.client()
             half.send(request("lodge", body=b"x" * 30_000)[:-1])
-            await until(lambda: scene.sidecar.memory.booked[Kind.REQUESTS] > 30_000)
+            await until(lambda: scene.sidecar.memory.booked[MemoryUse.REQUESTS] > 30_000)
             half.close()
             await until(lambda: not any(scene.sidecar.memory.booked.values()))
 
@@ -203,12 +214,12 @@
     resident = [at(0.12)]
     monkeypatch.setattr("micadeck.memory.monitor.anonymous_bytes", lambda: resident[0])
     monkeypatch.setattr("micadeck.memory.monitor.trim_heap", lambda: None)
-    account = MemoryAccount(LIMIT)
-    keeper = MemoryKeeper(_Clock(), account, lines.append)  # type: ignore[arg-type]
+    account = MemoryBudget(LIMIT)
+    keeper = MemoryMonitor(_Clock(), account, lines.append)  # type: ignore[arg-type]
     keeper.start()
     for share in (0.15, 0.21, 0.25, 0.33, 0.22, 0.35, 0.41):
         resident[0] = at(share)
-        account.set(Kind.REQUESTS, at(0.05))
+        account.set(MemoryUse.REQUESTS, at(0.05))
         keeper._look()
     assert len(lines) == 3
     assert lines[0] == (
@@ -229,9 +240,9 @@
 
     monkeypatch.setattr("micadeck.memory.monitor.anonymous_bytes", lambda: resident[0])
     monkeypatch.setattr("micadeck.memory.monitor.trim_heap", trim)
-    account = MemoryAccount(LIMIT)
+    account = MemoryBudget(LIMIT)
     clock = _Clock()
-    keeper = MemoryKeeper(clock, account, lambda _: None)  # type: ignore[arg-type]
+    keeper = MemoryMonitor(clock, account, lambda _: None)  # type: ignore[arg-type]
     keeper.start()
     used[0] = resident[0] = at(0.4)  # in use, and nobody books it
     while clock.time() < 60.0:
@@ -253,9 +264,9 @@
             until_us = carrier._network.now() + 5_000_000
             carrier.probe("s-0", until_us, lambda outcome, *_: ended.append(outcome))
             await until(lambda: bool(ended))
-            assert ended == [Outcome.SPOILT]
+            assert ended == [Outcome.MALFORMED]
             assert carrier._network.time() - began < 0.2  # by its head, not by its stall of 0.25 s
-            assert scene.sidecar.memory.booked[Kind.ANSWERS] == 0
+            assert scene.sidecar.memory.booked[MemoryUse.ANSWERS] == 0
 
     play(work)
 
--- a/tests/test_message_races.py
+++ b/tests/test_message_races.py
@@ -32,7 +32,7 @@
     until,
 )
 
-from micadeck.http.listener import ClientLimits, ClientSide
+from micadeck.http.listener import DownstreamConnection, DownstreamLimits
 from micadeck.signals import ProcessSignals
 
 
@@ -41,14 +41,14 @@
     client.close()
 
 
-async def at_rest(scene: Stage, client: socket.socket) -> ClientSide:
+async def at_rest(scene: Stage, client: socket.socket) -> DownstreamConnection:
     """The sidecar's side of a client that has had one answer."""
     client.sendall(request())
     client.setblocking(False)
     assert (await soon(asyncio.get_running_loop().sock_recv(client, 65_536))).startswith(b"HTTP/1.1 200")
     client.setblocking(True)
     (side,) = scene.sidecar.frontend.connections()
-    assert isinstance(side, ClientSide) and side.is_idle
+    assert isinstance(side, DownstreamConnection) and side.is_idle
     return side
 
 
@@ -97,7 +97,7 @@
 
         slow = SlowToAccept()
         await slow.fill()
-        limits = ClientLimits(sweep_s=60.0)
+        limits = DownstreamLimits(sweep_s=60.0)
         bounds = {"dialTimeoutUs": 15_000_000}
         async with stage(breaks, breaks, bounds=bounds, client_limits=limits) as scene:
             if waits_for == "a dial":
--- a/tests/test_mysql_choices.py
+++ b/tests/test_mysql_choices.py
@@ -15,7 +15,7 @@
 from micadeck.mysql.routes import Routes, Rule
 from micadeck.mysql.session import Connected, Session, must_reset, put
 from micadeck.mysql.statements import Kind, Pin, Reader, Refusal, understand
-from micadeck.policy.settings import Repeat, ServiceClass
+from micadeck.policy.settings import Idempotency, ServiceClass
 
 # ---------------------------------------------------------------------------------------------------
 # Statements
@@ -231,8 +231,8 @@
 _CLASSES = {
     each.name: each
     for each in (
-        ServiceClass("read", 2_000_000, 1_000_000, repeat=Repeat.SAFE),
-        ServiceClass("slow", 9_000_000, 1_000_000, repeat=Repeat.SAFE),
+        ServiceClass("read", 2_000_000, 1_000_000, repeat=Idempotency.IDEMPOTENT),
+        ServiceClass("slow", 9_000_000, 1_000_000, repeat=Idempotency.IDEMPOTENT),
         ServiceClass("write", 4_000_000, 1_000_000),
     )
 }
--- a/tests/test_mysql_error_mapping.py
+++ b/tests/test_mysql_error_mapping.py
@@ -9,7 +9,7 @@
 from loopback import play, soon, until
 from mysql_stage import ROWS, Scene, ask, scene
 
-from micadeck.mysql.error_mapping import TABLE, Befell, Transaction, Was
+from micadeck.mysql.error_mapping import TABLE, StatementContext, StatementFault, Transaction
 from micadeck.mysql.protocol.answers import Kind
 from micadeck.mysql.statements import Reader
 from micadeck.mysql.transport import StatementRequest
@@ -35,11 +35,11 @@
 
 
 def test_the_table_has_a_fate_for_everything_and_promises_only_what_holds() -> None:
-    assert TABLE.keys() == {(row, befell) for row in Was for befell in Befell}
+    assert TABLE.keys() == {(row, befell) for row in StatementContext for befell in StatementFault}
     for (row, befell), fate in TABLE.items():
-        if befell is Befell.REFUSED or row in (Was.READ, Was.ROLLBACK):
+        if befell is StatementFault.REFUSED or row in (StatementContext.READ, StatementContext.ROLLBACK):
             continue
-        if row is Was.IN_TRANSACTION:
+        if row is StatementContext.IN_TRANSACTION:
             assert fate.error is not None and fate.error.sqlstate == "40001"
             assert fate.transaction is Transaction.ROLLED_BACK
         else:
@@ -147,7 +147,7 @@
             until_us = stage.service.front.network.now() + 1_000_000
             carrier.start("m-0", until_us, request, lambda outcome, answer, report: ended.append(outcome))
             await until(lambda: bool(ended))
-            assert ended == [Outcome.UNSENT] and len(stage.ran("FROM tariff")) == 1
+            assert ended == [Outcome.NOT_SENT] and len(stage.ran("FROM tariff")) == 1
 
     play(work)
 
--- a/tests/test_mysql_protocol.py
+++ b/tests/test_mysql_protocol.py
@@ -15,7 +15,7 @@
     Gate,
     Login,
     LoginFailed,
-    Say,
+    SendPacket,
     User,
     Users,
     Verifier,
@@ -261,7 +261,7 @@
     said = []
     for _ in range(6):
         match step:
-            case Say(payload):
+            case SendPacket(payload):
                 said.append(payload)
                 answer = login.read(payload)
                 assert answer is not None
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,8 +11,8 @@
 import pytest
 from loopback import ERROR, FULL, HOST, OK, Client, Heard, Stage, played, request, soon, stage, until
 
-from micadeck.operations.admin_protocol import MOST_LINE, BadCall, CallReader, answer
-from micadeck.operations.lifecycle import LetGo, Life, Phase
+from micadeck.operations.admin_protocol import MOST_LINE, BadCommandError, CommandReader, answer
+from micadeck.operations.lifecycle import ConnectionsToClose, Lifecycle, Phase
 
 DOOR = {"operator": f"{HOST}:0"}
 
@@ -21,16 +21,16 @@
 
 
 def test_a_drain_can_be_taken_back_and_a_stop_can_not() -> None:
-    life = Life()
+    life = Lifecycle()
     assert not life.can_serve and not life.is_healthy and not life.is_leaving
     assert not life.undrain(0.0)
     assert life.started(0.0) and life.is_healthy and life.can_serve
     assert life.drain(1.0) and not life.is_healthy and life.is_leaving and life.can_serve
     assert not life.drain(2.0)  # a second call changes nothing, nor does its time begin again
-    assert life.lets_go(1.1) is LetGo.NONE
-    assert life.lets_go(1.5) is LetGo.IDLE
-    assert life.lets_go(4.5) is LetGo.RESTING
-    assert life.undrain(5.0) and life.is_healthy and life.lets_go(9.0) is LetGo.NONE
+    assert life.lets_go(1.1) is ConnectionsToClose.NONE
+    assert life.lets_go(1.5) is ConnectionsToClose.IDLE
+    assert life.lets_go(4.5) is ConnectionsToClose.RESTING
+    assert life.undrain(5.0) and life.is_healthy and life.lets_go(9.0) is ConnectionsToClose.NONE
     assert not life.undrain(5.5)
     assert life.stop(6.0) and life.is_leaving and not life.can_serve
     assert not life.undrain(6.1) and not life.drain(6.2) and not life.stop(6.3)
@@ -40,10 +40,10 @@
 
 
 def test_a_drain_before_the_start_holds_and_a_stop_within_it_keeps_its_time() -> None:
-    life = Life()
+    life = Lifecycle()
     assert life.drain(0.0) and not life.started(0.1)
     assert not life.is_healthy and life.can_serve
-    assert life.stop(3.0) and life.lets_go(3.5) is LetGo.RESTING
+    assert life.stop(3.0) and life.lets_go(3.5) is ConnectionsToClose.RESTING
 
 
 # The lines of the door
@@ -88,17 +88,17 @@
 def test_a_line_may_come_in_any_pieces_and_only_one_may_come() -> None:
     for whole in (b"READY\n", b"READY\r\n"):
         for cut in range(len(whole)):
-            reader = CallReader()
+            reader = CommandReader()
             first = reader.feed(whole[:cut])
             assert first is None
             assert reader.feed(whole[cut:]) == b"READY"
     for bad in (b"READY\nSTATS\n", b"x" * (MOST_LINE + 1), b"x" * 4_000 + b"\n"):
-        with pytest.raises(BadCall):
-            CallReader().feed(bad)
-    reader = CallReader()
+        with pytest.raises(BadCommandError):
+            CommandReader().feed(bad)
+    reader = CommandReader()
     for _ in range(MOST_LINE):
         assert reader.feed(b"x") is None
-    with pytest.raises(BadCall):
+    with pytest.raises(BadCommandError):
         reader.feed(b"x")
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -104,7 +104,7 @@
 
     def work(self, sidecar: Any, name: str, kind: str, done: Callable[[Outcome, float], None]) -> None:
         if sidecar.number == 0 and self.drawn.random() < 0.1:
-            self.after(3_000, lambda: done(Outcome.DROPPED, 0.0))
+            self.after(3_000, lambda: done(Outcome.CONNECTION_LOST, 0.0))
         else:
             super().work(sidecar, name, kind, done)
 
@@ -130,7 +130,7 @@
     hung = [stage.request("pay") for _ in range(12)]
     stage.wait(1_900 * MS)
     for each in hung:
-        stage.end(each, Outcome.EXPIRED)
+        stage.end(each, Outcome.TIMED_OUT)
     stage.balancer._window = 8.0
     sent = 0
     for _ in range(40):  # one at a time, each answered at once: none is in flight but those given up on
--- a/tests/test_peer_datagrams.py
+++ b/tests/test_peer_datagrams.py
@@ -8,7 +8,7 @@
 from loopback import HOST, play, soon
 
 from micadeck.network import Address, LoopNetwork
-from micadeck.peer_datagrams import Peers
+from micadeck.peer_datagrams import PeerDatagrams
 
 
 def test_peers_hear_one_another_and_nobody_else() -> None:
@@ -22,8 +22,8 @@
         addresses: tuple[Address, ...] = tuple((HOST, port) for port in ports)
         heard: asyncio.Queue[tuple[int, int, bytes]] = asyncio.Queue()
 
-        def ear(me: int) -> Peers:
-            return Peers(LoopNetwork(), addresses, None, me)
+        def ear(me: int) -> PeerDatagrams:
+            return PeerDatagrams(LoopNetwork(), addresses, None, me)
 
         first, second = ear(0), ear(1)
         await first.listen(addresses[0], lambda by, what: heard.put_nowait((0, by, what)))
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -52,8 +52,8 @@
         scene.end(request)
     request = scene.request("pay")
     scene.wait(10 * MS)
-    scene.end(request, Outcome.DIAL_FAILED)
-    scene.end(request, Outcome.DROPPED)
+    scene.end(request, Outcome.CONNECT_FAILED)
+    scene.end(request, Outcome.CONNECTION_LOST)
     told = observer.take(scene.now, 0, 0)
     span = told[-1]
     assert isinstance(span, Span)
@@ -82,7 +82,7 @@
                 scene.end(request, Outcome.ERROR)  # and goes to another
             scene.end(request)
     scene.drain("b")
-    scene.drain("c", ServerState.GONE)
+    scene.drain("c", ServerState.REMOVED)
     told = [each for each in observer.take(scene.now, 0, 0) if isinstance(each, State)]
     assert [each.server for each in told[:3] if each.state == "ready"] == ["a", "b", "c"]
     assert ("a", "ejected", "error") in [(each.server, each.state, each.why) for each in told]
@@ -101,7 +101,7 @@
     for _ in range(MOST_ATTEMPTS + 50):
         request = scene.request("pay")
         if scene.sends(request):
-            scene.end(request, Outcome.DROPPED)
+            scene.end(request, Outcome.CONNECTION_LOST)
     told = observer.take(scene.now, 0, 0)
     attempts = sum(isinstance(each, Attempt) for each in told)
     assert attempts <= MOST_ATTEMPTS and isinstance(told[-1], Span)
@@ -122,7 +122,7 @@
         while open_requests and drawn.random() < 0.6:
             request = open_requests.pop(0)
             if scene.sends(request):
-                bad = drawn.choice([Outcome.ERROR, Outcome.DROPPED, Outcome.FULL])
+                bad = drawn.choice([Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.FULL])
                 scene.end(request, bad if drawn.random() < 0.3 else Outcome.DELIVERED)
         if number % 100 == 99:
             told += observer.take(scene.now, 0, 0)
--- a/tests/test_refused_dials.py
+++ b/tests/test_refused_dials.py
@@ -9,7 +9,7 @@
 from micadeck.policy.events import ListedServer, ServerState
 from micadeck.policy.outcomes import Outcome
 
-DOWN = Outcome.TURNED_DOWN
+DOWN = Outcome.CONNECTION_REFUSED
 
 
 def stage_of(count: int, attempts: int = 2, seed: int = 7) -> Stage:
@@ -129,7 +129,7 @@
 
 
 def test_what_timed_out_or_broke_is_an_attempt_as_before() -> None:
-    for outcome in (Outcome.DIAL_FAILED, Outcome.DROPPED):
+    for outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST):
         stage = stage_of(10)
         request = stage.request()
         assert run(stage, request, set(names(10)), outcome) == 2
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,7 +12,7 @@
 from loopback import CLASSES, HOST, OK, Heard, played, request, stage, until
 
 from micadeck.config import ConfigError, load, parse
-from micadeck.http.settings_versions import Generations
+from micadeck.http.settings_versions import SettingsVersions
 from micadeck.policy import Balancer, Settings
 from micadeck.policy.actions import Send
 from micadeck.policy.events import (
@@ -24,7 +24,7 @@
     SettingsChanged,
 )
 from micadeck.policy.outcomes import Outcome
-from micadeck.policy.settings import Repeat
+from micadeck.policy.settings import Idempotency
 from micadeck.simulator_adapter import settings_from_wire
 
 
@@ -43,25 +43,31 @@
 
 def test_new_settings_wait_until_clients_follow_or_a_request_needs_them() -> None:
     old, new = settings(), settings(CHECK, {**AMEND, "repeat": "non_idempotent"}, TRACK)
-    asked = Generations(old)
+    asked = SettingsVersions(old)
     due = asked.announce(new, 1_000_000)
     assert due == 2_200_000
     assert not asked.turn(due - 1)
-    found = asked.find("lodge", Repeat.UNSAFE, due - 1)
+    found = asked.find("lodge", Idempotency.NON_IDEMPOTENT, due - 1)
     assert found is not None and found[0].name == "lodge" and asked.settings is old
-    assert asked.find("track", Repeat.SAFE, due - 1) == (new.classes[2], False)  # the first that needs them
+    assert asked.find("track", Idempotency.IDEMPOTENT, due - 1) == (
+        new.classes[2],
+        False,
+    )  # the first that needs them
     assert asked.settings is new and not asked.turn(due)
     # What only the old ones explain is served by them for a moment more.
-    assert asked.find("amend", Repeat.KEYED, due) == (old.classes[1], True)
-    assert asked.find("amend", Repeat.UNSAFE, due) == (new.classes[1], False)
-    assert asked.find("lodge", Repeat.UNSAFE, due) == (old.classes[2], True)
+    assert asked.find("amend", Idempotency.KEYED, due) == (old.classes[1], True)
+    assert asked.find("amend", Idempotency.NON_IDEMPOTENT, due) == (new.classes[1], False)
+    assert asked.find("lodge", Idempotency.NON_IDEMPOTENT, due) == (old.classes[2], True)
     late = due + 300_000
-    assert asked.find("lodge", Repeat.UNSAFE, late) is None  # dropped
-    assert asked.find("amend", Repeat.KEYED, late) == (new.classes[1], False)  # does not go with the class
+    assert asked.find("lodge", Idempotency.NON_IDEMPOTENT, late) is None  # dropped
+    assert asked.find("amend", Idempotency.KEYED, late) == (
+        new.classes[1],
+        False,
+    )  # does not go with the class
 
 
 def test_of_two_reloads_in_a_row_the_second_counts() -> None:
-    asked = Generations(settings())
+    asked = SettingsVersions(settings())
     asked.announce(settings(TRACK), 0)
     last = settings(CHECK)
     due = asked.announce(last, 500_000)
@@ -71,7 +77,7 @@
     asked.announce(settings(TRACK), due)
     due = asked.announce(settings(CHECK), due + 1)
     assert not asked.turn(due) and asked.settings is last
-    assert asked.find("track", Repeat.SAFE, due) is None
+    assert asked.find("track", Idempotency.IDEMPOTENT, due) is None
 
 
 # The module
--- a/tests/test_room_for_clients.py
+++ b/tests/test_room_for_clients.py
@@ -9,22 +9,25 @@
 import pytest
 from loopback import OK, Heard, played, raw_client, request, rest_of, stage, until
 
-from micadeck.http.listener import ClientSide, State
+from micadeck.http.listener import DownstreamConnection, State
 
 
 @pytest.mark.parametrize("ends", ["client says close", "draining"])
 @played
 async def test_a_last_answer_that_was_just_written_is_not_cut_off_to_make_room(ends: str) -> None:
-    real = ClientSide.answer
+    real = DownstreamConnection.answer
 
-    def answer_and_make_room(self: ClientSide, *given: Any) -> None:
+    def answer_and_make_room(self: DownstreamConnection, *given: Any) -> None:
         real(self, *given)
         self._frontend._make_room()  # one more client connects in this round of the event loop
 
     async with stage(OK) as scene:
         scene.sidecar.frontend.is_draining = ends == "draining"
         close: dict[str, Any] = {"Connection": "close"} if ends == "client says close" else {}
-        with mock.patch.object(ClientSide, "answer", answer_and_make_room), raw_client(scene) as client:
+        with (
+            mock.patch.object(DownstreamConnection, "answer", answer_and_make_room),
+            raw_client(scene) as client,
+        ):
             client.sendall(request("lodge", **close))
             assert (await rest_of(client)).startswith(b"HTTP/1.1 200")
 
@@ -39,7 +42,7 @@
         frontend = scene.sidecar.frontend
         moved = frontend.moved
 
-        def make_room_as_it_moves(connection: ClientSide, state: State) -> None:
+        def make_room_as_it_moves(connection: DownstreamConnection, state: State) -> None:
             moved(connection, state)
             if state is State.READING and connection._reader.requests:
                 frontend._make_room()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,12 +7,12 @@
 import pytest
 from helpers import MS, START, S, Stage, names, settings
 
-from micadeck.policy.actions import Cancel, CloseIdle, Fail, FetchList, Follow, Refuse
+from micadeck.policy.actions import Cancel, CloseIdle, Fail, FetchList, Refuse, WatchEndpoints
 from micadeck.policy.events import (
     AttemptEnded,
+    ClientDisconnected,
     ListedServer,
     ListKind,
-    RequestGone,
     ServersListed,
     ServerState,
 )
@@ -70,8 +70,8 @@
     request = stage.request()
     stage.end(request)
     before = len(stage.log)
-    stage.play(RequestGone(request))
-    stage.play(RequestGone(99))
+    stage.play(ClientDisconnected(request))
+    stage.play(ClientDisconnected(99))
     stage.play(AttemptEnded(99, 0, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
     stage.play(AttemptEnded(request, 7, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
     assert len(stage.log) == before
@@ -81,7 +81,7 @@
     stage = Stage()
     stage.servers(names(3))
     request = stage.request("pay")
-    stage.play(RequestGone(request))
+    stage.play(ClientDisconnected(request))
     stage.wait(3 * S)
     assert [each.request for each in stage.said(Cancel)] == [request]
     assert stage.said(Fail) == [] and stage.said(Refuse) == []
@@ -90,7 +90,9 @@
 # Rule 2: no effect twice
 
 
-@pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.DROPPED, Outcome.EXPIRED, Outcome.CANCELLED])
+@pytest.mark.parametrize(
+    "outcome", [Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.TIMED_OUT, Outcome.CANCELLED]
+)
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(outcome: Outcome) -> None:
     stage = Stage()
     stage.servers(names(5))
@@ -102,7 +104,7 @@
     assert stage.said(Refuse) == []
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.DIAL_FAILED, Outcome.UNSENT])
+@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
 def test_an_unsafe_request_that_never_ran_goes_to_another_server(outcome: Outcome) -> None:
     stage = Stage()
     stage.servers(names(5))
@@ -124,7 +126,7 @@
     assert stage.target(request) == "first"
     # Its server moves, and only servers of the cell that it moved to are there.
     stage.servers([ListedServer(each, zone="east", cell=2) for each in ("first", "second", "third")])
-    stage.end(request, Outcome.DROPPED)
+    stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends(request)) == 1
 
 
@@ -134,7 +136,7 @@
     request = stage.request("amend", remaining_us=4 * S)
     begun = stage.now
     stage.wait(100 * MS)
-    stage.end(request, Outcome.DROPPED)
+    stage.end(request, Outcome.CONNECTION_LOST)
     first, second = (send for _, send in stage.sends(request))
     assert first.write_by is None
     assert second.write_by == begun + 2 * S - 5 * MS - 50 * MS  # a tick, and the way there
@@ -149,7 +151,7 @@
         request = stage.request("amend")
         for _ in range(3):
             stage.wait(10 * MS)
-            stage.end(request, Outcome.DROPPED)
+            stage.end(request, Outcome.CONNECTION_LOST)
         targets = [each.server for _, each in stage.sends(request)]
         assert len(targets) > 1
         assert len({cell_of[each] for each in targets}) == 1
@@ -160,7 +162,7 @@
     stage.servers(cells())
     request = stage.request("amend", remaining_us=4 * S)
     stage.wait(2 * S)
-    stage.end(request, Outcome.DROPPED)
+    stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
 
@@ -199,7 +201,7 @@
 def test_a_list_that_brings_a_server_back_makes_it_ready_again() -> None:
     stage = Stage()
     stage.servers(["10.0.0.1:80"])
-    stage.drain("10.0.0.1:80", ServerState.GONE)
+    stage.drain("10.0.0.1:80", ServerState.REMOVED)
     assert stage.sends(stage.request()) == []
     stage.servers(["10.0.0.1:80"], ListKind.CHANGES)
     assert len(stage.sends(stage.request())) == 1
@@ -208,14 +210,14 @@
 def test_the_list_is_followed_from_the_first_event() -> None:
     stage = Stage()
     stage.servers(names(2), ListKind.REMEMBERED)
-    assert stage.said(Follow) == [Follow(True)]
+    assert stage.said(WatchEndpoints) == [WatchEndpoints(True)]
 
 
 def test_nothing_is_asked_where_changes_come_unasked() -> None:
     stage = Stage(settings(discovery="pushed"))
     stage.servers(names(2), ListKind.REMEMBERED)
     stage.wait(60 * S)
-    assert stage.said(Follow) == [] and stage.said(FetchList) == []
+    assert stage.said(WatchEndpoints) == [] and stage.said(FetchList) == []
 
 
 def test_failed_calls_are_repeated_with_growing_waits_and_never_given_up() -> None:
@@ -224,9 +226,9 @@
     stage.servers(names(2), ListKind.REMEMBERED)
     for _ in range(12):
         asked.append(stage.now)
-        count = len(stage.said(Follow))
+        count = len(stage.said(WatchEndpoints))
         stage.play(ServersListed(ListKind.FAILED))
-        while len(stage.said(Follow)) == count:
+        while len(stage.said(WatchEndpoints)) == count:
             stage.wait(5 * MS)
     waits = [later - earlier for earlier, later in itertools.pairwise(asked)]
     assert max(waits) < 10 * S / 2
@@ -237,7 +239,7 @@
     stage = Stage()
     stage.servers(names(2), ListKind.REMEMBERED)
     stage.wait(10 * S)
-    times = [at for at, each in stage.log if isinstance(each, Follow)]
+    times = [at for at, each in stage.log if isinstance(each, WatchEndpoints)]
     assert len(times) > 1
     assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
 
@@ -288,7 +290,7 @@
     assert not stage.balancer._send(request, server)
     stage.servers([server.name], ListKind.CHANGES)
     assert stage.balancer._send(request, server)
-    stage.drain(server.name, ServerState.GONE)
+    stage.drain(server.name, ServerState.REMOVED)
     other = stage.balancer._requests[stage.request()]
     assert not stage.balancer._send(other, server)
 
@@ -353,7 +355,7 @@
     assert stage.said(CloseIdle) == [CloseIdle("10.0.0.1:80")]
     stage.drain("10.0.0.1:80")  # heard before: nothing was used since
     assert len(stage.said(CloseIdle)) == 1
-    stage.drain("10.0.0.1:80", ServerState.GONE)
+    stage.drain("10.0.0.1:80", ServerState.REMOVED)
     assert len(stage.said(CloseIdle)) == 2
     stage.wait(S)
     stage.end(request)
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -10,9 +10,9 @@
 import pytest
 from helpers import S, settings
 
-from micadeck.engine import Entry, Listing
-from micadeck.http.request_validation import Incoming
-from micadeck.http.upstream import Upstream
+from micadeck.engine import EndpointEntry, EndpointUpdate
+from micadeck.http.request_validation import ValidatedRequest
+from micadeck.http.upstream import ConnectionPool
 from micadeck.policy.events import ListedServer, ServerState
 from micadeck.policy.outcomes import Outcome
 from micadeck.simulation.loop import Host, VirtualLoop
@@ -63,7 +63,7 @@
     wire.ways.delay_us = (WAY_US, WAY_US)
     host = Host("sidecar")
     network = VirtualNetwork(wire.machine(host, "10.0.0.1"))
-    upstream = Upstream(network, settings(limits={"idle_close_us": 10 * S}))
+    upstream = ConnectionPool(network, settings(limits={"idle_close_us": 10 * S}))
     upstream.most = 100
     connections: list[Server] = []
     there = VirtualNetwork(wire.machine(Host(SERVER), PLACE[0]))
@@ -72,7 +72,9 @@
 
     def ask(number: int) -> None:
         target = b"/%d" % number
-        incoming = Incoming("look", None, None, S, None, False, target, False, b"GET", target, [], b"")
+        incoming = ValidatedRequest(
+            "look", None, None, S, None, False, target, False, b"GET", target, [], b""
+        )
 
         def done(outcome: Outcome, response: Any, report: object) -> None:
             if outcome is Outcome.DELIVERED and response.body != target:
@@ -81,8 +83,8 @@
         upstream.start(SERVER, network.now() + S, incoming, done)
 
     async def work() -> None:
-        entry = Entry(ListedServer(SERVER, zone="east", state=ServerState.READY), PLACE)
-        upstream.listed(Listing(1, True, (entry,)))
+        entry = EndpointEntry(ListedServer(SERVER, zone="east", state=ServerState.READY), PLACE)
+        upstream.listed(EndpointUpdate(1, True, (entry,)))
         for number in range(count):
             ask(number)
             warned = first_gap_ms is not None and number < WARNED
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -10,7 +10,7 @@
 from helpers import MS, S, Stage, names, settings
 
 from micadeck.policy import Balancer
-from micadeck.policy.actions import Bound, Cancel, CloseIdle, Fail, Log, Refuse, Send
+from micadeck.policy.actions import Cancel, CloseIdle, Fail, Log, Refuse, Send, SetAttemptDeadline
 from micadeck.policy.balancer import Server
 from micadeck.policy.events import (
     AnswerStarted,
@@ -18,7 +18,7 @@
     ListedServer,
     ListKind,
     RequestArrived,
-    RequestWhole,
+    RequestCompleted,
     ServersListed,
     TimerFired,
 )
@@ -121,7 +121,7 @@
     hung, stuck = _with_one_hung(stage, 20)
     before = len([1 for _, each in stage.sends() if each.server == hung])
     for request in stuck:
-        stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
+        stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
     for _ in range(60):
         stage.wait(60 * MS)
         request = stage.request()
@@ -139,7 +139,7 @@
     stage = Stage(settings(limits={"second_copies": False}))
     hung, stuck = _with_one_hung(stage, 20, taking_us=10 * MS)
     for request in stuck:
-        stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
+        stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
     trials: list[int] = []
     for _ in range(60):
         stage.wait(60 * MS)
@@ -190,7 +190,7 @@
         stage.wait(50 * MS)
         stage.end(new)
         stage.wait(30 * MS)
-        stage.end(old, Outcome.EXPIRED, answered=False)
+        stage.end(old, Outcome.TIMED_OUT, answered=False)
     assert not any("ejected" in each.text for each in stage.said(Log))
 
 
@@ -201,7 +201,7 @@
         stage.wait(MS)
         request = stage.request()
         while stage.balancer._requests.get(request) is not None:
-            stage.end(request, Outcome.DROPPED)
+            stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends()) <= 400 * 1.25 + 10
 
 
@@ -627,7 +627,7 @@
     assert len(sent) == 40
     assert made._load() == 0
     assert [made._busy(each) for each in made._servers.values()] == [0, 0]
-    made.handle(100, RequestWhole(1, 1_000_000))
+    made.handle(100, RequestCompleted(1, 1_000_000))
     assert made._load() == 1
     assert made._busy(made._servers[sent[0].server]) == 1
     made.handle(200, AnswerStarted(1, 0, sent[0].server, 100))
@@ -635,7 +635,9 @@
     made.handle(300, AttemptEnded(1, 0, sent[0].server, Outcome.DELIVERED, 100, True))
     assert made._load() == 0 and made._pending == 39
     for number, each in enumerate(sent[1:], 2):
-        made.handle(400, AttemptEnded(number, 0, each.server, Outcome.DROPPED, 100, False, again=False))
+        made.handle(
+            400, AttemptEnded(number, 0, each.server, Outcome.CONNECTION_LOST, 100, False, again=False)
+        )
     assert made._load() == 0 and made._pending == 0 and made._passing == 0
     assert all(each.passing == 0 and each.in_flight == 0 for each in made._servers.values())
 
@@ -644,8 +646,8 @@
     made = Balancer(settings(), 3)
     made.handle(1, ServersListed(ListKind.COMPLETE, [ListedServer("a")], 1))
     made.handle(2, RequestArrived(1, "look", None, None, 60_000_000, whole=False))
-    actions = made.handle(5_000_000, RequestWhole(1, 300_000))
-    (bound,) = [each for each in actions if isinstance(each, Bound)]
+    actions = made.handle(5_000_000, RequestCompleted(1, 300_000))
+    (bound,) = [each for each in actions if isinstance(each, SetAttemptDeadline)]
     assert (bound.request, bound.attempt) == (1, 0)
     assert 5_000_000 < bound.until <= 5_300_000
     due = made.handle(bound.until, TimerFired("agenda"))
@@ -653,7 +655,7 @@
 
 
 def test_what_is_not_kept_goes_to_nobody_else_and_is_refused_only_if_it_never_ran() -> None:
-    for outcome, answer in ((Outcome.DIAL_FAILED, Refuse), (Outcome.DROPPED, Fail)):
+    for outcome, answer in ((Outcome.CONNECT_FAILED, Refuse), (Outcome.CONNECTION_LOST, Fail)):
         made = Balancer(settings(), 3)
         made.handle(1, ServersListed(ListKind.COMPLETE, [ListedServer(name) for name in "abc"], 1))
         (sent,) = [
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -7,7 +7,7 @@
 from micadeck.policy.actions import Fail, Log, Refuse
 from micadeck.policy.events import ListedServer, ListKind, ServerState
 from micadeck.policy.outcomes import Outcome
-from micadeck.policy.settings import Repeat
+from micadeck.policy.settings import Idempotency
 
 
 def _ejected(stage: Stage) -> list[str]:
@@ -23,7 +23,7 @@
             request = stage.request()
             stage.wait(20 * MS)
             while request in stage.balancer._requests:
-                stage.end(request, Outcome.DELIVERED if round_ % 7 else Outcome.DROPPED)
+                stage.end(request, Outcome.DELIVERED if round_ % 7 else Outcome.CONNECTION_LOST)
     stage.wait(20 * S)
     balancer = stage.balancer
     assert len(balancer._servers) == 5
@@ -37,7 +37,7 @@
     stage.servers(names(1))
     request = stage.request("pay")
     (server,) = names(1)
-    stage.servers([ListedServer(server, state=ServerState.GONE)], ListKind.CHANGES)
+    stage.servers([ListedServer(server, state=ServerState.REMOVED)], ListKind.CHANGES)
     assert server in stage.balancer._servers
     stage.end(request)
     assert stage.balancer._servers == {}
@@ -51,12 +51,12 @@
     for number in range(60):
         request = stage.request("pay")
         stage.wait(20 * MS)
-        stage.end(request, Outcome.DELIVERED if number % 3 else Outcome.SPOILT)
+        stage.end(request, Outcome.DELIVERED if number % 3 else Outcome.MALFORMED)
     assert _ejected(stage) == []
     for _ in range(60):
         request = stage.request("pay")
         stage.wait(20 * MS)
-        stage.end(request, Outcome.SPOILT)
+        stage.end(request, Outcome.MALFORMED)
     assert any(each.endswith("spoilt") for each in _ejected(stage))
 
 
@@ -65,9 +65,9 @@
     stage.servers(names(4))
     for kind in ("look", "pay"):
         request = stage.request(kind)
-        stage.end(request, Outcome.SPOILT)
+        stage.end(request, Outcome.MALFORMED)
         again = len(stage.sends(request)) == 2
-        assert again == (stage.balancer._classes[kind].repeat is Repeat.SAFE)
+        assert again == (stage.balancer._classes[kind].repeat is Idempotency.IDEMPOTENT)
     assert len(stage.said(Fail)) == 1
 
 
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -8,7 +8,7 @@
 from helpers import MS, S, Stage, names, settings
 from test_engine import World
 
-from micadeck.engine import Cause, Engine, Entry, Listing, Request
+from micadeck.engine import EndpointEntry, EndpointUpdate, Engine, FailureCause, Request
 from micadeck.policy.actions import Fail, Refuse
 from micadeck.policy.events import ListedServer, ListKind, RequestArrived, ServerState
 from micadeck.policy.outcomes import Outcome
@@ -41,14 +41,15 @@
 
 @pytest.mark.parametrize("name", ["look", "pay"])
 @pytest.mark.parametrize(
-    "outcome", [Outcome.DIAL_FAILED, Outcome.UNSENT, Outcome.DROPPED, Outcome.FULL, Outcome.ERROR]
+    "outcome",
+    [Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.CONNECTION_LOST, Outcome.FULL, Outcome.ERROR],
 )
 def test_a_bound_request_is_never_sent_again_or_elsewhere(name: str, outcome: Outcome) -> None:
     stage = bound_stage()
     request = ask(stage, name)
     stage.end(request, outcome, answered=False)
     assert len(stage.sends(request)) == 1
-    never_ran = outcome in (Outcome.DIAL_FAILED, Outcome.UNSENT, Outcome.FULL)
+    never_ran = outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.FULL)
     kind = Refuse if name == "look" or never_ran else Fail
     assert [each.request for each in stage.said(kind)] == [request]
 
@@ -61,7 +62,7 @@
         (ServerState.DRAINING, 149 * MS, True),
         (ServerState.DRAINING, 150 * MS, False),
         (ServerState.DRAINING, 10 * S, False),
-        (ServerState.GONE, 0, False),
+        (ServerState.REMOVED, 0, False),
     ],
 )
 def test_what_is_bound_to_a_draining_server_may_go_there_for_a_part_of_the_grace(
@@ -140,7 +141,7 @@
     def refused(self, retry_after_us: int) -> None:
         self.told.append("refused")
 
-    def failed(self, cause: Cause, may_have_run: bool) -> None:
+    def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         self.told.append((cause, may_have_run))
 
 
@@ -155,8 +156,8 @@
         }
     )
     engine = Engine(made, 1, world, world, world, world, lambda _: None)  # type: ignore[arg-type]
-    entries = tuple(Entry(ListedServer(each, zone="a"), ("127.0.0.1", 1)) for each in SERVERS)
-    engine.start(Listing(1, True, entries))
+    entries = tuple(EndpointEntry(ListedServer(each, zone="a"), ("127.0.0.1", 1)) for each in SERVERS)
+    engine.start(EndpointUpdate(1, True, entries))
     return world, engine
 
 
@@ -168,8 +169,8 @@
     ("outcome", "told"),
     [
         (Outcome.DELIVERED, "served"),
-        (Outcome.DROPPED, (Cause.SERVERS, True)),
-        (Outcome.EXPIRED, (Cause.SERVERS, True)),
+        (Outcome.CONNECTION_LOST, (FailureCause.SERVERS, True)),
+        (Outcome.TIMED_OUT, (FailureCause.SERVERS, True)),
     ],
 )
 def test_an_answer_that_has_begun_is_ended_by_its_own_attempt_and_no_other(
@@ -191,7 +192,7 @@
     assert number is not None and engine.started(number)
     world.wait(2 * S)
     assert not waiter.told and not world.cancelled
-    world.end(0, Outcome.EXPIRED)  # which its `until` ends
+    world.end(0, Outcome.TIMED_OUT)  # which its `until` ends
     assert len(waiter.told) == 1 and not engine.started(number)
     assert engine.open_requests == 0
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,16 +11,16 @@
 
 from micadeck.policy import Balancer, Settings
 from micadeck.policy.events import RequestArrived
-from micadeck.policy.settings import Discovery, Repeat
+from micadeck.policy.settings import DiscoveryMode, Idempotency
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
 def test_absent_keys_get_the_cautious_default() -> None:
     given = Settings.from_mapping(LEAST)
-    assert given.classes[0].repeat is Repeat.UNSAFE
+    assert given.classes[0].repeat is Idempotency.NON_IDEMPOTENT
     assert given.classes[0].aim_us == 1_000_000
-    assert given.discovery is Discovery.ON_REQUEST
+    assert given.discovery is DiscoveryMode.ON_REQUEST
     assert not given.limits.second_copies and given.limits.max_attempts == 1
     assert given.rules.drain_grace_us == 0
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -21,17 +21,17 @@
     Probe,
     Refuse,
     Send,
+    SendPeerMessage,
     SetTimer,
-    Tell,
 )
 from micadeck.policy.events import (
     AttemptEnded,
+    ClientDisconnected,
     Event,
     ListKind,
     MessageReceived,
     ProbeEnded,
     RequestArrived,
-    RequestGone,
     ServersListed,
     TimerFired,
 )
@@ -144,8 +144,8 @@
             assert [ended[number].outcome for number in range(4)] == [
                 Outcome.DELIVERED,
                 Outcome.DELIVERED,
-                Outcome.UNSENT,
-                Outcome.UNSENT,
+                Outcome.NOT_SENT,
+                Outcome.NOT_SENT,
             ]
             assert all(each.answered for each in (ended[0], ended[1]))
             assert scene.sidecar.open_requests == 0
@@ -167,7 +167,7 @@
             client.send(request("check"))
             await until(lambda: len(scene.heard) == 1)
             client.close()
-            await until(lambda: balancer.heard(RequestGone) == [RequestGone(1)])
+            await until(lambda: balancer.heard(ClientDisconnected) == [ClientDisconnected(1)])
             release.set()
             await until(lambda: len(balancer.heard(AttemptEnded)) == 1)
             assert balancer.heard(AttemptEnded)[0].answered
@@ -223,7 +223,11 @@
 def test_a_message_reaches_the_other_sidecar(scripted: Use) -> None:
     async def work() -> None:
         balancer = scripted(
-            lambda event: [Tell(1, b"hi"), Tell(1, b"x" * 257)] if isinstance(event, RequestArrived) else []
+            lambda event: (
+                [SendPeerMessage(1, b"hi"), SendPeerMessage(1, b"x" * 257)]
+                if isinstance(event, RequestArrived)
+                else []
+            )
         )
         loop = asyncio.get_running_loop()
         got: asyncio.Queue[tuple[bytes, tuple[str, int]]] = asyncio.Queue()
--- a/tests/test_stale_list_refresh.py
+++ b/tests/test_stale_list_refresh.py
@@ -8,19 +8,19 @@
 import pytest
 from loopback import ScriptedDiscovery, line, play, until
 
-from micadeck.engine import Listing
+from micadeck.engine import EndpointUpdate
 from micadeck.membership.consul import Ask, Heard, Names
 from micadeck.membership.consul.config import ConsulConfig, Service
 from micadeck.membership.consul.view import News
-from micadeck.membership.discovery_watcher import Roster
-from micadeck.membership.endpoint_merge import Caution, Sighting, Trust
-from micadeck.membership.sources import Sources
+from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.membership.endpoint_merge import Observation, Precedence, SourceTrust
+from micadeck.membership.sources import EndpointSources
 from micadeck.network import LoopNetwork, parse_address
 
 HERE = ("127.0.0.2", 80)
 
 
-class Asked(Roster):
+class Asked(DiscoveryWatcher):
     """Counts doubts in place of asking."""
 
     doubts = 0
@@ -33,21 +33,21 @@
     ("sightings", "gone", "doubts"),
     [
         ([], [], 0),
-        ([Sighting(HERE, Caution.READY)], [], 0),
-        ([Sighting(HERE, Caution.DRAINS)], [], 1),
+        ([Observation(HERE, Precedence.READY)], [], 0),
+        ([Observation(HERE, Precedence.DRAINS)], [], 1),
         ([], [HERE], 1),
     ],
 )
 def test_an_end_that_consul_tells_makes_the_roster_asked(
-    sightings: list[Sighting], gone: list[Any], doubts: int
+    sightings: list[Observation], gone: list[Any], doubts: int
 ) -> None:
     async def work() -> None:
         network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
         roster = Asked(network, nobody, 1, False)
-        services = (Service("tariff", Ask(), Names(), Trust()),)
+        services = (Service("tariff", Ask(), Names(), SourceTrust()),)
         config = ConsulConfig((nobody,), services, 1.0, 0.0)
-        known = Listing(1, True, ())
-        sources = Sources(network, roster, known, config, 1, "n", lambda text: None, greets=False)
+        known = EndpointUpdate(1, True, ())
+        sources = EndpointSources(network, roster, known, config, 1, "n", lambda text: None, greets=False)
         addresses = {each.address for each in sightings}
         news = News(False, len(sightings), iter(sightings), gone, addresses, ())
         await sources._consul_heard("tariff", Heard(news, 0.0, "agent"))
@@ -63,13 +63,13 @@
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
         network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
-        roster = Roster(network, nobody, 1, False)
-        services = (Service("tariff", Ask(), Names(), Trust()),)
+        roster = DiscoveryWatcher(network, nobody, 1, False)
+        services = (Service("tariff", Ask(), Names(), SourceTrust()),)
         config = ConsulConfig((nobody,), services, 1.0, 0.0)
-        sources = Sources(
-            network, roster, Listing(1, True, ()), config, 1, "n", lambda text: None, greets=False
+        sources = EndpointSources(
+            network, roster, EndpointUpdate(1, True, ()), config, 1, "n", lambda text: None, greets=False
         )
-        heard: list[Listing] = []
+        heard: list[EndpointUpdate] = []
         failed: list[None] = []
         sources.start(heard.append, lambda: failed.append(None))
         sources.follow(True)
@@ -96,7 +96,7 @@
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
         roster = Asked(LoopNetwork(), parse_address(server.address), 0, False)
-        heard: list[Listing] = []
+        heard: list[EndpointUpdate] = []
         roster.start(heard.append, lambda: None)
         roster.follow(True)
         await until(lambda: len(server.heard) == 2)  # the watch waits for news, and is told none
--- a/tests/test_watch_health.py
+++ b/tests/test_watch_health.py
@@ -13,9 +13,9 @@
 from broken_builds import waits_long
 from helpers import MS, S
 
-from micadeck.engine import Listing
-from micadeck.membership.discovery_watcher import Roster
-from micadeck.membership.watch_health import AGAIN_S, ANSWER_S, DIAL_WITHIN_S, GAP_S, Vigil
+from micadeck.engine import EndpointUpdate
+from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.membership.watch_health import AGAIN_S, ANSWER_S, DIAL_WITHIN_S, GAP_S, WatchHealth
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.roster import Discovery
@@ -84,11 +84,11 @@
     moment: str,
     at_s: float,
     pushed: bool,
-    then: Callable[[Agent, Roster], None],
+    then: Callable[[Agent, DiscoveryWatcher], None],
     length_s: float = 14.0,
     allowed_s: float = 10.0,
     lost: int = 0,
-) -> tuple[Agent, list[tuple[float, Listing]]]:
+) -> tuple[Agent, list[tuple[float, EndpointUpdate]]]:
     """A roster's client on the virtual clock; a call that failed is made again half a second later."""
     loop = VirtualLoop(1)  # type: ignore[abstract]
     wire = Wire(loop, random.Random(2))
@@ -96,11 +96,11 @@
     agent.put("s-1", "10.1.0.1:80")
     host = Host("sidecar")
     network = VirtualNetwork(wire.machine(host, "10.0.0.1"))
-    heard: list[tuple[float, Listing]] = []
+    heard: list[tuple[float, EndpointUpdate]] = []
 
     async def work() -> None:
         agent.up()
-        roster = Roster(network, agent.place, 0, pushed, allowed_us=int(allowed_s * S), seed=4)
+        roster = DiscoveryWatcher(network, agent.place, 0, pushed, allowed_us=int(allowed_s * S), seed=4)
 
         def failed() -> None:
             loop.call_later(0.5, roster.follow, True)
@@ -124,7 +124,7 @@
 def test_a_watch_that_falls_silent_is_begun_anew_before_its_news_counts_as_told(
     moment: str, at_s: float, pushed: bool, allowed_s: float, lost: int, late_s: float
 ) -> None:
-    def then(agent: Agent, roster: Roster) -> None:
+    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         def look() -> None:
             # What the silence hides: a server leaves right after it began, and discovery is slow from there.
             if agent.silent_at is None:
@@ -145,7 +145,7 @@
 
 
 def test_calls_go_on_to_ask_an_agent_that_is_silent_while_it_is_down_and_hear_it_when_it_is_back() -> None:
-    def then(agent: Agent, roster: Roster) -> None:
+    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         agent.deaf_until_s = 8.0  # nothing that was asked before is ever answered
         agent._wire.loop.call_later(7.9, agent.put, "s-1", "10.1.0.1:80", "leaving")
 
@@ -156,7 +156,7 @@
 
 
 def test_a_discovery_that_is_silent_for_good_is_a_failure_and_asked_no_more_for_one_answer() -> None:
-    def then(agent: Agent, roster: Roster) -> None:
+    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         agent.deaf_until_s = 1e9
         agent._wire.loop.call_later(
             0.1, setattr, roster, "_on_failed", lambda: failed.append(loop_time(agent))
@@ -172,7 +172,7 @@
 
 
 def test_a_doubt_asks_for_the_whole_list_and_many_doubts_ask_no_more_than_one() -> None:
-    def then(agent: Agent, roster: Roster) -> None:
+    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         for number in range(300):
             agent._wire.loop.call_later(0.3 + number / 1e3, roster.doubt)
 
@@ -182,7 +182,7 @@
 
 
 def test_where_discovery_is_one_for_all_a_doubt_asks_nothing_and_leaves_the_watch_alone() -> None:
-    def then(agent: Agent, roster: Roster) -> None:
+    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         for number in range(1_000):
             agent._wire.loop.call_later(0.3 + number / 1e2, roster.doubt)
         agent._wire.loop.call_later(5.0, agent.put, "s-1", "10.1.0.1:80", "leaving")
@@ -195,7 +195,7 @@
 
 
 def test_doubts_that_bring_nothing_are_heeded_less_and_less() -> None:
-    def then(agent: Agent, roster: Roster) -> None:
+    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         for number in range(1_000):
             agent._wire.loop.call_later(0.3 + number / 1e2, roster.doubt)
 
@@ -209,7 +209,7 @@
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
 def test_a_doubt_begins_nothing_while_discovery_is_down_or_slow(pushed: bool) -> None:
     def calls(doubts: int) -> list[tuple[float, str]]:
-        def then(agent: Agent, roster: Roster) -> None:
+        def then(agent: Agent, roster: DiscoveryWatcher) -> None:
             agent.late_s.append(3.0)
             for number in range(doubts):
                 agent._wire.loop.call_later(0.1 + number / 1e2, roster.doubt)
@@ -223,7 +223,7 @@
 
 
 def test_a_doubt_that_came_to_nothing_while_discovery_was_slow_leaves_later_ones_heeded() -> None:
-    def then(agent: Agent, roster: Roster) -> None:
+    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         agent.late_s.append(1.5)  # its first answer is due after the doubt is
         agent._wire.loop.call_later(0.1, roster.doubt)
         agent._wire.loop.call_later(4.4, roster.doubt)
@@ -233,7 +233,7 @@
 
 
 def test_a_list_that_was_confirmed_since_is_not_doubted() -> None:
-    vigil = Vigil(10 * S, random.Random(1), is_pushed=True)
+    vigil = WatchHealth(10 * S, random.Random(1), is_pushed=True)
     assert vigil.doubted(100) is not None
     assert vigil.doubted(200) is None  # one look is planned
     vigil.confirmed(300, brought_news=False)
@@ -253,7 +253,7 @@
 def test_how_long_a_watch_may_be_silent_follows_from_the_settings(
     allowed_s: float, pushed: bool, wait_ms: int, late_s: float
 ) -> None:
-    vigil = Vigil(int(allowed_s * S), random.Random(1), is_pushed=pushed)
+    vigil = WatchHealth(int(allowed_s * S), random.Random(1), is_pushed=pushed)
     waiting, first = vigil.waiting, vigil.first
     assert (waiting.wait_ms, waiting.late_s) == (wait_ms, late_s)
     # Silent for good, then a renewal that is lost, then one more: it has a second and a half for its answer.
