--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -177,7 +177,7 @@
     @property
     def in_progress(self) -> int:
         """Requests whose last byte came and that have no final answer; any thread may ask."""
-        return sum(each.waiter is not None and each.request.is_whole for each in list(self._open.values()))
+        return sum(each.waiter is not None and each.request.is_complete for each in list(self._open.values()))
 
     @property
     def known_servers(self) -> int:
@@ -227,19 +227,19 @@
                 cost_us=request.cost_us,
                 client_retry=request.client_retry,
                 write=request.write,
-                bound=request.bound,
-                kind=request.former,
-                whole=request.is_whole,
+                sticky_server=request.sticky_server,
+                kind=request.retired_class,
+                is_complete=request.is_complete,
             )
         )
         return number if not self._is_answered(number) else None
 
-    def whole(self, request: int, remaining_us: int) -> None:
+    def request_completed(self, request: int, remaining_us: int) -> None:
         """The last byte came of a request that was taken before; its time runs from here."""
         held = self._open.get(request)
-        if held is None or held.waiter is None or held.request.is_whole:
+        if held is None or held.waiter is None or held.request.is_complete:
             return
-        held.request.is_whole = True
+        held.request.is_complete = True
         held.whole_at = self._network.now()
         held.due = held.whole_at + remaining_us
         self._post(RequestCompleted(request, self._time_left(remaining_us)))
@@ -249,7 +249,7 @@
             return remaining_us
         return max(min(remaining_us, self._stop_by - self._network.now()), 1)
 
-    def gone(self, request: int) -> None:
+    def client_disconnected(self, request: int) -> None:
         """The one who waits went away; nothing is owed any more."""
         if self._settle(request) is None:
             return
@@ -273,12 +273,12 @@
         """Give no request taken from now on more time than up to this point."""
         self._stop_by = when
 
-    def fail_open(self) -> None:
+    def fail_open_requests(self) -> None:
         """Fail what is unanswered; for the end, when the decisions had no word on it in time."""
         for request in list(self._open):
             self._fail(request, FailureCause.TIME)
 
-    def heard(self, sender: int, payload: bytes) -> None:
+    def receive_peer_message(self, sender: int, payload: bytes) -> None:
         """A message came from another sidecar."""
         self._post(MessageReceived(sender, payload))
 
@@ -334,12 +334,12 @@
     ) -> None:
         held = self._open[request]
         if outcome is not Outcome.DELIVERED and held.waiter is not None:
-            held.request.look()  # no further attempt for nobody
+            held.request.check_client()  # no further attempt for nobody
         held.out -= 1
         held.last_outcome = outcome
         held.may_have_run = held.may_have_run or not self._settings.rules.never_ran(outcome)
         if outcome is Outcome.CONNECTION_REFUSED:
-            self._source.doubt()
+            self._source.suspect_stale()
         if outcome is Outcome.DELIVERED:
             waiter = self._settle(request)
             if waiter is not None:
@@ -378,7 +378,7 @@
             case SetAttemptDeadline():
                 held = self._open.get(action.request)
                 if held is not None and action.attempt < len(held.attempts):
-                    self._carrier.bound(held.attempts[action.attempt], action.until)
+                    self._carrier.set_deadline(held.attempts[action.attempt], action.until)
             case CloseIdle():
                 self._carrier.close_idle(action.server)
             case WatchEndpoints():
@@ -401,7 +401,7 @@
         def done(outcome: Outcome, response: Any, report: Mapping[str, float] | None) -> None:
             self._attempt_ended(number, attempt, action.server, sent_at, outcome, response, report)
 
-        if held.out and not self._settings.limits.second_copies:
+        if held.out and not self._settings.limits.allow_hedging:
             self.invariants.broken(InvariantViolation.TWO_ATTEMPTS, held.request.ident, f"{held.out} out")
         held.out += 1
         held.sent = (action.server, sent_at)
@@ -453,7 +453,7 @@
         if held is None or held.waiter is None:
             return None
         late_us = self._network.now() - held.due
-        is_timed = held.request.is_whole and held.started is None  # its carrier sees to one that has begun
+        is_timed = held.request.is_complete and held.started is None  # its carrier sees to one that has begun
         if late_us > LATE_US and is_timed:
             detail = f"by {late_us / 1e6:.3f} s, {len(held.attempts)} attempts, {held.out} out"
             self.invariants.broken(InvariantViolation.ANSWERED_LATE, held.request.ident, detail)
--- a/micadeck/engine/ports.py
+++ b/micadeck/engine/ports.py
@@ -31,16 +31,18 @@
     client_retry: bool
     ident: bytes  # the client's name for it; no two open requests share one
     write: bool
-    bound: str | None = field(default=None, kw_only=True)  # the one server that can serve it
-    is_whole: bool = field(default=True, kw_only=True)  # False: its body is still coming
-    former: ServiceClass | None = field(default=None, kw_only=True)  # its class, if no longer in force
+    sticky_server: str | None = field(default=None, kw_only=True)  # the one server that can serve it
+    is_complete: bool = field(default=True, kw_only=True)  # False: its body is still coming
+    retired_class: ServiceClass | None = field(default=None, kw_only=True)  # its class, if no longer in force
 
     def can_go_again(self) -> bool:
         """Whether all of it is kept; it is asked when an attempt has ended."""
         return True
 
-    def look(self) -> None:
-        """See whether who waits has left, where that may lie unseen; `Engine.gone` is called then.
+    def check_client(self) -> None:
+        """Find out whether the client has left, where that may lie unread.
+
+        It then calls `Engine.client_disconnected`.
 
         It is asked before another attempt begins, and before one is written after its dial.
         """
@@ -89,7 +91,7 @@
         What has not been written whole at `write_by` is not written at all, and ends unsent.
         """
 
-    def bound(self, attempt: Any, until: int) -> None:
+    def set_deadline(self, attempt: Any, until: int) -> None:
         """Give the attempt up at another time than was said at its start."""
 
     def cancel(self, attempt: Any) -> None:
@@ -141,7 +143,7 @@
     def fetch(self) -> None:
         """Tell the whole list once."""
 
-    def doubt(self) -> None:
+    def suspect_stale(self) -> None:
         """Nobody listens where the list has a server: see whether the list is still discovery's own."""
 
     def close(self) -> None: ...
--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -257,7 +257,9 @@
         owed, self._owed = self._owed, None
         self._drop_upload()
         if owed is not None:
-            self._frontend.engine.gone(owed)  # its last byte never came, so no server has begun it
+            self._frontend.engine.client_disconnected(
+                owed
+            )  # its last byte never came, so no server has begun it
         self._frontend.moved(self, State.ENDING)
         self.linger_s = self._frontend.linger_s
         self.answer(status, [], f"{text}\n".encode() if text else b"")
@@ -353,7 +355,7 @@
     def _gone(self) -> None:
         owed, self._owed = self._owed, None
         if owed is not None:
-            self._frontend.engine.gone(owed)
+            self._frontend.engine.client_disconnected(owed)
         download, self._download = self._download, None
         if download is not None and download.stream is not None:
             download.stream.drop()
@@ -379,7 +381,7 @@
             if self._owed is not None:
                 self._frontend.moved(self, State.SERVING)
                 unread_us = int((now - self._arrived_at(now)) * 1e6)
-                self._frontend.engine.whole(self._owed, self.remaining_us - unread_us)
+                self._frontend.engine.request_completed(self._owed, self.remaining_us - unread_us)
         elif self._reader.fault is not None:
             self.reject(self._reader.fault)
 
@@ -576,11 +578,11 @@
                     self.on_settings(generations.settings)
         incoming.begin = client.begin
         incoming.look_for_end = client.look_for_end
-        if request.arrived_at and incoming.is_whole:
+        if request.arrived_at and incoming.is_complete:
             # Its time counts from its last byte, wherever it waited since: unread, or behind another.
             incoming.remaining_us -= int((self.network.time() - request.arrived_at) * 1e6)
         client.remaining_us = incoming.remaining_us
-        if not incoming.is_whole:
+        if not incoming.is_complete:
             length = MOST_BODY if request.stream is None else request.stream.length or MOST_BODY
             limits = self._limits
             upload_s = limits.request_timeout_s + length / limits.least_bytes_per_s
--- a/micadeck/http/request_validation.py
+++ b/micadeck/http/request_validation.py
@@ -47,7 +47,7 @@
     begin: Callable[[Response], bool] | None = None  # takes an answer that is too large to be kept
     look_for_end: Callable[[], None] | None = None  # at its client's connection
 
-    def look(self) -> None:
+    def check_client(self) -> None:
         if self.look_for_end is not None:
             self.look_for_end()
 
@@ -133,8 +133,8 @@
         headers=headers,
         body=request.body,
         stream=request.stream,
-        is_whole=request.stream is None or request.stream.has_ended,
-        former=kind if is_former else None,
+        is_complete=request.stream is None or request.stream.has_ended,
+        retired_class=kind if is_former else None,
     )
 
 
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -32,11 +32,11 @@
     __slots__ = (
         "_network",
         "begin",
+        "check_client",
         "connection",
         "done",
         "ended",
         "is_probe",
-        "look",
         "message",
         "server",
         "timer",
@@ -55,7 +55,7 @@
         is_probe: bool = False,
         begin: Callable[[Response], bool] | None = None,
         write_by: int | None = None,
-        look: Callable[[], None] | None = None,
+        check_client: Callable[[], None] | None = None,
     ) -> None:
         self._network = network
         self.server = server
@@ -65,7 +65,7 @@
         self.is_probe = is_probe
         self.write_by = write_by  # it is written whole by then, or not at all; None: any time
         self.begin = begin  # takes an answer that is too large to be kept
-        self.look = look  # sees whether who waits has left
+        self.check_client = check_client  # sees whether who waits has left
         self.ended = False
         self.connection: ClientConnection | None = None  # once it is written
         self.timer: Timer | None = None
@@ -181,7 +181,7 @@
             done,
             begin=request.begin,
             write_by=write_by,
-            look=request.look,
+            check_client=request.check_client,
         )
         self._start(call)
         return call
@@ -211,7 +211,7 @@
         else:
             self._network.call_soon(self._end, call, Outcome.NOT_SENT)
 
-    def bound(self, call: Exchange, until: int) -> None:
+    def set_deadline(self, call: Exchange, until: int) -> None:
         """Give it up at another time."""
         call.until = until
         if call.timer is not None and not call.ended:
@@ -330,8 +330,8 @@
             self._end(call, outcome)
             return
         self._owners[connection] = server
-        if call.look is not None and not call.ended:
-            call.look()
+        if call.check_client is not None and not call.ended:
+            call.check_client()
         self._write_if_allowed(call, server, connection)
 
     def _write_if_allowed(self, call: Exchange, server: _Server, connection: ClientConnection) -> None:
--- a/micadeck/incidents/kinds.py
+++ b/micadeck/incidents/kinds.py
@@ -22,7 +22,7 @@
 
     name: str
     repeat: str
-    aim_us: int
+    latency_objective_us: int
     deadline_us: int
 
 
@@ -37,7 +37,7 @@
     wall: int  # what the system's clock said at that time
     kinds: list[Kind]
     grace_us: int  # rule 3: what a server may still get after word that it drains
-    cold_us: int  # how long a server counts as cold from its start on
+    slow_start_us: int  # how long a server counts as cold from its start on
 
 
 class ClassCount(msgspec.Struct, array_like=True, frozen=True, gc=False):
--- a/micadeck/incidents/observer.py
+++ b/micadeck/incidents/observer.py
@@ -76,15 +76,25 @@
 
 
 class _Class:
-    __slots__ = ("aim_us", "arrived", "failed", "gone", "late", "name", "refused", "served", "times")
-
-    def __init__(self, name: str, aim_us: int) -> None:
-        self.name, self.aim_us = name, aim_us
+    __slots__ = (
+        "arrived",
+        "failed",
+        "gone",
+        "late",
+        "latency_objective_us",
+        "name",
+        "refused",
+        "served",
+        "times",
+    )
+
+    def __init__(self, name: str, latency_objective_us: int) -> None:
+        self.name, self.latency_objective_us = name, latency_objective_us
         self.clear()
 
     def was_served(self, took: int) -> None:
         self.served += 1
-        if took > self.aim_us:
+        if took > self.latency_objective_us:
             self.late += 1
         if len(self.times) < MOST_TIMES:
             self.times.append(min(took, _LONGEST))
@@ -135,7 +145,7 @@
     def _take_up(self, settings: Settings) -> None:
         self._settings = settings
         for each in settings.classes:
-            self._class(each.name).aim_us = each.aim_us
+            self._class(each.name).latency_objective_us = each.latency_objective_us
 
     def _class(self, name: str) -> _Class:
         found = self._classes.get(name)
@@ -282,11 +292,11 @@
     def head(self, now: int, wall: int, segment: int) -> list[Record]:
         """What a segment begins with, so that it can be read without those before it."""
         kinds = [
-            Kind(each.name, each.repeat.value, each.aim_us, each.deadline_us)
+            Kind(each.name, each.repeat.value, each.latency_objective_us, each.deadline_us)
             for each in self._settings.classes
         ]
         rules = self._settings.rules
-        grace, cold = rules.drain_grace_us, rules.cold_us
+        grace, cold = rules.drain_grace_us, rules.slow_start_us
         told: list[Record] = [
             Head(VERSION, self._sidecar, self._start, segment, now, wall, kinds, grace, cold)
         ]
--- a/micadeck/library/background_loop.py
+++ b/micadeck/library/background_loop.py
@@ -232,4 +232,4 @@
 
     def _gone(self, call: Call) -> None:
         if call.number is not None and self._core is not None:
-            self._core.engine.gone(call.number)
+            self._core.engine.client_disconnected(call.number)
--- a/micadeck/membership/discovery_watcher.py
+++ b/micadeck/membership/discovery_watcher.py
@@ -150,7 +150,7 @@
         """Go by other times that the settings allow: without asking, and after word of a drain."""
         self._vigil.allow(allowed_us, grace_us)
 
-    def doubt(self) -> None:
+    def suspect_stale(self) -> None:
         """Something speaks against the list: the watch is begun anew, unless it confirms the list by then."""
         now = self._network.now()
         due = self._vigil.doubted(now)
@@ -222,7 +222,7 @@
             self._on_failed()
         else:
             if self._version is not None and listing.version > self._version:
-                self.doubt()  # the watch should have said so
+                self.suspect_stale()  # the watch should have said so
             self._heard(listing, changes)
         finally:
             calls.close()
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -151,9 +151,9 @@
         else:
             self._network.call_soon(self._answer)
 
-    def doubt(self) -> None:
+    def suspect_stale(self) -> None:
         if self._roster is not None:
-            self._roster.doubt()
+            self._roster.suspect_stale()
 
     def close(self) -> None:
         self._is_closed = True
@@ -276,7 +276,7 @@
             some_gone = list(islice(left, _AT_ONCE))
             some = list(islice(news.sightings, _AT_ONCE - len(some_gone)))
             if some_gone or any(each.caution is not Precedence.READY for each in some):
-                self.doubt()  # what ends here may be listed there: has the roster been heard since?
+                self.suspect_stale()  # what ends here may be listed there: has the roster been heard since?
             self.merge.changed(self._now(), name, some, some_gone, lag_s=heard.lag_s)
             self._tell()
             if len(some) + len(some_gone) < _AT_ONCE:
--- a/micadeck/mysql/__main__.py
+++ b/micadeck/mysql/__main__.py
@@ -92,7 +92,7 @@
         schemas = "any schema" if user.schemas is None else ", ".join(sorted(user.schemas))
         table.add_row(f"user {user.name}", f"{ways}; {schemas}")
     for each in config.settings.classes:
-        spans = f"aim {each.aim_us // 1_000} ms, deadline {each.deadline_us // 1_000} ms"
+        spans = f"aim {each.latency_objective_us // 1_000} ms, deadline {each.deadline_us // 1_000} ms"
         table.add_row(f"class {each.name}", f"{each.repeat.value}; {spans}")
     Console(highlight=False).print(table)
 
--- a/micadeck/mysql/listener.py
+++ b/micadeck/mysql/listener.py
@@ -637,7 +637,7 @@
             client_retry=False,
             ident=b"mysql %d %d" % (self._number, self._commands),
             write=not route.is_safe,
-            bound=self._link.server if self._link is not None else None,
+            sticky_server=self._link.server if self._link is not None else None,
             session=session,
             statement=statement,
             command=command,
@@ -878,7 +878,7 @@
         link, self._link = self._link, None
         if running is not None:
             if running.number is not None:
-                self.front.engine.gone(running.number)
+                self.front.engine.client_disconnected(running.number)
             if running.call is not None:
                 running.call.abandon()
             if link is not None:
--- a/micadeck/mysql/service.py
+++ b/micadeck/mysql/service.py
@@ -35,7 +35,7 @@
     def fetch(self) -> None:
         self._on_list(self._listing)
 
-    def doubt(self) -> None:
+    def suspect_stale(self) -> None:
         """There is nobody to ask."""
 
     def replace(self, listing: EndpointUpdate) -> None:
@@ -69,7 +69,7 @@
         self._static: Static | None = None
         roster: DiscoveryWatcher | None = None
         if config.discovery is not None:
-            allowed_us = settings.rules.ask_within_us
+            allowed_us = settings.rules.max_poll_interval_us
             salt = f"{seed} {config.name}"
             roster = DiscoveryWatcher(
                 network, config.discovery, 0, False, allowed_us=allowed_us, seed=salt, log=log
@@ -128,7 +128,7 @@
         self.front.drain()
         while self.front.busy and network.time() < until - _SPARE_S:
             await network.sleep(_LOOK_AGAIN_S)
-        self.engine.fail_open()
+        self.engine.fail_open_requests()
         await network.sleep(0)
         self.close()
 
--- a/micadeck/mysql/transport.py
+++ b/micadeck/mysql/transport.py
@@ -180,7 +180,7 @@
     ) -> None:
         self._network = network
         self._dial_within_s = settings.limits.dial_timeout_us / 1e6
-        self._bound_grace_us = settings.rules.bound_grace_us
+        self._bound_grace_us = settings.rules.session_drain_grace_us
         self._credentials = credentials
         self._limits = limits
         self._log = log
@@ -293,7 +293,7 @@
         self._spawn(self._carry(call, home))
         return call
 
-    def bound(self, attempt: Call, until: int) -> None:
+    def set_deadline(self, attempt: Call, until: int) -> None:
         """Nothing to do: every statement is whole when it is taken."""
 
     def cancel(self, attempt: Call) -> None:
--- a/micadeck/policy/balancer.py
+++ b/micadeck/policy/balancer.py
@@ -273,8 +273,8 @@
         self._answers = 0  # answers so far, from all servers
         self._extra = EXTRA_PER_REQUEST * EXTRA_SAVED / 2
         self._mean_cost: dict[str, float] = {}
-        self._arrivals = DecayingRate(RATE_SPANS * settings.rules.fall_us)
-        self._served_warm = DecayingRate(RATE_SPANS * settings.rules.fall_us)
+        self._arrivals = DecayingRate(RATE_SPANS * settings.rules.overload_window_us)
+        self._served_warm = DecayingRate(RATE_SPANS * settings.rules.overload_window_us)
         self._norms: dict[tuple[str, int], float] = {}  # usual time of a class and size, over all servers
         self._spent = 0.0  # the part of its aim that the typical answer takes
         self._cores: float | None = None  # how busy servers report their cores, on average; None: not at all
@@ -293,14 +293,14 @@
         self._classes = {each.name: each for each in settings.classes}
         self._tenants = {each.name: each for each in settings.tenants}
         self._all_shares = sum(each.share for each in settings.tenants) or 1.0
-        self._longest_aim = max(each.aim_us for each in settings.classes)
+        self._longest_aim = max(each.latency_objective_us for each in settings.classes)
 
     def _settings_changed(self, settings: Settings) -> None:
         """What is known of servers and of load stays; what was learnt of a class goes with it."""
         self._take_up(settings)
         failing = FAILING_AIMS * self._longest_aim
         for each in (self._arrivals, self._served_warm):
-            each.over(RATE_SPANS * settings.rules.fall_us)
+            each.over(RATE_SPANS * settings.rules.overload_window_us)
         for each in (self._bad, self._ended, *(r for s in self._servers.values() for r in (s.bad, s.ended))):
             each.over(failing)
         classes = self._classes
@@ -363,7 +363,7 @@
         """
         if self._settings.discovery is DiscoveryMode.ON_REQUEST:
             self._actions.append(WatchEndpoints(True))
-            self._ask_in(ASK_AGAIN_MOST * self._settings.rules.ask_within_us)
+            self._ask_in(ASK_AGAIN_MOST * self._settings.rules.max_poll_interval_us)
 
     def _ask_in(self, wait: float) -> None:
         """Ask after this wait, in place of any earlier plan."""
@@ -375,7 +375,7 @@
 
         Guards against a wait that outlasts an outage: a change counts as told however the calls fared.
         """
-        allowed = self._settings.rules.ask_within_us
+        allowed = self._settings.rules.max_poll_interval_us
         most = min(ASK_AGAIN_MOST * allowed, ASK_AGAIN_TOLD * NOTIFICATION_DEADLINE_US)
         wait = min(ASK_AGAIN * allowed * 2**self._failed_calls, most)
         self._failed_calls = min(self._failed_calls + 1, 8)
@@ -489,11 +489,11 @@
         answer_by = self._now + event.remaining_us - TICKS_EARLY * self._settings.tick_us
         cost = self._relative_cost(kind, event.cost_us)
         most = self._settings.limits.max_attempts
-        request = Request(event.request, kind, answer_by, cost, event.bound, most, event.whole)
+        request = Request(event.request, kind, answer_by, cost, event.sticky_server, most, event.is_complete)
         request.size = max(-3, min(math.frexp(cost)[1], 4))
         self._requests[event.request] = request
         self._schedule(answer_by, event.request, _WHOLE)
-        if event.bound is None and self._overloaded_for(kind, event.tenant):
+        if event.sticky_server is None and self._overloaded_for(kind, event.tenant):
             self._finish(request)
         else:
             self._place(request)
@@ -680,9 +680,11 @@
     def _worth(self, mix: TrafficShare, asked: float, all_asked: float) -> float:
         tenant = self._tenants.get(mix.tenant or "")
         if tenant is None or asked <= 0.0:
-            return mix.kind.worth
+            return mix.kind.priority_weight
         inside = min(1.0, all_asked * tenant.share / self._all_shares / asked)
-        return mix.kind.worth * (inside + (1.0 - inside) * self._settings.over_share_worth)
+        return mix.kind.priority_weight * (
+            inside + (1.0 - inside) * self._settings.over_share_priority_weight
+        )
 
     # -----------------------------------------------------------------------------------------------
     # The draw
@@ -839,7 +841,7 @@
             return False  # rule 1: nothing after the final answer, nothing that cannot be answered in time
         if not self._has_attempts_left(request):
             return False
-        if not limits.second_copies and request.is_out():
+        if not limits.allow_hedging and request.is_out():
             return False  # rule 2
         if not self._may_run_again(request) or not self._in_group(request, server):
             return False  # rule 2
@@ -871,7 +873,7 @@
     def _may_end_there(self, request: Request, server: Server) -> bool:
         """Whether a draining server may still have what only it can serve: the rest of an open session."""
         may = request.bound is not None and server.state is ServerState.DRAINING
-        return may and self._now < server.state_at + self._settings.rules.bound_grace_us
+        return may and self._now < server.state_at + self._settings.rules.session_drain_grace_us
 
     def _has_attempts_left(self, request: Request) -> bool:
         """A dial that found nobody was no attempt: nothing was written, so the next may follow at once.
@@ -897,7 +899,7 @@
             return None
         if request.kind.repeat is Idempotency.NON_IDEMPOTENT:
             return 0
-        memory = request.kind.memory_us
+        memory = request.kind.idempotency_window_us
         way = min(WAY_DIALS * self._settings.limits.dial_timeout_us, WAY_MOST * memory)
         return first.sent_at + memory - self._settings.tick_us - int(way)
 
@@ -942,7 +944,7 @@
         limits = self._settings.limits
         if not limits.retry_after:
             return 0
-        wait = RETRY_AIMS * request.kind.aim_us * (0.5 + self._random.random())
+        wait = RETRY_AIMS * request.kind.latency_objective_us * (0.5 + self._random.random())
         return min(int(wait), limits.max_retry_after_us)
 
     def _close(self, request: Request) -> None:
@@ -978,7 +980,9 @@
         if attempt.server.ejected_until is not None:
             self._stuck -= 1
         self._close_if_leaving(attempt.server)
-        given_up = event.outcome is Outcome.CANCELLED and event.elapsed_us >= request.kind.aim_us
+        given_up = (
+            event.outcome is Outcome.CANCELLED and event.elapsed_us >= request.kind.latency_objective_us
+        )
         self._judge(attempt, Outcome.TIMED_OUT if given_up else event.outcome)
         if event.report and "util" in event.report:
             self._follow_cores(min(max(event.report["util"], 0.0), 1.0))
@@ -996,11 +1000,11 @@
             self._full_heard(attempt.server, request.kind.name)
         if event.outcome is Outcome.DELIVERED:
             attempt.server.shy.pop(request.kind.name, None)
-            self._served_aims.add(self._now, request.kind.aim_us)
+            self._served_aims.add(self._now, request.kind.latency_objective_us)
             # Guards against taking handshakes for load: after a start, or when servers are replaced, most
             # connections are new, and each first answer comes as late as an overloaded server's.  What is
             # late even so does count.
-            spent = event.elapsed_us / request.kind.aim_us - GREETING_AIMS * attempt.greets
+            spent = event.elapsed_us / request.kind.latency_objective_us - GREETING_AIMS * attempt.greets
             if not attempt.greets:
                 self._time(attempt.server, request, event.elapsed_us)
             if not attempt.felt and (not attempt.greets or spent > self._spent):
@@ -1013,7 +1017,7 @@
             self._close(request)
         elif not request.answered:
             request.tried.append(attempt.server)
-            if not event.again:
+            if not event.can_retry:
                 request.most = 0
             full, turned_down = event.outcome is Outcome.FULL, event.outcome is Outcome.CONNECTION_REFUSED
             request.said_full += full
@@ -1035,7 +1039,9 @@
 
     def _usual(self, request: Request) -> float:
         """The usual time of such a request, over all servers."""
-        return self._norms.get((request.kind.name, request.size), UNSEEN_AIMS * request.kind.aim_us)
+        return self._norms.get(
+            (request.kind.name, request.size), UNSEEN_AIMS * request.kind.latency_objective_us
+        )
 
     def _pace(self, server: Server, request: Request, elapsed_us: int) -> None:
         ratio = min(elapsed_us / max(self._usual(request), 1.0), PACE_CLIP)
@@ -1053,7 +1059,7 @@
     def _patience(self, request: Request, attempt: Attempt) -> int:
         usual = PATIENCE * self._usual(request) * max(attempt.server.pace, 1.0)
         least = GREETING_AIMS if attempt.greets else PATIENCE_AIMS
-        return int(max(usual, least * request.kind.aim_us, self._settings.tick_us))
+        return int(max(usual, least * request.kind.latency_objective_us, self._settings.tick_us))
 
     def _overdue(self, request: Request, attempt: Attempt) -> None:
         """An attempt takes far longer than usual.
@@ -1064,7 +1070,7 @@
         server = attempt.server
         silent = server.last_answer_at <= attempt.sent_at
         waited = self._now - attempt.sent_at
-        late = int(request.kind.aim_us * (1.0 + GREETING_AIMS * attempt.greets))
+        late = int(request.kind.latency_objective_us * (1.0 + GREETING_AIMS * attempt.greets))
         if waited < late:
             self._schedule(attempt.sent_at + late, request.ident, attempt.index)
         elif not attempt.felt and server.ejected_until is None and not attempt.blames_idle:
@@ -1073,7 +1079,9 @@
             if self._cores is not None:
                 self._follow_cores(1.0)  # no answer, no report: reports alone flatter
             self._feel(LOST_SPENT)
-        enough = max(SILENCE * self._patience(request, attempt), SILENT_AIMS * request.kind.aim_us)
+        enough = max(
+            SILENCE * self._patience(request, attempt), SILENT_AIMS * request.kind.latency_objective_us
+        )
         if silent and waited < enough:
             self._schedule(attempt.sent_at + int(enough), request.ident, attempt.index)
         elif (
@@ -1085,7 +1093,7 @@
         limits = self._settings.limits
         if not self._may_run_again(request) or not self._has_attempts_left(request):
             return  # waiting is all that is left
-        if limits.second_copies:
+        if limits.allow_hedging:
             if silent and self._extra >= 1.0:
                 self._extra -= 1.0
                 self._place(request)
@@ -1273,7 +1281,10 @@
         server.allowance_at = self._now
 
     def _is_cold(self, server: Server) -> bool:
-        return server.cold_since is not None and self._now < server.cold_since + self._settings.rules.cold_us
+        return (
+            server.cold_since is not None
+            and self._now < server.cold_since + self._settings.rules.slow_start_us
+        )
 
     def _warmth(self, server: Server) -> float:
         """The least share of its capacity that the server has by now."""
@@ -1281,7 +1292,10 @@
         if server.cold_since is None or not self._is_cold(server):
             return 1.0
         age = max(self._now - server.cold_since, 0)
-        return rules.cold_from + (1.0 - rules.cold_from) * age / rules.cold_us
+        return (
+            rules.slow_start_initial_share
+            + (1.0 - rules.slow_start_initial_share) * age / rules.slow_start_us
+        )
 
     def _cold_room(self, server: Server, cost: float) -> bool:
         """Whether a cold server's budget has room for a request of this cost.
@@ -1295,8 +1309,8 @@
         bearable = self._bearable_by_mean()
         if self._mean_size > 0.0:
             bearable *= min(server.nominal / self._mean_size, 1.0)
-        limit = rules.fall_multiple * self._warmth(server) * bearable
-        most = max(1.0, COLD_BURST * limit * rules.fall_us)
+        limit = rules.overload_multiple * self._warmth(server) * bearable
+        most = max(1.0, COLD_BURST * limit * rules.overload_window_us)
         filled = COLD_SHARE * limit * max(self._now - server.allowance_at, 0)
         server.allowance = min(server.allowance + filled, most)
         server.allowance_at = self._now
--- a/micadeck/policy/events.py
+++ b/micadeck/policy/events.py
@@ -66,9 +66,9 @@
     cost_us: int | None = None  # a hint of the work, where the client gave one
     client_retry: bool = False
     write: bool = False
-    bound: str | None = None  # the one server that can serve it, which holds its session
+    sticky_server: str | None = None  # the one server that can serve it, which holds its session
     kind: ServiceClass | None = None  # None: the class of that name that is in force
-    whole: bool = True  # False: its last byte has not come; RequestWhole follows, and no server begins before
+    is_complete: bool = True  # False: its last byte has not come; RequestCompleted follows
 
 
 @dataclass(slots=True)
@@ -100,7 +100,7 @@
     elapsed_us: int
     answered: bool
     report: Mapping[str, float] | None = None
-    again: bool = True  # False: a part of the request is not kept, so it can be sent to nobody else
+    can_retry: bool = True  # False: a part of the request is not kept, so it can be sent to nobody else
 
 
 @dataclass(slots=True)
--- a/micadeck/policy/settings.py
+++ b/micadeck/policy/settings.py
@@ -83,14 +83,14 @@
 
     name: str
     deadline_us: int
-    aim_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0
+    latency_objective_us: int
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
     repeat: Idempotency = Idempotency.NON_IDEMPOTENT
     group: DeduplicationScope = DeduplicationScope.CELL
-    memory_us: int = 0
+    idempotency_window_us: int = 0
     streaming: bool = False
-    aim_stretch: float = 0.0
+    objective_scaling: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
     """What the deployment permits."""
 
     max_attempts: int = 1
-    second_copies: bool = False
+    allow_hedging: bool = False
     may_cancel: bool = False
     may_probe: bool = False
     may_message: bool = False
@@ -126,13 +126,13 @@
     """The figures of the rules.  The defaults are the cautious ends."""
 
     answer_slack_us: int = 0
-    ask_within_us: int = 10_000_000
+    max_poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
-    bound_grace_us: int = 0  # of that, from hearing of a drain: what bound requests may use
-    cold_from: float = 0.1
-    cold_us: int = 30_000_000
-    fall_multiple: float = 1.0
-    fall_us: int = 2_000_000
+    session_drain_grace_us: int = 0  # of that, from hearing of a drain: what bound requests may use
+    slow_start_initial_share: float = 0.1
+    slow_start_us: int = 30_000_000
+    overload_multiple: float = 1.0
+    overload_window_us: int = 2_000_000
     full_may_have_run: bool = False  # servers may answer full for work that they had begun
     close_idle_within_us: int | None = None  # idle connections to draining servers go; None: no such rule
 
@@ -161,7 +161,7 @@
 class Goal:
     """What counts how much of the whole; all zero: not told."""
 
-    whole: float = 0.0
+    overall: float = 0.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
@@ -181,8 +181,8 @@
     tick_us: int = 1_000
     discovery: DiscoveryMode = DiscoveryMode.ON_REQUEST
     weights: CapacityWeights = CapacityWeights.SILENT
-    worth_by: PriorityWeightUnit = PriorityWeightUnit.REQUEST
-    over_share_worth: float = 1.0
+    priority_weight_unit: PriorityWeightUnit = PriorityWeightUnit.REQUEST
+    over_share_priority_weight: float = 1.0
     report_source: ReportSource = ReportSource.SILENT
     report_columns: tuple[str, ...] = ()
     limits: Limits = field(default_factory=Limits)
@@ -219,13 +219,13 @@
             tick_us=top.whole("tick_us", 1_000, low=1),
             discovery=top.choice("discovery", DiscoveryMode, DiscoveryMode.ON_REQUEST),
             weights=top.choice("weights", CapacityWeights, CapacityWeights.SILENT),
-            worth_by=top.choice("worth_by", PriorityWeightUnit, PriorityWeightUnit.REQUEST),
-            over_share_worth=top.number("over_share_worth", 1.0, high=1.0),
+            priority_weight_unit=top.choice("worth_by", PriorityWeightUnit, PriorityWeightUnit.REQUEST),
+            over_share_priority_weight=top.number("over_share_worth", 1.0, high=1.0),
             report_source=report.choice("source", ReportSource, ReportSource.SILENT),
             report_columns=report.texts("columns"),
             limits=Limits(
                 max_attempts=limits.whole("max_attempts", 1),
-                second_copies=limits.flag("second_copies", False),
+                allow_hedging=limits.flag("second_copies", False),
                 may_cancel=limits.flag("may_cancel", False),
                 may_probe=limits.flag("may_probe", False),
                 may_message=limits.flag("may_message", False),
@@ -240,13 +240,13 @@
             ),
             rules=Rules(
                 answer_slack_us=rules.whole("answer_slack_us", 0),
-                ask_within_us=rules.whole("ask_within_us", 10_000_000, low=1),
+                max_poll_interval_us=rules.whole("ask_within_us", 10_000_000, low=1),
                 drain_grace_us=rules.whole("drain_grace_us", 0),
-                bound_grace_us=rules.whole("bound_grace_us", 0),
-                cold_from=rules.number("cold_from", 0.1, low=0.001, high=1.0),
-                cold_us=rules.whole("cold_us", 30_000_000),
-                fall_multiple=rules.number("fall_multiple", 1.0, low=0.001),
-                fall_us=rules.whole("fall_us", 2_000_000, low=1),
+                session_drain_grace_us=rules.whole("bound_grace_us", 0),
+                slow_start_initial_share=rules.number("cold_from", 0.1, low=0.001, high=1.0),
+                slow_start_us=rules.whole("cold_us", 30_000_000),
+                overload_multiple=rules.number("fall_multiple", 1.0, low=0.001),
+                overload_window_us=rules.whole("fall_us", 2_000_000, low=1),
                 full_may_have_run=rules.flag("full_may_have_run", False),
                 close_idle_within_us=rules.optional_whole("close_idle_within_us"),
             ),
@@ -261,7 +261,7 @@
                 late_fail=prices.number("late_fail", 0.0),
             ),
             goal=Goal(
-                whole=goal.number("whole", 0.0),
+                overall=goal.number("whole", 0.0),
                 worst_window=goal.number("worst_window", 0.0),
                 worst_class=goal.number("worst_class", 0.0),
                 worst_tenant=goal.number("worst_tenant", 0.0),
@@ -279,12 +279,12 @@
     return ServiceClass(
         name=each.text("name"),
         deadline_us=deadline,
-        aim_us=min(each.whole("aim_us", deadline, low=1), deadline),
-        worth=each.number("worth", 1.0),
-        late_worth=each.number("late_worth", 0.0),
+        latency_objective_us=min(each.whole("aim_us", deadline, low=1), deadline),
+        priority_weight=each.number("worth", 1.0),
+        late_priority_weight=each.number("late_worth", 0.0),
         repeat=each.choice("repeat", Idempotency, Idempotency.NON_IDEMPOTENT),
         group=each.choice("group", DeduplicationScope, DeduplicationScope.CELL),
-        memory_us=each.whole("memory_us", 0),
+        idempotency_window_us=each.whole("memory_us", 0),
         streaming=each.flag("streaming", False),
-        aim_stretch=each.number("aim_stretch", 0.0),
+        objective_scaling=each.number("aim_stretch", 0.0),
     )
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -95,7 +95,7 @@
                 config.discovery,
                 config.known.version,
                 is_pushed,
-                allowed_us=settings.rules.ask_within_us,
+                allowed_us=settings.rules.max_poll_interval_us,
                 grace_us=settings.rules.drain_grace_us,
                 seed=f"{config.seed} {config.name}",
                 log=log,
@@ -108,7 +108,7 @@
         assert source is not None  # the configuration has one of them
         self.peers = PeerDatagrams(network, config.peers, config.peers_all, settings.me)
         self.engine = make_engine(settings, config.seed, network, self.upstream, source, self.peers, log)
-        self.fleet = self._with_fleet(config, source.doubt)
+        self.fleet = self._with_fleet(config, source.suspect_stale)
         self.recorder = self._recorded(config) if config.trace else None
         self.recording = self._with_records(config) if config.records else None
         self._divide_descriptors()
@@ -178,7 +178,7 @@
         """Take up the last known list."""
         config = self.config
         if config.settings.limits.may_message and config.peer_listen is not None:
-            await self.peers.listen(config.peer_listen, self.engine.heard)
+            await self.peers.listen(config.peer_listen, self.engine.receive_peer_message)
             if self.fleet is not None:
                 self.fleet.start()
         self.engine.start(config.known)
@@ -190,7 +190,7 @@
         self.config = replace(self.config, settings=settings)
         self.upstream.retune(settings)
         if self.roster is not None:
-            self.roster.allow(settings.rules.ask_within_us, settings.rules.drain_grace_us)
+            self.roster.allow(settings.rules.max_poll_interval_us, settings.rules.drain_grace_us)
         self.engine.retune(settings)
 
     def reload(self, config: Config, announce: Callable[[Settings], object] | None = None) -> None:
@@ -258,7 +258,7 @@
         engine.stop_by(network.now() + int(within_s * 1e6))
         while engine.owed_answers and network.time() < until:
             await network.sleep(_LOOK_AGAIN_S)
-        engine.fail_open()
+        engine.fail_open_requests()
 
 
 class Sidecar:
@@ -507,7 +507,7 @@
         frontend.stop_listening()
         while self._is_needed() and network.time() < until:
             await network.sleep(_LOOK_AGAIN_S)
-        engine.fail_open()
+        engine.fail_open_requests()
         if second is not None:
             await second
         frontend.close_all()
--- a/micadeck/traces/format.py
+++ b/micadeck/traces/format.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import zlib
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import fields
 from operator import attrgetter
 from typing import Any
@@ -43,12 +43,42 @@
     MessageReceived,
     SettingsChanged,
 )
+_WITH_SETTINGS = (RequestArrived, SettingsChanged)  # a class of requests, or all settings
 _PLACES = {kind: place for place, kind in enumerate(KINDS)}
 _NAMES = [tuple(each.name for each in fields(kind)) for kind in KINDS]
 _VALUES = [attrgetter(*names) for names in _NAMES]
+_STORED_NAMES = {
+    "allow_hedging": "second_copies",
+    "idempotency_window_us": "memory_us",
+    "late_priority_weight": "late_worth",
+    "latency_objective_us": "aim_us",
+    "max_poll_interval_us": "ask_within_us",
+    "objective_scaling": "aim_stretch",
+    "over_share_priority_weight": "over_share_worth",
+    "overall": "whole",
+    "overload_multiple": "fall_multiple",
+    "overload_window_us": "fall_us",
+    "priority_weight": "worth",
+    "priority_weight_unit": "worth_by",
+    "session_drain_grace_us": "bound_grace_us",
+    "slow_start_initial_share": "cold_from",
+    "slow_start_us": "cold_us",
+}
+"""The fields of settings that traces store under another name than the program has for them."""
+
+_FIELD_NAMES = {stored: name for name, stored in _STORED_NAMES.items()}
 _GZIP = 31  # zlib's window for gzip's frame
 
 
+def _renamed(value: Any, names: Mapping[str, str]) -> Any:
+    """A tree of mappings and sequences with these keys of its mappings renamed."""
+    if isinstance(value, dict):
+        return {names.get(key, key): _renamed(each, names) for key, each in value.items()}
+    if isinstance(value, (list, tuple)):
+        return [_renamed(each, names) for each in value]
+    return value
+
+
 class TraceError(ValueError):
     """These bytes are no trace that can be read; the text says where."""
 
@@ -59,7 +89,8 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self._pack = msgspec.msgpack.Encoder()
         self._gzip = zlib.compressobj(1, zlib.DEFLATED, _GZIP)
-        self._waiting = bytearray(self._pack.encode((_MARK, VERSION, msgspec.to_builtins(settings), seed)))
+        stored = _renamed(msgspec.to_builtins(settings), _STORED_NAMES)
+        self._waiting = bytearray(self._pack.encode((_MARK, VERSION, stored, seed)))
 
     def add(self, now: int, event: Event) -> int:
         """Take an event; how many bytes wait to be written."""
@@ -67,6 +98,8 @@
         values = _VALUES[place](event)
         if len(_NAMES[place]) == 1:
             values = (values,)
+        if KINDS[place] in _WITH_SETTINGS:
+            values = _renamed(msgspec.to_builtins(values), _STORED_NAMES)
         self._waiting += self._pack.encode((now, place, *values))
         return len(self._waiting)
 
@@ -101,7 +134,7 @@
         mark, version, settings, seed = next(records)
         if mark != _MARK or version != VERSION:
             raise TraceError(f"it is no trace of version {VERSION}")
-        known = msgspec.convert(settings, Settings)
+        known = msgspec.convert(_renamed(settings, _FIELD_NAMES), Settings)
     except StopIteration:
         raise TraceError("it is empty") from None
     except (TypeError, ValueError, msgspec.ValidationError) as fault:
@@ -113,6 +146,8 @@
             names = _NAMES[place]
             if len(values) > len(names):
                 raise ValueError(f"{len(values)} fields, where {KINDS[place].__name__} has {len(names)}")
+            if KINDS[place] in _WITH_SETTINGS:
+                values = _renamed(values, _FIELD_NAMES)
             event = msgspec.convert(dict(zip(names, values, strict=False)), KINDS[place])
         except (TypeError, ValueError, IndexError, msgspec.ValidationError) as fault:
             raise TraceError(f"record {number}: {fault}") from None
--- a/tests/discovery_stage.py
+++ b/tests/discovery_stage.py
@@ -210,7 +210,7 @@
             discovery.place,
             0,
             pushed,
-            allowed_us=given.rules.ask_within_us,
+            allowed_us=given.rules.max_poll_interval_us,
             grace_us=given.rules.drain_grace_us,
             seed=f"{number}",
         )
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -39,11 +39,11 @@
 class Referee:
     """Keeps what a client, the servers and the list know, and checks every action against the rules."""
 
-    def __init__(self, second_copies: bool, attempts: int, rng_seed: int, strict: bool) -> None:
+    def __init__(self, allow_hedging: bool, attempts: int, rng_seed: int, strict: bool) -> None:
         further = {"full_may_have_run": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
         self.settings = settings(
             classes=CLASSES,
-            limits={"second_copies": second_copies, "max_attempts": attempts},
+            limits={"second_copies": allow_hedging, "max_attempts": attempts},
             rules=further,
         )
         self.never_ran = [Outcome.CONNECT_FAILED, Outcome.CONNECTION_REFUSED, Outcome.NOT_SENT]
@@ -85,13 +85,13 @@
         # Where nobody listened, nothing was written: that was no attempt.
         nobody = sum(each["outcome"] is Outcome.CONNECTION_REFUSED for each in earlier)
         assert len(earlier) - nobody < self.settings.limits.max_attempts, "more attempts than allowed"
-        if not self.settings.limits.second_copies:
+        if not self.settings.limits.allow_hedging:
             assert not any(each["pending"] for each in earlier), "two copies out at once"
         maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.never_ran]
         if maybe and kind.repeat is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("an unsafe request was sent again")
         if maybe and kind.repeat is Idempotency.KEYED:
-            assert self.now < maybe[0]["at"] + kind.memory_us, "sent after servers forgot"
+            assert self.now < maybe[0]["at"] + kind.idempotency_window_us, "sent after servers forgot"
             for each in maybe:
                 assert kind.group.value != "zone" or each["line"].zone == line.zone, "left the zone"
                 assert kind.group.value != "cell" or each["line"].cell == line.cell, "left the cell"
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -160,7 +160,7 @@
 def test_the_end_fails_what_is_out_and_an_answer_after_that_is_nobodys() -> None:
     stage = Stage()
     waiter, _ = stage.ask()
-    stage.engine.fail_open()
+    stage.engine.fail_open_requests()
     assert waiter.got == [("failed", FailureCause.TIME, True)]
     assert stage.engine.open_requests == 1  # its attempt is still out
     stage.world.end(0)
@@ -171,9 +171,9 @@
     stage = Stage()
     waiter, number = stage.ask()
     assert number is not None
-    stage.engine.gone(number)
-    stage.engine.gone(number)
-    stage.engine.gone(999)
+    stage.engine.client_disconnected(number)
+    stage.engine.client_disconnected(number)
+    stage.engine.client_disconnected(999)
     stage.world.end(0)
     assert waiter.got == [] and stage.engine.open_requests == 0
 
--- a/tests/test_message_races.py
+++ b/tests/test_message_races.py
@@ -165,7 +165,7 @@
                 await until(lambda: len(scene.heard) == 1)
                 scene.sidecar.frontend.is_draining = True
                 client.sendall(behind)
-                scene.sidecar._engine.fail_open()  # its answer is written, and then its connection closed
+                scene.sidecar._engine.fail_open_requests()  # its answer is written, its connection closed
                 answer = await rest_of(client)
             assert answer.startswith(b"HTTP/1.1 504") and b"connection: close" in answer
             await until(lambda: scene.sidecar.frontend.open_connections == 0)
--- a/tests/test_mysql_program.py
+++ b/tests/test_mysql_program.py
@@ -74,7 +74,7 @@
     secret.write_text("x")
     path = tmp_path / "mysql.toml"
     path.write_text(text.replace("/run/secrets/mysql-password", str(secret)))
-    assert mysql_config.load(path).settings.rules.bound_grace_us == 150_000
+    assert mysql_config.load(path).settings.rules.session_drain_grace_us == 150_000
 
 
 def _daemon(folder: Path, roster: str, mysql: str) -> dict[str, Any]:
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -129,7 +129,7 @@
         for each in followers:
             for name in SERVERS[:4]:
                 wire.loop.call_later(
-                    20.0 + wire.drawn.random(), each.host.context.copy().run, each.roster.doubt
+                    20.0 + wire.drawn.random(), each.host.context.copy().run, each.roster.suspect_stale
                 )
                 wire.loop.call_at(21.5, discovery.put, name, "10.1.0.1:80", "leaving")
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -194,7 +194,7 @@
 
     raw = msgspec.msgpack.encode([0, 1, "n0", "aa", 0, 10, 20, [], 5, 6, "a field of tomorrow"])
     number = frames._FRAME.pack(0, len(raw), crc32(raw, crc32(frames._CRC_OF.pack(0, len(raw)))))
-    assert read(MARK + number + raw).head.cold_us == 6
+    assert read(MARK + number + raw).head.slow_start_us == 6
     monkeypatch.setattr("micadeck.incidents.frames.VERSION", 0)
     with pytest.raises(NotRecords, match="format 1, where this program reads 0"):
         read(segment())
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -622,7 +622,7 @@
     made.handle(1, ServersListed(ListKind.COMPLETE, [ListedServer("a"), ListedServer("b")], 1))
     sent: list[Send] = []
     for number in range(1, 41):  # uploads: no server works on any of them
-        arrived = RequestArrived(number, "look", None, None, 60_000_000, whole=False)
+        arrived = RequestArrived(number, "look", None, None, 60_000_000, is_complete=False)
         sent += [each for each in made.handle(10 + number, arrived) if isinstance(each, Send)]
     assert len(sent) == 40
     assert made._load() == 0
@@ -636,7 +636,7 @@
     assert made._load() == 0 and made._pending == 39
     for number, each in enumerate(sent[1:], 2):
         made.handle(
-            400, AttemptEnded(number, 0, each.server, Outcome.CONNECTION_LOST, 100, False, again=False)
+            400, AttemptEnded(number, 0, each.server, Outcome.CONNECTION_LOST, 100, False, can_retry=False)
         )
     assert made._load() == 0 and made._pending == 0 and made._passing == 0
     assert all(each.passing == 0 and each.in_flight == 0 for each in made._servers.values())
@@ -645,7 +645,7 @@
 def test_a_request_has_its_time_from_its_last_byte() -> None:
     made = Balancer(settings(), 3)
     made.handle(1, ServersListed(ListKind.COMPLETE, [ListedServer("a")], 1))
-    made.handle(2, RequestArrived(1, "look", None, None, 60_000_000, whole=False))
+    made.handle(2, RequestArrived(1, "look", None, None, 60_000_000, is_complete=False))
     actions = made.handle(5_000_000, RequestCompleted(1, 300_000))
     (bound,) = [each for each in actions if isinstance(each, SetAttemptDeadline)]
     assert (bound.request, bound.attempt) == (1, 0)
@@ -660,8 +660,8 @@
         made.handle(1, ServersListed(ListKind.COMPLETE, [ListedServer(name) for name in "abc"], 1))
         (sent,) = [
             each
-            for each in made.handle(2, RequestArrived(1, "pay", None, None, 900_000, whole=False))
+            for each in made.handle(2, RequestArrived(1, "pay", None, None, 900_000, is_complete=False))
             if isinstance(each, Send)
         ]
-        ended = made.handle(3, AttemptEnded(1, 0, sent.server, outcome, 1, False, again=False))
+        ended = made.handle(3, AttemptEnded(1, 0, sent.server, outcome, 1, False, can_retry=False))
         assert [type(each) for each in ended if isinstance(each, Send | Refuse | Fail)] == [answer]
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -27,7 +27,7 @@
 
 def ask(stage: Any, name: str = "pay", server: str = HOME) -> int:
     number = next(_numbers)
-    stage.play(RequestArrived(number, name, None, None, 2 * S, bound=server))
+    stage.play(RequestArrived(number, name, None, None, 2 * S, sticky_server=server))
     return number
 
 
@@ -201,6 +201,6 @@
     world, engine = _engine()
     number = engine.take(_request(), Waiter())
     assert number is not None
-    engine.gone(number)
+    engine.client_disconnected(number)
     assert not engine.started(number)
     assert world.cancelled
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -19,9 +19,9 @@
 def test_absent_keys_get_the_cautious_default() -> None:
     given = Settings.from_mapping(LEAST)
     assert given.classes[0].repeat is Idempotency.NON_IDEMPOTENT
-    assert given.classes[0].aim_us == 1_000_000
+    assert given.classes[0].latency_objective_us == 1_000_000
     assert given.discovery is DiscoveryMode.ON_REQUEST
-    assert not given.limits.second_copies and given.limits.max_attempts == 1
+    assert not given.limits.allow_hedging and given.limits.max_attempts == 1
     assert given.rules.drain_grace_us == 0
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -213,7 +213,7 @@
     )
     assert (given.limits.max_open, given.limits.cpu_us_per_s, given.limits.cpu_us_per_request) == (9, 8, 0.5)
     assert given.rules.close_idle_within_us == 7 and given.rules.full_may_have_run
-    assert given.rules.drain_grace_us == 50_000 and given.rules.fall_multiple == 1.5
+    assert given.rules.drain_grace_us == 50_000 and given.rules.overload_multiple == 1.5
     assert given.prices.late_fail == 0.05 and given.prices.discovery == 0.01
     assert given.prices.connection == 0.02 and given.prices.handshake == 0.03
     assert given.goal.tail == 0.2 and given.goal.tail_slack == 0.02 and given.goal.worst_tenant == 0.1
--- a/tests/test_stale_list_refresh.py
+++ b/tests/test_stale_list_refresh.py
@@ -25,7 +25,7 @@
 
     doubts = 0
 
-    def doubt(self) -> None:
+    def suspect_stale(self) -> None:
         self.doubts += 1
 
 
--- a/tests/test_watch_health.py
+++ b/tests/test_watch_health.py
@@ -174,7 +174,7 @@
 def test_a_doubt_asks_for_the_whole_list_and_many_doubts_ask_no_more_than_one() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         for number in range(300):
-            agent._wire.loop.call_later(0.3 + number / 1e3, roster.doubt)
+            agent._wire.loop.call_later(0.3 + number / 1e3, roster.suspect_stale)
 
     agent, _ = watch("never", 0.0, True, then, length_s=1.2)
     assert [target for _, target in agent.calls if "after" not in target] == ["/catalog/members"]
@@ -184,7 +184,7 @@
 def test_where_discovery_is_one_for_all_a_doubt_asks_nothing_and_leaves_the_watch_alone() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         for number in range(1_000):
-            agent._wire.loop.call_later(0.3 + number / 1e2, roster.doubt)
+            agent._wire.loop.call_later(0.3 + number / 1e2, roster.suspect_stale)
         agent._wire.loop.call_later(5.0, agent.put, "s-1", "10.1.0.1:80", "leaving")
 
     agent, heard = watch("never", 0.0, False, then, length_s=11.0)
@@ -197,7 +197,7 @@
 def test_doubts_that_bring_nothing_are_heeded_less_and_less() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         for number in range(1_000):
-            agent._wire.loop.call_later(0.3 + number / 1e2, roster.doubt)
+            agent._wire.loop.call_later(0.3 + number / 1e2, roster.suspect_stale)
 
     agent, _ = watch("never", 0.0, True, then, length_s=5.5)
     whole = [at for at, target in agent.calls if "after" not in target]
@@ -212,7 +212,7 @@
         def then(agent: Agent, roster: DiscoveryWatcher) -> None:
             agent.late_s.append(3.0)
             for number in range(doubts):
-                agent._wire.loop.call_later(0.1 + number / 1e2, roster.doubt)
+                agent._wire.loop.call_later(0.1 + number / 1e2, roster.suspect_stale)
 
         agent, heard = watch("never", 0.0, pushed, then, length_s=3.2)
         assert heard[0][0] == pytest.approx(3.0, abs=0.1)  # the first call kept its place, and was answered
@@ -225,8 +225,8 @@
 def test_a_doubt_that_came_to_nothing_while_discovery_was_slow_leaves_later_ones_heeded() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         agent.late_s.append(1.5)  # its first answer is due after the doubt is
-        agent._wire.loop.call_later(0.1, roster.doubt)
-        agent._wire.loop.call_later(4.4, roster.doubt)
+        agent._wire.loop.call_later(0.1, roster.suspect_stale)
+        agent._wire.loop.call_later(4.4, roster.suspect_stale)
 
     agent, _ = watch("never", 0.0, True, then, length_s=7.0)
     assert [at for at, target in agent.calls if "after" not in target and at > 4.4]
