--- /dev/null
+++ b/tests/policy_driver.py
@@ -0,0 +1,526 @@
+"""Drives the decisions with seeded events in lockstep with their actions, and digests what they do.
+
+Nothing of a digest depends on a Python name: events are built by position, actions are known by the labels of
+`ACTION_LABELS` and by their values in order.  Where a class or a method is renamed, only the tables change.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import heapq
+import random
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import astuple, dataclass, field
+from typing import Any
+
+from micadeck.policy import Balancer, Settings
+from micadeck.policy import settings as policy
+
+ACTION_LABELS: dict[type[Any], str] = {
+    policy.Send: "send",
+    policy.Refuse: "refuse",
+    policy.Fail: "fail",
+    policy.Cancel: "cancel",
+    policy.Bound: "change_timeout",
+    policy.SetTimer: "set_timer",
+    policy.Probe: "probe",
+    policy.CloseIdle: "close_idle",
+    policy.Tell: "message",
+    policy.Follow: "subscribe",
+    policy.FetchList: "fetch_list",
+    policy.Log: "log",
+}
+EVENTS: dict[str, type[Any]] = {
+    "list": policy.ServersListed,
+    "arrived": policy.RequestArrived,
+    "completed": policy.RequestWhole,
+    "answer_started": policy.AnswerStarted,
+    "attempt_ended": policy.AttemptEnded,
+    "abandoned": policy.RequestGone,
+    "timer": policy.TimerFired,
+    "probe_ended": policy.ProbeEnded,
+    "message": policy.MessageReceived,
+    "settings": policy.SettingsChanged,
+}
+listed_server: Callable[..., Any] = policy.ListedServer
+list_kind: Callable[[str], Any] = policy.ListKind
+server_state: Callable[[str], Any] = policy.ServerState
+outcome_of: Callable[[str], Any] = policy.Outcome
+figures_of: Callable[[Balancer], Any] = Balancer.figures
+counts_of: list[Callable[[Balancer], int]] = [Balancer.known, Balancer.avoided]
+parse_settings: Callable[[Any], Settings] = Settings.from_mapping
+
+MS = 1_000
+S = 1_000_000
+START = 50 * S
+ARRIVALS = 600
+EVENTS_PER_CHECKPOINT = 250
+ANSWERS = ("delivered", "rejected")
+
+LOOKUP = {"name": "lookup", "deadline_us": 2 * S, "aim_us": 500 * MS, "worth": 1, "repeat": "safe"}
+PAYMENT = {"name": "payment", "deadline_us": 2 * S, "aim_us": 400 * MS, "worth": 10, "repeat": "unsafe"}
+UPDATE: dict[str, Any] = {
+    "name": "update",
+    "deadline_us": 4 * S,
+    "aim_us": 800 * MS,
+    "worth": 3,
+    "late_worth": 0.5,
+    "repeat": "keyed",
+    "group": "zone",
+    "memory_us": 2 * S,
+}
+FEED = {"name": "feed", "deadline_us": 3 * S, "aim_us": 600 * MS, "repeat": "safe", "streaming": True}
+
+
+def settings_mapping(limits: dict[str, Any], rules: dict[str, Any], **further: Any) -> dict[str, Any]:
+    """Settings as a mapping; the given parts are merged into those of a permissive deployment."""
+    given: dict[str, Any] = {
+        "classes": [LOOKUP, PAYMENT, UPDATE],
+        "zone": "east",
+        "tick_us": 5 * MS,
+        "limits": {"max_attempts": 4, "may_cancel": True, **limits},
+        "rules": {
+            "cold_from": 0.2,
+            "cold_us": 5 * S,
+            "drain_grace_us": 500 * MS,
+            "fall_multiple": 3,
+            "fall_us": 2 * S,
+            "ask_within_us": 10 * S,
+            **rules,
+        },
+    }
+    return {**given, **further}
+
+
+@dataclass(frozen=True)
+class Case:
+    """What one case drives; the fields that end in `_odds` are probabilities."""
+
+    settings: list[dict[str, Any]] = field(default_factory=lambda: [settings_mapping({}, {})])
+    outcomes: dict[str, float] = field(default_factory=lambda: {"error": 0.02, "dial_failed": 0.01})
+    arrival_gap_us: int = 12 * MS
+    work_us: int = 60 * MS
+    servers: int = 8
+    slots: float = 6.0  # requests that a server works on at once before it slows down
+    queue: float = 4.0  # times its slots that it holds before it answers full
+    faulty_servers: int = 1  # which fail most attempts during the middle third
+    partial_odds: float = 0.0  # a request arrives before its last byte
+    bound_odds: float = 0.0
+    own_class_odds: float = 0.0  # a request brings its class
+    final_odds: float = 0.0  # a failed attempt can't be sent again
+    stream_odds: float = 0.0
+    abandon_odds: float = 0.02
+    silent_odds: float = 0.0  # an attempt never ends by itself
+    report_odds: float = 0.0
+    probe_odds: float = 0.0
+    list_odds: float = 0.02  # the list changes at an arrival
+    list_failure_odds: float = 0.0
+    restart_odds: float = 0.0
+    settings_every: int = 0  # arrivals between changes of the settings
+    tenants: tuple[str | None, ...] = (None,)
+
+
+_LIST: dict[str, Any] = {"list_odds": 0.08, "list_failure_odds": 0.3, "restart_odds": 0.3}
+_TENANTS = [{"name": "gold", "share": 3, "quota_per_s": 20}, {"name": "free", "share": 1}]
+
+CASES: dict[str, Case] = {
+    "plain": Case(),
+    "settings_change": Case(
+        settings=[
+            settings_mapping({}, {}),
+            settings_mapping({"max_attempts": 1, "second_copies": True}, {"fall_us": 5 * S, "cold_us": S}),
+            settings_mapping({"max_attempts": 2}, {}, classes=[{**LOOKUP, "aim_us": 90 * MS}, FEED]),
+        ],
+        settings_every=45,
+        own_class_odds=0.2,
+        report_odds=0.3,
+        arrival_gap_us=6 * MS,
+    ),
+    "request_completes_late": Case(partial_odds=0.5, outcomes={"error": 0.04, "dropped": 0.04}),
+    "request_completes_late_unsafe": Case(
+        settings=[settings_mapping({"second_copies": True}, {}, classes=[PAYMENT, UPDATE])],
+        partial_odds=0.7,
+        final_odds=0.3,
+        outcomes={"dial_failed": 0.05, "full": 0.05, "unsent": 0.05},
+        abandon_odds=0.1,
+    ),
+    "bound_to_a_server": Case(
+        settings=[settings_mapping({}, {"bound_grace_us": 300 * MS, "close_idle_within_us": 800 * MS})],
+        bound_odds=0.5,
+        list_odds=0.06,
+        outcomes={"error": 0.03, "dropped": 0.03, "turned_down": 0.02},
+    ),
+    "faulty_requests": Case(outcomes={"rejected": 0.4, "error": 0.05}, report_odds=0.2),
+    "no_further_attempt": Case(
+        final_odds=0.6, outcomes={"error": 0.1, "dropped": 0.08, "full": 0.08, "dial_failed": 0.08}
+    ),
+    "health_checks": Case(
+        settings=[settings_mapping({"may_probe": True, "may_message": True}, {})], probe_odds=0.5
+    ),
+    "spoilt_answers": Case(outcomes={"spoilt": 0.25}, faulty_servers=3),
+    "dials_fail": Case(
+        settings=[settings_mapping({}, {}, classes=[LOOKUP, {**UPDATE, "group": "all"}])],
+        outcomes={"dial_failed": 0.2, "error": 0.02},
+        faulty_servers=3,
+    ),
+    "nobody_listens": Case(outcomes={"turned_down": 0.2}, faulty_servers=4, restart_odds=0.2),
+    "reports_under_load": Case(
+        report_odds=0.9, arrival_gap_us=4 * MS, work_us=110 * MS, slots=4.0, servers=6
+    ),
+    "tenants_under_load": Case(
+        settings=[
+            settings_mapping(
+                {"retry_after": True, "max_retry_after_us": S}, {}, tenants=_TENANTS, over_share_worth=0.25
+            )
+        ],
+        tenants=("gold", "free", None, "unknown"),
+        arrival_gap_us=4 * MS,
+        work_us=110 * MS,
+        slots=4.0,
+        servers=6,
+    ),
+    "streams": Case(
+        settings=[settings_mapping({"second_copies": True}, {}, classes=[FEED, LOOKUP, UPDATE])],
+        stream_odds=0.6,
+        outcomes={"dropped": 0.08},
+    ),
+    "silent_servers": Case(
+        settings=[settings_mapping({"second_copies": True}, {"full_may_have_run": True})],
+        silent_odds=0.08,
+        outcomes={"dropped": 0.05, "full": 0.05},
+    ),
+    "idle_connections": Case(
+        settings=[settings_mapping({"idle_close_us": 4 * S}, {"close_idle_within_us": 500 * MS})],
+        arrival_gap_us=350 * MS,
+        outcomes={"dropped": 0.12},
+        list_odds=0.1,
+    ),
+    "lists_on_request": Case(**_LIST),
+    "lists_pushed": Case(
+        settings=[
+            settings_mapping({}, {}, discovery="pushed", weights="nominal", prices={"cross_zone": 0.1})
+        ],
+        **_LIST,
+    ),
+    "everything": Case(
+        settings=[
+            settings_mapping({"second_copies": True, "may_probe": True}, {"close_idle_within_us": 600 * MS}),
+            settings_mapping({"max_attempts": 2}, {"bound_grace_us": 200 * MS}, tenants=_TENANTS),
+        ],
+        outcomes={"rejected": 0.05, "spoilt": 0.05, "turned_down": 0.03, "dropped": 0.03, "error": 0.03},
+        partial_odds=0.2,
+        bound_odds=0.15,
+        own_class_odds=0.1,
+        final_odds=0.2,
+        stream_odds=0.1,
+        abandon_odds=0.05,
+        silent_odds=0.03,
+        report_odds=0.5,
+        probe_odds=0.1,
+        settings_every=90,
+        tenants=("gold", "free", None),
+        arrival_gap_us=5 * MS,
+        slots=3.0,
+        **_LIST,
+    ),
+}
+SEEDS = (1, 2, 3)
+
+
+@dataclass
+class _Attempt:
+    server: str
+    sent_at: int
+    expires_at: int
+    is_pending: bool = True
+    work: tuple[str, int] | None = None  # its outcome and time, once the request is complete
+
+
+@dataclass
+class _Request:
+    is_complete: bool
+    is_answered: bool = False
+    attempts: list[_Attempt] = field(default_factory=list)
+
+
+class Driver:
+    """One balancer, its clients, its servers and its discovery, on a clock of their own."""
+
+    def __init__(self, case: Case, name: str, seed: int) -> None:
+        self._case = case
+        self._random = random.Random(f"{name} {seed}")
+        self._versions = [parse_settings(each) for each in case.settings]
+        self._version = 0
+        self.balancer = Balancer(self._versions[0], seed)
+        self.settings = self._versions[0]
+        self.events: list[tuple[int, Any]] = []
+        self.counts: Counter[str] = Counter()
+        self.checkpoints: list[str] = []
+        self._hash = hashlib.blake2b(digest_size=8)
+        self._now = START
+        self._agenda: list[tuple[int, int, Callable[[], None]]] = []
+        self._order = 0
+        self._requests: dict[int, _Request] = {}
+        self._states: dict[str, str] = {}
+        self._started: dict[str, int | None] = {}
+        self._busy: Counter[str] = Counter()
+        self._list_version = 0
+
+    def run(self) -> None:
+        """Drive the whole case."""
+        for number in range(self._case.servers):
+            self._states[f"s-{number}"] = "ready"
+            self._started[f"s-{number}"] = None
+        self._play("list", list_kind("remembered"), self._lines(), 0)
+        self._after(self._case.arrival_gap_us, lambda: self._arrive(0))
+        end = START + ARRIVALS * self._case.arrival_gap_us * 2 + 20 * S
+        while self._agenda and self._agenda[0][0] <= end and len(self.events) < 8 * ARRIVALS:
+            at, _, work = heapq.heappop(self._agenda)
+            self._now = max(self._now, at)
+            work()
+
+    def result(self) -> dict[str, Any]:
+        """What is kept of a run: digests so far at each checkpoint, counts by label, the last state."""
+        state = [*astuple(figures_of(self.balancer)), *(count(self.balancer) for count in counts_of)]
+        return {
+            "events": len(self.events),
+            "counts": dict(sorted(self.counts.items())),
+            "state": [repr(each) for each in state],
+            "checkpoints": self.checkpoints,
+            "digest": self._hash.hexdigest(),
+        }
+
+    # The clock and the balancer
+
+    def _after(self, delay_us: float, work: Callable[[], None]) -> None:
+        self._order += 1
+        heapq.heappush(self._agenda, (self._now + max(int(delay_us), 0), self._order, work))
+
+    def _chance(self, odds: float) -> bool:
+        return self._random.random() < odds
+
+    def _play(self, label: str, *values: Any) -> None:
+        event = EVENTS[label](*values)
+        self.events.append((self._now, event))
+        self._hash.update(f"{self._now} event {label}\n".encode())
+        actions = self.balancer.handle(self._now, event)
+        for action in actions:
+            self.counts[ACTION_LABELS[type(action)]] += 1
+            self._hash.update(f"{ACTION_LABELS[type(action)]} {astuple(action)!r}\n".encode())
+        if len(self.events) % EVENTS_PER_CHECKPOINT == 0:
+            self.checkpoints.append(self._hash.hexdigest())
+        for action in actions:
+            self._carry_out(ACTION_LABELS[type(action)], astuple(action))
+
+    def _carry_out(self, label: str, values: tuple[Any, ...]) -> None:
+        if label == "send":
+            self._send(*values[:3])
+        elif label in ("refuse", "fail"):
+            self._requests[values[0]].is_answered = True
+        elif label == "cancel":
+            request, attempt = values
+            self._after(MS, lambda: self._end(request, attempt, "cancelled"))
+        elif label == "change_timeout":
+            self._expire_at(*values)
+        elif label == "set_timer":
+            self._after(values[0], lambda: self._play("timer", values[1]))
+        elif label in ("subscribe", "fetch_list"):
+            self._after(self._random.randrange(5, 50) * MS, self._answer_list)
+
+    # Clients
+
+    def _arrive(self, number: int) -> None:
+        case = self._case
+        if case.settings_every and number and number % case.settings_every == 0:
+            self._version = (self._version + 1) % len(self._versions)
+            self._play("settings", self._versions[self._version])
+        classes = self._versions[self._version].classes
+        given = case.settings[self._version]["classes"]
+        chosen = self._random.randrange(len(classes))
+        deadline = given[chosen]["deadline_us"]
+        remaining = int(deadline * (0.05 if self._chance(0.05) else 0.3 + 0.7 * self._random.random()))
+        is_partial = self._chance(case.partial_odds)
+        self._requests[number] = _Request(not is_partial)
+        self._play(
+            "arrived",
+            number,
+            "not listed" if self._chance(0.01) else given[chosen]["name"],
+            self._random.choice(case.tenants),
+            self._random.randrange(1 << 16) if self._chance(0.3) else None,
+            remaining,
+            self._random.randrange(1, 400) * MS if self._chance(0.4) else None,
+            self._chance(0.1),
+            self._chance(0.3),
+            f"s-{self._random.randrange(case.servers + 1)}" if self._chance(case.bound_odds) else None,
+            classes[chosen] if self._chance(case.own_class_odds) else None,
+            not is_partial,
+        )
+        if is_partial:
+            self._after(self._random.randrange(1, 300) * MS, lambda: self._complete(number, deadline))
+        if self._chance(case.abandon_odds):
+            self._after(self._random.randrange(1, 400) * MS, lambda: self._abandon(number))
+        if self._chance(case.probe_odds):
+            self._other_news()
+        if self._chance(case.list_odds):
+            self._change_list()
+        if number + 1 < ARRIVALS:
+            self._after(case.arrival_gap_us * 2 * self._random.random(), lambda: self._arrive(number + 1))
+
+    def _complete(self, number: int, deadline: int) -> None:
+        request = self._requests[number]
+        if request.is_answered:
+            return
+        request.is_complete = True
+        self._play("completed", number, int(deadline * (0.2 + 0.8 * self._random.random())))
+        for index, attempt in enumerate(request.attempts):
+            if attempt.is_pending and attempt.work is not None:
+                self._work(number, index, *attempt.work)
+
+    def _abandon(self, number: int) -> None:
+        if not self._requests[number].is_answered:
+            self._requests[number].is_answered = True
+            self._play("abandoned", number)
+
+    # Servers
+
+    def _send(self, number: int, server: str, until: int) -> None:
+        request = self._requests[number]
+        index = len(request.attempts)
+        attempt = _Attempt(server, self._now, until)
+        request.attempts.append(attempt)
+        self._busy[server] += 1
+        self._expire_at(number, index, until)
+        outcome, delay = self._draw_outcome(server)
+        if outcome == "silent":
+            return
+        if request.is_complete or outcome in ("dial_failed", "turned_down", "full", "unsent"):
+            self._work(number, index, outcome, delay)
+        else:
+            attempt.work = outcome, delay
+
+    def _draw_outcome(self, server: str) -> tuple[str, int]:
+        case = self._case
+        slowdown = max(1.0, self._busy[server] / case.slots)
+        delay = int(case.work_us * slowdown * (0.3 + 1.4 * self._random.random()))
+        if self._chance(0.05):
+            delay *= 6
+        drawn = self._random.random()
+        if drawn < case.silent_odds:
+            return "silent", 0
+        if slowdown > case.queue:
+            return "full", MS
+        middle = START + ARRIVALS * case.arrival_gap_us // 3 < self._now
+        middle = middle and self._now < START + 2 * ARRIVALS * case.arrival_gap_us // 3
+        factor = 1.0
+        if middle and int(server.partition("-")[2]) < case.faulty_servers:
+            factor = 0.9 / sum(case.outcomes.values())
+        drawn = self._random.random()
+        for name, odds in case.outcomes.items():
+            drawn -= odds * factor
+            if drawn < 0.0:
+                return name, MS if name in ("dial_failed", "turned_down", "unsent") else delay
+        return "delivered", delay
+
+    def _work(self, number: int, index: int, outcome: str, delay: int) -> None:
+        if outcome in ("delivered", "dropped") and self._chance(self._case.stream_odds):
+            self._after(delay, lambda: self._start_answer(number, index, outcome, delay))
+        else:
+            self._after(delay, lambda: self._end(number, index, outcome))
+
+    def _start_answer(self, number: int, index: int, outcome: str, delay: int) -> None:
+        request = self._requests[number]
+        attempt = request.attempts[index]
+        if attempt.is_pending and not request.is_answered:
+            request.is_answered = True
+            self._play("answer_started", number, index, attempt.server, self._now - attempt.sent_at)
+            self._after(delay * 2, lambda: self._end(number, index, outcome))
+        else:
+            self._end(number, index, outcome)
+
+    def _expire_at(self, number: int, index: int, until: int) -> None:
+        attempt = self._requests[number].attempts[index]
+        attempt.expires_at = until
+
+        def expire() -> None:
+            if attempt.expires_at == until:
+                self._end(number, index, "expired")
+
+        self._after(until - self._now, expire)
+
+    def _end(self, number: int, index: int, outcome: str) -> None:
+        request = self._requests[number]
+        attempt = request.attempts[index]
+        if not attempt.is_pending:
+            return
+        attempt.is_pending = False
+        self._busy[attempt.server] -= 1
+        is_answer = outcome == "delivered" or (outcome == "rejected" and self._chance(0.5))
+        request.is_answered = request.is_answered or is_answer
+        report = None
+        if outcome in (*ANSWERS, "error", "full", "spoilt") and self._chance(self._case.report_odds):
+            report = {"util": min(self._busy[attempt.server] / self._case.slots + 0.1, 1.5), "queue": 2.0}
+        self._play(
+            "attempt_ended",
+            number,
+            index,
+            attempt.server,
+            outcome_of(outcome),
+            self._now - attempt.sent_at,
+            request.is_answered,
+            report,
+            outcome in ANSWERS or not self._chance(self._case.final_odds),
+        )
+
+    def _other_news(self) -> None:
+        server = f"s-{self._random.randrange(self._case.servers)}"
+        outcome = outcome_of(self._random.choice(["delivered", "expired", "dial_failed", "error"]))
+        self._play("probe_ended", server, outcome, self._random.randrange(MS, 90 * MS), {"util": 0.7})
+        self._play("message", self._random.randrange(4), b"\x00news")
+        # What ended twice, or belongs to no request, changes nothing.
+        self._play("attempt_ended", 0, 0, server, outcome, MS, True, None, True)
+        self._play("completed", ARRIVALS + 1, MS)
+
+    # Discovery
+
+    def _line(self, name: str) -> Any:
+        number = int(name.partition("-")[2])
+        zone = ("east", "west")[number % 2]
+        state = server_state(self._states[name])
+        return listed_server(name, zone, "box", number % 3, state, 1.0 + number % 2, self._started[name])
+
+    def _lines(self) -> list[Any]:
+        return [self._line(each) for each, state in self._states.items() if state != "gone"]
+
+    def _answer_list(self) -> None:
+        if self._chance(self._case.list_failure_odds):
+            self._play("list", list_kind("failed"))
+        else:
+            self._play("list", list_kind("complete"), self._lines(), self._list_version)
+
+    def _change_list(self) -> None:
+        self._list_version += 1
+        changed = self._random.sample(sorted(self._states), 1 + self._random.randrange(2))
+        for name in changed:
+            if self._states[name] == "ready":
+                few = sum(state == "ready" for state in self._states.values()) <= 4
+                self._states[name] = "ready" if few else self._random.choice(["draining", "gone"])
+            else:
+                self._states[name] = "ready"
+                self._started[name] = self._now - self._random.choice([0, 2 * S, 60 * S])
+            if self._chance(self._case.restart_odds):
+                self._started[name] = self._now
+        if self._chance(self._case.list_failure_odds):
+            self._play("list", list_kind("failed"))
+        elif self._chance(0.2):
+            self._play("list", list_kind("complete"), self._lines(), self._list_version)
+        else:
+            lines = [self._line(each) for each in changed]
+            self._play("list", list_kind("changes"), lines, self._list_version)
+
+
+def drive(name: str, seed: int) -> Driver:
+    """Run one case with one seed."""
+    driver = Driver(CASES[name], name, seed)
+    driver.run()
+    return driver
