--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,142 @@
+"""What the release 3c12c64 stored or sent is read as it was then, and written again byte for byte.
+
+The files are those of tests/fixtures (README.md there).  Values are compared by position and through command
+lines, so that renames of classes and of Python attributes do not touch these tests.
+"""
+
+from __future__ import annotations
+
+import gzip
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+from click.testing import CliRunner
+from stored_values import by_position, peer_exchange
+
+from micadeck.cli import main
+from micadeck.fleet.claims import Claim
+from micadeck.fleet.encryption import Keys, Seal
+from micadeck.fleet.messages import Message
+from micadeck.fleet.view import View
+from micadeck.incidents.frames import MARK, Encoder, read
+from micadeck.peer_datagrams import Peers
+from micadeck.traces.format import KINDS, decode, encode
+
+FIXTURES = Path(__file__).parent / "fixtures"
+RECORDS = sorted((FIXTURES / "records").glob("*.records"))
+FLEET: dict[str, Any] = json.loads((FIXTURES / "fleet_messages.json").read_text())
+MESSAGES: list[dict[str, Any]] = FLEET["messages"]
+
+
+def _output(monkeypatch: pytest.MonkeyPatch, *arguments: str) -> str:
+    monkeypatch.chdir(FIXTURES)
+    return CliRunner().invoke(main, list(arguments)).stdout
+
+
+# Records
+
+
+@pytest.mark.parametrize("part", ["show", "list", "check"])
+def test_commands_print_the_same_of_stored_records(monkeypatch: pytest.MonkeyPatch, part: str) -> None:
+    expected = (FIXTURES / f"incident_{part}.txt").read_text()
+    assert expected and _output(monkeypatch, "incident", part, "records") == expected
+
+
+def test_incidents_as_json_are_the_same_of_stored_records(monkeypatch: pytest.MonkeyPatch) -> None:
+    expected = (FIXTURES / "incident_show.json").read_text()
+    assert len(json.loads(expected)) == 1
+    assert _output(monkeypatch, "incident", "show", "--json", "records") == expected
+
+
+@pytest.mark.parametrize("path", RECORDS, ids=lambda path: path.name)
+def test_stored_records_are_written_again_byte_for_byte(path: Path) -> None:
+    data = path.read_bytes()
+    segment, encoder = read(data), Encoder()
+    written = MARK + b"".join(encoder.frame(record) for _, record in segment.records)
+    assert written == data[: segment.length]
+    assert len(data) - segment.length < 50  # of a process that was killed, the last record is cut
+
+
+def test_stored_records_are_of_every_kind_and_of_a_restart() -> None:
+    assert len(RECORDS) == 4
+    assert len({path.name.partition(".")[0] for path in RECORDS}) == 3
+    tags = {
+        msgspec.msgpack.decode(msgspec.msgpack.encode(record))[0]
+        for path in RECORDS
+        for _, record in read(path.read_bytes()).records
+    }
+    assert tags == set(range(8))
+
+
+# Traces of decisions
+
+
+def test_trace_show_prints_the_same_of_a_stored_trace(monkeypatch: pytest.MonkeyPatch) -> None:
+    expected = (FIXTURES / "trace_show.txt").read_text()
+    assert expected and _output(monkeypatch, "trace", "show", "decisions.trace") == expected
+
+
+def test_a_stored_trace_is_decoded_to_the_same_values() -> None:
+    expected = json.loads((FIXTURES / "trace_decoded.json").read_text())
+    trace = decode((FIXTURES / "decisions.trace").read_bytes())
+    assert trace.is_whole
+    assert by_position(trace.settings) == expected["settings"]
+    assert trace.seed == expected["seed"]
+    decoded = [[now, KINDS.index(type(event)), by_position(event)] for now, event in trace.events]
+    assert len(decoded) == expected["count"]
+    assert {place for _, place, _ in decoded} == {place for _, place, _ in expected["events"]}
+    assert {place for _, place, _ in expected["events"]} == set(range(9)) == set(range(len(KINDS)))
+    for each in expected["events"]:
+        assert each in decoded
+
+
+def test_a_stored_trace_is_written_again_byte_for_byte() -> None:
+    data = (FIXTURES / "decisions.trace").read_bytes()
+    trace = decode(data)
+    written = encode(trace.settings, trace.seed, trace.events)
+    assert gzip.decompress(written) == gzip.decompress(data)
+
+
+# Messages between sidecars
+
+
+@pytest.mark.parametrize("stored", MESSAGES, ids=lambda stored: stored["kind"])
+def test_a_stored_message_is_decoded_and_encoded_as_it_was(stored: dict[str, Any]) -> None:
+    data = bytes.fromhex(stored["message"])
+    message: Any = msgspec.convert(msgspec.msgpack.decode(data), Message)
+    assert by_position(message) == stored["decoded"]
+    assert msgspec.msgpack.encode(message) == data
+
+
+def test_stored_messages_are_of_every_kind() -> None:
+    tags = {msgspec.msgpack.decode(bytes.fromhex(stored["message"]))[0] for stored in MESSAGES}
+    assert tags == set(range(6))
+
+
+def test_stored_datagrams_are_accepted_and_made_as_they_were() -> None:
+    keys = Keys(tuple((number, bytes.fromhex(key)) for number, key in FLEET["keys"]))
+    reader = Seal("reader", FLEET["start"], keys)
+    writer = Seal(FLEET["sender"], FLEET["start"], keys)
+    for stored in MESSAGES:
+        data = bytes.fromhex(stored["datagram"])
+        accepted = reader.read(FLEET["wall_us"], data)
+        assert accepted is not None
+        sender, raw = accepted
+        message: Any = msgspec.convert(raw, Message)
+        assert (sender, by_position(message)) == (FLEET["sender"], stored["decoded"])
+        assert writer.make(FLEET["wall_us"], message) == data
+
+
+def test_a_view_of_the_stored_claims_has_the_same_digests() -> None:
+    view = View()
+    for stored in FLEET["view"]["claims"]:
+        view.take(0, msgspec.convert([0, *stored], Claim))
+    assert view.digest == FLEET["view"]["digest"]
+    assert view.branches(()) == FLEET["view"]["branches"]
+
+
+def test_datagrams_of_a_tier_known_by_address_are_the_same() -> None:
+    assert peer_exchange(Peers) == json.loads((FIXTURES / "peer_datagrams.json").read_text())
