--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -114,6 +114,8 @@
     silent_odds: float = 0.0  # an attempt never ends by itself
     report_odds: float = 0.0
     probe_odds: float = 0.0
+    heavy_odds: float = 0.0  # a request costs many times the mean
+    slow_zone_factor: int = 1  # times the work takes in the zone of this balancer, in the middle third
     list_odds: float = 0.02  # the list changes at an arrival
     list_failure_odds: float = 0.0
     restart_odds: float = 0.0
@@ -203,6 +205,33 @@
         ],
         **_LIST,
     ),
+    "heavy_requests": Case(heavy_odds=0.05, arrival_gap_us=6 * MS, report_odds=0.5),
+    "slow_zone": Case(slow_zone_factor=8, arrival_gap_us=8 * MS, servers=12),
+    "slow_zone_at_a_price": Case(
+        settings=[settings_mapping({}, {}, prices={"cross_zone": 0.5})],
+        slow_zone_factor=8,
+        arrival_gap_us=8 * MS,
+        servers=12,
+    ),
+    "failures_everywhere": Case(
+        settings=[settings_mapping({}, {}, classes=[{**LOOKUP, "aim_us": S}])],
+        outcomes={"error": 0.2},
+        arrival_gap_us=4 * MS,
+        servers=12,
+    ),
+    "most_servers_hang": Case(
+        settings=[settings_mapping({"second_copies": True}, {})],
+        outcomes={"silent": 0.03, "error": 0.01},
+        faulty_servers=9,
+        servers=12,
+    ),
+    "most_servers_vanish": Case(
+        settings=[settings_mapping({"max_attempts": 2}, {})],
+        outcomes={"turned_down": 0.1},
+        faulty_servers=20,
+        servers=24,
+        arrival_gap_us=8 * MS,
+    ),
     "everything": Case(
         settings=[
             settings_mapping({"second_copies": True, "may_probe": True}, {"close_idle_within_us": 600 * MS}),
@@ -349,7 +378,7 @@
             self._random.choice(case.tenants),
             self._random.randrange(1 << 16) if self._chance(0.3) else None,
             remaining,
-            self._random.randrange(1, 400) * MS if self._chance(0.4) else None,
+            self._cost_us(),
             self._chance(0.1),
             self._chance(0.3),
             f"s-{self._random.randrange(case.servers + 1)}" if self._chance(case.bound_odds) else None,
@@ -367,6 +396,11 @@
         if number + 1 < ARRIVALS:
             self._after(case.arrival_gap_us * 2 * self._random.random(), lambda: self._arrive(number + 1))
 
+    def _cost_us(self) -> int | None:
+        if self._case.heavy_odds and self._chance(self._case.heavy_odds):
+            return 4 * S
+        return self._random.randrange(1, 400) * MS if self._chance(0.4) else None
+
     def _complete(self, number: int, deadline: int) -> None:
         request = self._requests[number]
         if request.is_answered:
@@ -405,15 +439,15 @@
         delay = int(case.work_us * slowdown * (0.3 + 1.4 * self._random.random()))
         if self._chance(0.05):
             delay *= 6
+        if case.slow_zone_factor > 1 and int(server.partition("-")[2]) % 2 == 0 and self._is_middle():
+            delay *= case.slow_zone_factor
         drawn = self._random.random()
         if drawn < case.silent_odds:
             return "silent", 0
         if slowdown > case.queue:
             return "full", MS
-        middle = START + ARRIVALS * case.arrival_gap_us // 3 < self._now
-        middle = middle and self._now < START + 2 * ARRIVALS * case.arrival_gap_us // 3
         factor = 1.0
-        if middle and int(server.partition("-")[2]) < case.faulty_servers:
+        if self._is_middle() and int(server.partition("-")[2]) < case.faulty_servers:
             factor = 0.9 / sum(case.outcomes.values())
         drawn = self._random.random()
         for name, odds in case.outcomes.items():
@@ -422,6 +456,10 @@
                 return name, MS if name in ("dial_failed", "turned_down", "unsent") else delay
         return "delivered", delay
 
+    def _is_middle(self) -> bool:
+        third = ARRIVALS * self._case.arrival_gap_us // 3
+        return START + third < self._now < START + 2 * ARRIVALS * self._case.arrival_gap_us // 3
+
     def _work(self, number: int, index: int, outcome: str, delay: int) -> None:
         if outcome in ("delivered", "dropped") and self._chance(self._case.stream_odds):
             self._after(delay, lambda: self._start_answer(number, index, outcome, delay))
