--- a/tests/test_policy_characterization.py
+++ b/tests/test_policy_characterization.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 import pytest
-from policy_driver import CASES, EVENTS_PER_CHECKPOINT, SEEDS, drive
+from policy_cases import CASES, SEEDS
+from policy_driver import EVENTS_PER_CHECKPOINT, drive
 
 EXPECTED: dict[str, dict[str, Any]] = json.loads(
     (Path(__file__).parent / "fixtures" / "policy_characterization.json").read_text()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -87,8 +87,8 @@
     assert trace.seed == expected["seed"]
     decoded = [[now, KINDS.index(type(event)), by_position(event)] for now, event in trace.events]
     assert len(decoded) == expected["count"]
-    assert {place for _, place, _ in decoded} == {place for _, place, _ in expected["events"]}
-    assert {place for _, place, _ in expected["events"]} == set(range(9)) == set(range(len(KINDS)))
+    assert {kind for _, kind, _ in decoded} == {kind for _, kind, _ in expected["events"]}
+    assert {kind for _, kind, _ in expected["events"]} == set(range(9)) == set(range(len(KINDS)))
     for each in expected["events"]:
         assert each in decoded
 
