--- /dev/null
+++ b/tests/policy_driver.py
@@ -0,0 +1,370 @@
+"""Drives the decisions with seeded events in lockstep with their actions, and digests what they do.
+
+Nothing of a digest depends on a Python name: events are built by position, actions are known by the labels of
+`ACTION_LABELS` and by their values in order.  Where a class or a method is renamed, only the tables change.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import heapq
+import random
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+from policy_cases import ARRIVALS, CASES, MS, Case, S
+from stored_values import by_position
+
+from micadeck.policy import Balancer, Settings
+from micadeck.policy import settings as policy
+
+ACTION_LABELS: dict[type[Any], str] = {
+    policy.Send: "send",
+    policy.Refuse: "refuse",
+    policy.Fail: "fail",
+    policy.Cancel: "cancel",
+    policy.Bound: "change_timeout",
+    policy.SetTimer: "set_timer",
+    policy.Probe: "probe",
+    policy.CloseIdle: "close_idle",
+    policy.Tell: "message",
+    policy.Follow: "subscribe",
+    policy.FetchList: "fetch_list",
+    policy.Log: "log",
+}
+EVENTS: dict[str, type[Any]] = {
+    "list": policy.ServersListed,
+    "arrived": policy.RequestArrived,
+    "completed": policy.RequestWhole,
+    "answer_started": policy.AnswerStarted,
+    "attempt_ended": policy.AttemptEnded,
+    "abandoned": policy.RequestGone,
+    "timer": policy.TimerFired,
+    "probe_ended": policy.ProbeEnded,
+    "message": policy.MessageReceived,
+    "settings": policy.SettingsChanged,
+}
+listed_server: Callable[..., Any] = policy.ListedServer
+list_kind: Callable[[str], Any] = policy.ListKind
+server_state: Callable[[str], Any] = policy.ServerState
+outcome_of: Callable[[str], Any] = policy.Outcome
+state_of: Callable[[Balancer], Any] = Balancer.figures
+counts_of: list[Callable[[Balancer], int]] = [Balancer.known, Balancer.avoided]
+parse_settings: Callable[[Any], Settings] = Settings.from_mapping
+
+START = 50 * S
+EVENTS_PER_CHECKPOINT = 250
+ANSWERS = ("delivered", "rejected")
+
+
+@dataclass
+class _Attempt:
+    server: str
+    sent_at: int
+    expires_at: int
+    is_pending: bool = True
+    work: tuple[str, int] | None = None  # its outcome and time, once the request is complete
+
+
+@dataclass
+class _Request:
+    is_complete: bool
+    is_answered: bool = False
+    attempts: list[_Attempt] = field(default_factory=list)
+
+
+class Driver:
+    """One balancer, its clients, its servers and its discovery, on a clock of their own."""
+
+    def __init__(self, case: Case, name: str, seed: int) -> None:
+        self._case = case
+        self._random = random.Random(f"{name} {seed}")
+        self._versions = [parse_settings(each) for each in case.settings]
+        self._version = 0
+        self.balancer = Balancer(self._versions[0], seed)
+        self.settings = self._versions[0]
+        self.events: list[tuple[int, Any]] = []
+        self.counts: Counter[str] = Counter()
+        self.checkpoints: list[str] = []
+        self._hash = hashlib.blake2b(digest_size=8)
+        self._now = START
+        self._agenda: list[tuple[int, int, Callable[[], None]]] = []
+        self._order = 0
+        self._requests: dict[int, _Request] = {}
+        self._states: dict[str, str] = {}
+        self._started: dict[str, int | None] = {}
+        self._busy: Counter[str] = Counter()
+        self._list_version = 0
+
+    def run(self) -> None:
+        """Drive the whole case."""
+        for number in range(self._case.servers):
+            self._states[f"s-{number}"] = "ready"
+            self._started[f"s-{number}"] = None
+        self._play("list", list_kind("remembered"), self._entries(), 0)
+        self._after(self._case.arrival_gap_us, lambda: self._arrive(0))
+        end = START + ARRIVALS * self._case.arrival_gap_us * 2 + 20 * S
+        while self._agenda and self._agenda[0][0] <= end and len(self.events) < 8 * ARRIVALS:
+            at, _, work = heapq.heappop(self._agenda)
+            self._now = max(self._now, at)
+            work()
+
+    def result(self) -> dict[str, Any]:
+        """What is kept of a run: digests so far at each checkpoint, counts by label, the last state."""
+        state = [*_values(state_of(self.balancer)), *(count(self.balancer) for count in counts_of)]
+        return {
+            "events": len(self.events),
+            "counts": dict(sorted(self.counts.items())),
+            "state": [repr(each) for each in state],
+            "checkpoints": self.checkpoints,
+            "digest": self._hash.hexdigest(),
+        }
+
+    # The clock and the balancer
+
+    def _after(self, delay_us: float, work: Callable[[], None]) -> None:
+        self._order += 1
+        heapq.heappush(self._agenda, (self._now + max(int(delay_us), 0), self._order, work))
+
+    def _chance(self, odds: float) -> bool:
+        return self._random.random() < odds
+
+    def _play(self, label: str, *values: Any) -> None:
+        event = EVENTS[label](*values)
+        self.events.append((self._now, event))
+        self._hash.update(f"{self._now} event {label}\n".encode())
+        actions = self.balancer.handle(self._now, event)
+        for action in actions:
+            self.counts[ACTION_LABELS[type(action)]] += 1
+            self._hash.update(f"{ACTION_LABELS[type(action)]} {_values(action)!r}\n".encode())
+        if len(self.events) % EVENTS_PER_CHECKPOINT == 0:
+            self.checkpoints.append(self._hash.hexdigest())
+        for action in actions:
+            self._carry_out(ACTION_LABELS[type(action)], _values(action))
+
+    def _carry_out(self, label: str, values: tuple[Any, ...]) -> None:
+        if label == "send":
+            self._send(*values[:3])
+        elif label in ("refuse", "fail"):
+            self._requests[values[0]].is_answered = True
+        elif label == "cancel":
+            request, attempt = values
+            self._after(MS, lambda: self._end(request, attempt, "cancelled"))
+        elif label == "change_timeout":
+            self._expire_at(*values)
+        elif label == "set_timer":
+            self._after(values[0], lambda: self._play("timer", values[1]))
+        elif label in ("subscribe", "fetch_list"):
+            self._after(self._random.randrange(5, 50) * MS, self._answer_list)
+
+    # Clients
+
+    def _arrive(self, number: int) -> None:
+        case = self._case
+        if case.settings_every and number and number % case.settings_every == 0:
+            self._version = (self._version + 1) % len(self._versions)
+            self._play("settings", self._versions[self._version])
+        classes = self._versions[self._version].classes
+        given = case.settings[self._version]["classes"]
+        chosen = self._random.randrange(len(classes))
+        deadline = given[chosen]["deadline_us"]
+        remaining = int(deadline * (0.05 if self._chance(0.05) else 0.3 + 0.7 * self._random.random()))
+        is_partial = self._chance(case.partial_odds)
+        self._requests[number] = _Request(not is_partial)
+        self._play(
+            "arrived",
+            number,
+            "not listed" if self._chance(0.01) else given[chosen]["name"],
+            self._random.choice(case.tenants),
+            self._random.randrange(1 << 16) if self._chance(0.3) else None,
+            remaining,
+            self._cost_us(),
+            self._chance(0.1),
+            self._chance(0.3),
+            f"s-{self._random.randrange(case.servers + 1)}" if self._chance(case.bound_odds) else None,
+            classes[chosen] if self._chance(case.own_class_odds) else None,
+            not is_partial,
+        )
+        if is_partial:
+            self._after(self._random.randrange(1, 300) * MS, lambda: self._complete(number, deadline))
+        if self._chance(case.abandon_odds):
+            self._after(self._random.randrange(1, 400) * MS, lambda: self._abandon(number))
+        if self._chance(case.probe_odds):
+            self._other_news()
+        if self._chance(case.list_odds):
+            self._change_list()
+        if number + 1 < ARRIVALS:
+            self._after(case.arrival_gap_us * 2 * self._random.random(), lambda: self._arrive(number + 1))
+
+    def _cost_us(self) -> int | None:
+        if self._case.heavy_odds and self._chance(self._case.heavy_odds):
+            return 4 * S
+        return self._random.randrange(1, 400) * MS if self._chance(0.4) else None
+
+    def _complete(self, number: int, deadline: int) -> None:
+        request = self._requests[number]
+        if request.is_answered:
+            return
+        request.is_complete = True
+        self._play("completed", number, int(deadline * (0.2 + 0.8 * self._random.random())))
+        for index, attempt in enumerate(request.attempts):
+            if attempt.is_pending and attempt.work is not None:
+                self._work(number, index, *attempt.work)
+
+    def _abandon(self, number: int) -> None:
+        if not self._requests[number].is_answered:
+            self._requests[number].is_answered = True
+            self._play("abandoned", number)
+
+    # Servers
+
+    def _send(self, number: int, server: str, until: int) -> None:
+        request = self._requests[number]
+        index = len(request.attempts)
+        attempt = _Attempt(server, self._now, until)
+        request.attempts.append(attempt)
+        self._busy[server] += 1
+        self._expire_at(number, index, until)
+        outcome, delay = self._draw_outcome(server)
+        if outcome == "silent":
+            return
+        if request.is_complete or outcome in ("dial_failed", "turned_down", "full", "unsent"):
+            self._work(number, index, outcome, delay)
+        else:
+            attempt.work = outcome, delay
+
+    def _draw_outcome(self, server: str) -> tuple[str, int]:
+        case = self._case
+        slowdown = max(1.0, self._busy[server] / case.slots)
+        delay = int(case.work_us * slowdown * (0.3 + 1.4 * self._random.random()))
+        if self._chance(0.05):
+            delay *= 6
+        if case.slow_zone_factor > 1 and int(server.partition("-")[2]) % 2 == 0 and self._is_middle():
+            delay *= case.slow_zone_factor
+        draw = self._random.random()
+        if draw < case.silent_odds:
+            return "silent", 0
+        if slowdown > case.queue:
+            return "full", MS
+        factor = 1.0
+        if self._is_middle() and int(server.partition("-")[2]) < case.faulty_servers:
+            factor = 0.9 / sum(case.outcomes.values())
+        draw = self._random.random()
+        for name, odds in case.outcomes.items():
+            draw -= odds * factor
+            if draw < 0.0:
+                return name, MS if name in ("dial_failed", "turned_down", "unsent") else delay
+        return "delivered", delay
+
+    def _is_middle(self) -> bool:
+        third = ARRIVALS * self._case.arrival_gap_us // 3
+        return START + third < self._now < START + 2 * ARRIVALS * self._case.arrival_gap_us // 3
+
+    def _work(self, number: int, index: int, outcome: str, delay: int) -> None:
+        if outcome in ("delivered", "dropped") and self._chance(self._case.stream_odds):
+            self._after(delay, lambda: self._start_answer(number, index, outcome, delay))
+        else:
+            self._after(delay, lambda: self._end(number, index, outcome))
+
+    def _start_answer(self, number: int, index: int, outcome: str, delay: int) -> None:
+        request = self._requests[number]
+        attempt = request.attempts[index]
+        if attempt.is_pending and not request.is_answered:
+            request.is_answered = True
+            self._play("answer_started", number, index, attempt.server, self._now - attempt.sent_at)
+            self._after(delay * 2, lambda: self._end(number, index, outcome))
+        else:
+            self._end(number, index, outcome)
+
+    def _expire_at(self, number: int, index: int, until: int) -> None:
+        attempt = self._requests[number].attempts[index]
+        attempt.expires_at = until
+
+        def expire() -> None:
+            if attempt.expires_at == until:
+                self._end(number, index, "expired")
+
+        self._after(until - self._now, expire)
+
+    def _end(self, number: int, index: int, outcome: str) -> None:
+        request = self._requests[number]
+        attempt = request.attempts[index]
+        if not attempt.is_pending:
+            return
+        attempt.is_pending = False
+        self._busy[attempt.server] -= 1
+        is_answer = outcome == "delivered" or (outcome == "rejected" and self._chance(0.5))
+        request.is_answered = request.is_answered or is_answer
+        report = None
+        if outcome in (*ANSWERS, "error", "full", "spoilt") and self._chance(self._case.report_odds):
+            report = {"util": min(self._busy[attempt.server] / self._case.slots + 0.1, 1.5), "queue": 2.0}
+        self._play(
+            "attempt_ended",
+            number,
+            index,
+            attempt.server,
+            outcome_of(outcome),
+            self._now - attempt.sent_at,
+            request.is_answered,
+            report,
+            outcome in ANSWERS or not self._chance(self._case.final_odds),
+        )
+
+    def _other_news(self) -> None:
+        server = f"s-{self._random.randrange(self._case.servers)}"
+        outcome = outcome_of(self._random.choice(["delivered", "expired", "dial_failed", "error"]))
+        self._play("probe_ended", server, outcome, self._random.randrange(MS, 90 * MS), {"util": 0.7})
+        self._play("message", self._random.randrange(4), b"\x00news")
+        # What ended twice, or belongs to no request, changes nothing.
+        self._play("attempt_ended", 0, 0, server, outcome, MS, True, None, True)
+        self._play("completed", ARRIVALS + 1, MS)
+
+    # Discovery
+
+    def _entry(self, name: str) -> Any:
+        number = int(name.partition("-")[2])
+        zone = ("east", "west")[number % 2]
+        state = server_state(self._states[name])
+        return listed_server(name, zone, "box", number % 3, state, 1.0 + number % 2, self._started[name])
+
+    def _entries(self) -> list[Any]:
+        return [self._entry(each) for each, state in self._states.items() if state != "gone"]
+
+    def _answer_list(self) -> None:
+        if self._chance(self._case.list_failure_odds):
+            self._play("list", list_kind("failed"))
+        else:
+            self._play("list", list_kind("complete"), self._entries(), self._list_version)
+
+    def _change_list(self) -> None:
+        self._list_version += 1
+        changed = self._random.sample(sorted(self._states), 1 + self._random.randrange(2))
+        for name in changed:
+            if self._states[name] == "ready":
+                few = sum(state == "ready" for state in self._states.values()) <= 4
+                self._states[name] = "ready" if few else self._random.choice(["draining", "gone"])
+            else:
+                self._states[name] = "ready"
+                self._started[name] = self._now - self._random.choice([0, 2 * S, 60 * S])
+            if self._chance(self._case.restart_odds):
+                self._started[name] = self._now
+        if self._chance(self._case.list_failure_odds):
+            self._play("list", list_kind("failed"))
+        elif self._chance(0.2):
+            self._play("list", list_kind("complete"), self._entries(), self._list_version)
+        else:
+            entries = [self._entry(each) for each in changed]
+            self._play("list", list_kind("changes"), entries, self._list_version)
+
+
+def _values(value: Any) -> tuple[Any, ...]:
+    return tuple(by_position(value))
+
+
+def drive(name: str, seed: int) -> Driver:
+    """Run one case with one seed."""
+    driver = Driver(CASES[name], name, seed)
+    driver.run()
+    return driver
