--- a/micadeck/http/request_validation.py
+++ b/micadeck/http/request_validation.py
@@ -45,11 +45,11 @@
     body: bytes
     stream: BodyStream | None = None  # the body, where it is passed on as it comes
     begin: Callable[[Response], bool] | None = None  # takes an answer that is too large to be kept
-    look_for_end: Callable[[], None] | None = None  # at its client's connection
+    check_client_end: Callable[[], None] | None = None  # at its client's connection
 
     def check_client(self) -> None:
-        if self.look_for_end is not None:
-            self.look_for_end()
+        if self.check_client_end is not None:
+            self.check_client_end()
 
     def can_go_again(self) -> bool:
         return self.stream is None or not self.stream.was_opened
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -1,4 +1,4 @@
-"""Calls to servers: attempts and probes, and the pool of connections that carries them."""
+"""Attempts and health checks, and the pool of connections to servers that carries them."""
 
 from __future__ import annotations
 
@@ -21,13 +21,16 @@
 from micadeck.policy.settings import ReportSource, Settings
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
-_LARGEST_FIGURE = 1e9  # of a load report; what is larger is nonsense
+_MAX_REPORT_VALUE = 1e9  # of a load report; what is larger is nonsense
 # What says that this machine, not the server, had no room for a connection.
-_OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+_LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class Exchange:
-    """One request to one server.  `done` is called exactly once, never from within `start` or `cancel`."""
+    """One request to one server: an attempt, or a health check.
+
+    `done` is called exactly once, never from within `start` or `cancel`.
+    """
 
     __slots__ = (
         "_network",
@@ -35,7 +38,7 @@
         "check_client",
         "connection",
         "done",
-        "ended",
+        "has_ended",
         "is_probe",
         "message",
         "server",
@@ -66,7 +69,7 @@
         self.write_by = write_by  # it is written whole by then, or not at all; None: any time
         self.begin = begin  # takes an answer that is too large to be kept
         self.check_client = check_client  # sees whether who waits has left
-        self.ended = False
+        self.has_ended = False
         self.connection: ClientConnection | None = None  # once it is written
         self.timer: Timer | None = None
 
@@ -80,10 +83,10 @@
         left_us = self.until - self._network.now()
         return self._network.time() + left_us / 1e6 + BEYOND_TIME_S
 
-    def begun(self, response: Response) -> bool:
+    def begin_answer(self, response: Response) -> bool:
         """An answer that is too large to be kept has begun; say whether anybody takes it."""
         connection = self.connection
-        if self.ended or self.begin is None or connection is None or connection.is_unwritten:
+        if self.has_ended or self.begin is None or connection is None or connection.is_unwritten:
             return False  # nobody waits, or it is no answer to a request that is not there yet
         if self.timer is not None:
             self.timer.cancel()  # from here on its connection sees to its time
@@ -101,11 +104,11 @@
 class _Server:
     """Where a server is reached, and the connections to the process that is there now."""
 
-    __slots__ = ("address", "idle", "is_leaving", "what")
+    __slots__ = ("address", "identity", "idle", "is_leaving")
 
-    def __init__(self, address: Address, what: tuple[object, ...]) -> None:
+    def __init__(self, address: Address, identity: tuple[object, ...]) -> None:
         self.address = address
-        self.what = what  # it is another one if any of this changes
+        self.identity = identity  # it is another one if any of this changes
         self.is_leaving = False
         self.idle: list[_Idle] = []  # the most recently used last
 
@@ -129,8 +132,8 @@
 
     def retune(self, settings: Settings) -> None:
         """Follow these settings from now on."""
-        self._dial_within_s = settings.limits.dial_timeout_us / 1e6
-        self._use_within_us = int(settings.limits.idle_close_us * (1.0 - _IDLE_MARGIN))
+        self._dial_timeout_s = settings.limits.dial_timeout_us / 1e6
+        self._idle_limit_us = int(settings.limits.idle_close_us * (1.0 - _IDLE_MARGIN))
         self._columns = settings.report_columns
         self._probes_for_load = settings.report_source is not ReportSource.SILENT
 
@@ -147,12 +150,12 @@
                 self._forget(name)
                 continue
             server = self._servers.get(name)
-            what = (address, entry.listed.started_at, entry.listed.zone, entry.listed.cell)
-            if server is None or server.what != what:
+            identity = (address, entry.listed.started_at, entry.listed.zone, entry.listed.cell)
+            if server is None or server.identity != identity:
                 # Guards against writing to what was there before under the same id, and rule 2: a repeat that
                 # waits for its dial was decided on for the group that the server was in.
                 self._forget(name)
-                server = self._servers[name] = _Server(address, what)
+                server = self._servers[name] = _Server(address, identity)
             server.is_leaving = entry.listed.state is not ServerState.READY
             if server.is_leaving:
                 self._close_idle(server)
@@ -173,7 +176,16 @@
         done: AttemptCallback,
         write_by: int | None = None,
     ) -> Exchange:
-        call = Exchange(
+        """Begin an attempt.
+
+        Args:
+            server: Its name on the endpoint list.
+            until: When the attempt is given up, in microseconds of the network's clock.
+            request: What to send.
+            done: Called once, with how it ended.
+            write_by: What is not written completely by then ends unsent; None: any time.
+        """
+        exchange = Exchange(
             self._network,
             server,
             until,
@@ -183,60 +195,61 @@
             write_by=write_by,
             check_client=request.check_client,
         )
-        self._start(call)
-        return call
+        self._start(exchange)
+        return exchange
 
     def probe(self, server: str, until: int, done: AttemptCallback) -> None:
+        """Send a health check."""
         target = b"/_load" if self._probes_for_load else b"/ping"
         message = Request(b"GET", target, [(b"host", server.encode())])
-        self._start(Exchange(self._network, server, until, lambda left_us: message, done, is_probe=True))
+        self._start(Exchange(self._network, server, until, lambda _left_us: message, done, is_probe=True))
 
-    def _start(self, call: Exchange) -> None:
-        server = self._servers.get(call.server)
-        left_us = call.until - self._network.now()
+    def _start(self, exchange: Exchange) -> None:
+        server = self._servers.get(exchange.server)
+        left_us = exchange.until - self._network.now()
         if server is None or server.is_leaving or left_us <= 0:
-            self._network.call_soon(self._end, call, Outcome.NOT_SENT)
+            self._network.call_soon(self._end, exchange, Outcome.NOT_SENT)
             return
-        if call.write_by is not None:
-            left_us = min(left_us, max(call.write_by - self._network.now(), 0))
-        call.timer = self._network.call_later(left_us / 1e6, self._expire, call)
+        if exchange.write_by is not None:
+            left_us = min(left_us, max(exchange.write_by - self._network.now(), 0))
+        exchange.timer = self._network.call_later(left_us / 1e6, self._expire, exchange)
         connection = self._take(server)
         if connection is not None:
-            self._write_if_allowed(call, server, connection)
+            self._write_if_allowed(exchange, server, connection)
         elif self._has_room():
             self._dialling += 1
-            task = self._network.spawn(self._dial_or_end(call, server))
+            task = self._network.spawn(self._dial_or_end(exchange, server))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         else:
-            self._network.call_soon(self._end, call, Outcome.NOT_SENT)
+            self._network.call_soon(self._end, exchange, Outcome.NOT_SENT)
 
-    def set_deadline(self, call: Exchange, until: int) -> None:
+    def set_deadline(self, exchange: Exchange, until: int) -> None:
         """Give it up at another time."""
-        call.until = until
-        if call.timer is not None and not call.ended:
-            call.timer.cancel()
+        exchange.until = until
+        if exchange.timer is not None and not exchange.has_ended:
+            exchange.timer.cancel()
             left_us = max(until - self._network.now(), 0)
-            call.timer = self._network.call_later(left_us / 1e6, self._expire, call)
+            exchange.timer = self._network.call_later(left_us / 1e6, self._expire, exchange)
 
-    def cancel(self, call: Exchange) -> None:
+    def cancel(self, exchange: Exchange) -> None:
         """Stop waiting; the outcome follows."""
-        self._drop(call, Outcome.CANCELLED)
+        self._drop(exchange, Outcome.CANCELLED)
 
-    def withdraw(self, call: Exchange) -> None:
+    def withdraw(self, exchange: Exchange) -> None:
         """Write nothing for it that is not written yet."""
-        if call.is_unwritten:
-            self._drop(call, Outcome.NOT_SENT)
+        if exchange.is_unwritten:
+            self._drop(exchange, Outcome.NOT_SENT)
 
-    def _drop(self, call: Exchange, outcome: Outcome) -> None:
-        if call.ended:
+    def _drop(self, exchange: Exchange, outcome: Outcome) -> None:
+        if exchange.has_ended:
             return
-        call.ended = True  # from here on nothing is written for it, also when a dial comes up
-        if call.timer is not None:
-            call.timer.cancel()
-        if call.connection is not None:
-            call.connection.close()
-        self._network.call_soon(call.done, outcome, None, None)
+        exchange.has_ended = True  # from here on nothing is written for it, also when a dial comes up
+        if exchange.timer is not None:
+            exchange.timer.cancel()
+        if exchange.connection is not None:
+            exchange.connection.close()
+        self._network.call_soon(exchange.done, outcome, None, None)
 
     def close_all_idle(self) -> None:
         """Close every connection at rest."""
@@ -244,11 +257,13 @@
             self._close_idle(server)
 
     def close_idle(self, name: str) -> None:
+        """Close the idle connections to a server."""
         server = self._servers.get(name)
         if server is not None:
             self._close_idle(server)
 
     def close(self) -> None:
+        """Close every connection; what is out ends as broken."""
         for task in self._tasks:
             task.cancel()
         if self._sweep is not None:
@@ -256,104 +271,102 @@
         for connection in list(self._owners):
             connection.close()
 
-    def _expire(self, call: Exchange) -> None:
-        outcome = (
-            Outcome.CONNECT_FAILED if call.is_unwritten else Outcome.TIMED_OUT
-        )  # unwritten, it never ran
-        left_us = call.until - self._network.now()
-        if call.write_by is not None and left_us > 0:
-            if not call.is_unwritten:
-                call.timer = self._network.call_later(left_us / 1e6, self._expire, call)
+    def _expire(self, exchange: Exchange) -> None:
+        # What was not written completely never ran.
+        outcome = Outcome.CONNECT_FAILED if exchange.is_unwritten else Outcome.TIMED_OUT
+        left_us = exchange.until - self._network.now()
+        if exchange.write_by is not None and left_us > 0:
+            if not exchange.is_unwritten:
+                exchange.timer = self._network.call_later(left_us / 1e6, self._expire, exchange)
                 return
             outcome = Outcome.NOT_SENT  # its time to be written is over, which is no fault of the server
-        if call.connection is not None:
-            call.connection.close()
-        self._end(call, outcome)
+        if exchange.connection is not None:
+            exchange.connection.close()
+        self._end(exchange, outcome)
 
-    def _end(self, call: Exchange, outcome: Outcome, response: Response | None = None) -> None:
-        if call.ended:
+    def _end(self, exchange: Exchange, outcome: Outcome, response: Response | None = None) -> None:
+        if exchange.has_ended:
             return
-        call.ended = True
-        if call.timer is not None:
-            call.timer.cancel()
+        exchange.has_ended = True
+        if exchange.timer is not None:
+            exchange.timer.cancel()
         if response is None:
-            call.done(outcome, None, None)
+            exchange.done(outcome, None, None)
         else:
-            in_body = call.is_probe and self._probes_for_load
-            call.done(outcome, response, load_report(response, self._columns, in_body=in_body))
+            in_body = exchange.is_probe and self._probes_for_load
+            exchange.done(outcome, response, load_report(response, self._columns, in_body=in_body))
 
-    def _write(self, call: Exchange, connection: ClientConnection) -> None:
+    def _write(self, exchange: Exchange, connection: ClientConnection) -> None:
         def ended(how: Response | Failure) -> None:
-            self._end(call, _outcome(how), how if isinstance(how, Response) else None)
-
-        call.connection = connection
-        message = call.message(max(call.until - self._network.now(), 1_000))
-        if call.is_probe:
-            connection.exchange(
-                message, ended, most_body=MOST_KEPT
-            )  # its answer is kept: nobody waits for it
+            self._end(exchange, _outcome(how), how if isinstance(how, Response) else None)
+
+        exchange.connection = connection
+        message = exchange.message(max(exchange.until - self._network.now(), 1_000))
+        if exchange.is_probe:
+            connection.exchange(message, ended, most_body=MOST_KEPT)  # kept: nobody waits for its answer
         else:
-            connection.exchange(message, ended, self._count_try, call.begun if call.begin else None)
+            begin = exchange.begin_answer if exchange.begin else None
+            connection.exchange(message, ended, self._count_attempt, begin)
 
-    def _count_try(self) -> None:
+    def _count_attempt(self) -> None:
         self.tries += 1
 
     # Connections
 
-    async def _dial_or_end(self, call: Exchange, server: _Server) -> None:
+    async def _dial_or_end(self, exchange: Exchange, server: _Server) -> None:
         """Guards against an attempt that never ends: a defect in its dial fails it, and is told."""
         try:
-            await self._dial(call, server)
+            await self._dial(exchange, server)
         except Exception:
-            self._end(call, Outcome.CONNECT_FAILED)
+            self._end(exchange, Outcome.CONNECT_FAILED)
             raise
 
-    async def _dial(self, call: Exchange, server: _Server) -> None:
+    async def _dial(self, exchange: Exchange, server: _Server) -> None:
         outcome = Outcome.CONNECT_FAILED
         connection: ClientConnection | None = None
         try:
-            async with self._network.timeout(self._dial_within_s):
+            async with self._network.timeout(self._dial_timeout_s):
                 connection = await self._network.dial(
                     lambda: ClientConnection(
-                        self._network, MOST_BODY, self._freed, self._closed, budget=self._budget
+                        self._network, MOST_BODY, self._release, self._closed, budget=self._budget
                     ),
                     server.address,
                 )
         except (OSError, TimeoutError) as fault:
             if isinstance(fault, ConnectionRefusedError):
                 outcome = Outcome.CONNECTION_REFUSED
-            elif isinstance(fault, OSError) and fault.errno in _OWN_FAULTS:
+            elif isinstance(fault, OSError) and fault.errno in _LOCAL_ERRORS:
                 outcome = Outcome.NOT_SENT
         finally:
             self._dialling -= 1
         if connection is None:
-            self._end(call, outcome)
+            self._end(exchange, outcome)
             return
         self._owners[connection] = server
-        if call.check_client is not None and not call.ended:
-            call.check_client()
-        self._write_if_allowed(call, server, connection)
+        if exchange.check_client is not None and not exchange.has_ended:
+            exchange.check_client()
+        self._write_if_allowed(exchange, server, connection)
 
-    def _write_if_allowed(self, call: Exchange, server: _Server, connection: ClientConnection) -> None:
+    def _write_if_allowed(self, exchange: Exchange, server: _Server, connection: ClientConnection) -> None:
         """Ask the gate and write, in one step; what may not be written ends, its connection is kept."""
         denial = send_denial(
             self._network.now(),
-            until=call.until,
-            write_by=call.write_by,
-            is_called_off=call.ended,
+            until=exchange.until,
+            write_by=exchange.write_by,
+            is_called_off=exchange.has_ended,
             is_server_leaving=server.is_leaving,
             is_connection_usable=connection.is_usable(),
         )
         if denial is None:
-            self._write(call, connection)
+            self._write(exchange, connection)
             return
         self.denials[denial] += 1
         if denial is SendDenial.CONNECTION_ENDED:
             connection.close()
-            self._network.call_soon(self._end, call, Outcome.CONNECT_FAILED)
+            self._network.call_soon(self._end, exchange, Outcome.CONNECT_FAILED)
         else:
-            self._freed(connection)  # it is good; one to a server that leaves is closed
-            self._network.call_soon(self._end, call, Outcome.NOT_SENT)
+            self._release(connection)  # it is good; one to a server that leaves is closed
+            self._network.call_soon(self._end, exchange, Outcome.NOT_SENT)
 
     def _has_room(self) -> bool:
         """Whether one more connection may be opened, at the price of the one that is idle for longest."""
@@ -381,30 +394,30 @@
         now = self._network.now()
         rested = now - self._reuse.rest_us(now)
         for idle in [each for each in reversed(server.idle) if each.since <= rested]:
-            if now - idle.since < self._use_within_us and idle.connection.is_usable():  # else it is closed
+            if now - idle.since < self._idle_limit_us and idle.connection.is_usable():  # else it is closed
                 server.idle.remove(idle)
                 return idle.connection
             idle.connection.close()  # and so it is idle no more
         return None
 
-    def _freed(self, connection: ClientConnection) -> None:
+    def _release(self, connection: ClientConnection) -> None:
         server = self._owners.get(connection)
         if server is None or server.is_leaving:
             connection.close()
             return
         server.idle.append(_Idle(connection, self._network.now()))
         if self._sweep is None:
-            self._sweep = self._network.call_later(self._use_within_us / 4e6, self._close_old)
+            self._sweep = self._network.call_later(self._idle_limit_us / 4e6, self._close_expired)
 
-    def _close_old(self) -> None:
+    def _close_expired(self) -> None:
         """Close what has been idle for nearly as long as servers allow."""
         self._sweep = None
-        before = self._network.now() - self._use_within_us
+        before = self._network.now() - self._idle_limit_us
         for server in self._servers.values():
             while server.idle and server.idle[0].since <= before:
                 server.idle.pop(0).connection.close()
         if any(server.idle for server in self._servers.values()):
-            self._sweep = self._network.call_later(self._use_within_us / 4e6, self._close_old)
+            self._sweep = self._network.call_later(self._idle_limit_us / 4e6, self._close_expired)
 
     def _closed(self, connection: ClientConnection) -> None:
         server = self._owners.pop(connection, None)
@@ -450,12 +463,12 @@
         return None
     report: dict[str, float] = {}
     for pair in text.decode("latin-1").removeprefix("TEXT ").split(","):
-        name, _, figure = pair.partition("=")
+        name, _, value_text = pair.partition("=")
         if name.strip() in columns:
             try:
-                value = float(figure)
+                value = float(value_text)
             except ValueError:
                 continue
-            if 0.0 <= value <= _LARGEST_FIGURE:  # and a number
+            if 0.0 <= value <= _MAX_REPORT_VALUE:  # and a number
                 report[name.strip()] = value
     return report or None
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -12,7 +12,8 @@
 from micadeck.config import Config
 from micadeck.engine import Engine
 from micadeck.http.body_stream import BufferBudget
-from micadeck.http.listener import DownstreamLimits, HttpListener
+from micadeck.http.connection_limits import DownstreamLimits
+from micadeck.http.listener import HttpListener
 from micadeck.http.upstream import ConnectionPool
 from micadeck.membership.discovery_watcher import DiscoveryWatcher
 from micadeck.memory.budget import MemoryBudget, MemoryUse, PressureLevel
@@ -282,9 +283,9 @@
         if self._core.sources is not None:
             # A list of thousands comes after the start: a collection that looks at all of it takes 50 ms.
             self._core.sources.settle = gc.freeze
-        client_limits = client_limits or DownstreamLimits(most_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
+        client_limits = client_limits or DownstreamLimits(max_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
         self.frontend = HttpListener(config.settings, client_limits, self._engine, network, self._core.budget)
-        self.frontend.most = self._core.for_clients
+        self.frontend.connections.max_connections = self._core.for_clients
         self.frontend.on_settings = self._core.retune
         self._engine.memory = self._core.memory  # a host's own memory is not this library's to ration
         self._core.memory.on_stage = self._relieve_soon
@@ -359,7 +360,7 @@
         """Take over what a new configuration may change in a running sidecar; name what it may not."""
         self._core.reload(config, self.frontend.announce)
         self._loads += 1
-        self.frontend.most = self._core.for_clients
+        self.frontend.connections.max_connections = self._core.for_clients
         if self.mysql is not None and config.mysql is not None:
             self.mysql.reload(config.mysql)
 
@@ -378,8 +379,8 @@
             self._ids.close(keeps_file=ids is not None)
         self._ids = ids
         self._core.beside(self._beside.others)
-        self.frontend.most = self._core.for_clients
-        self.frontend.trim()
+        self.frontend.connections.max_connections = self._core.for_clients
+        self.frontend.connections.trim()
 
     def turned_down(self) -> None:
         """Count a configuration that can't be used."""
@@ -394,7 +395,7 @@
 
     def count_memory(self) -> None:
         """Book what is not counted with each message."""
-        self.memory.set(MemoryUse.UNSENT, self.frontend.unsent_bytes)
+        self.memory.set(MemoryUse.UNSENT, self.frontend.connections.unsent_bytes)
         self.memory.set(MemoryUse.BODIES, self._core.budget.held)
 
     def _relieve_soon(self, stage: PressureLevel) -> None:
@@ -405,15 +406,13 @@
             self._network.call_soon(self._relieve)
 
     def _relieve(self) -> None:
-        """Free what may be freed, for as long as memory is short: nothing that is owed an answer.
-
-        A part at a time: what is resident is only seen to shrink a moment later.
-        """
-        for _ in range(self.frontend.half_sent // _GIVEN_UP_AT_ONCE + 1):
-            if self.memory.stage < PressureLevel.GIVE_UP or not self.frontend.give_up_oldest():
+        """Free a part of what no answer is due to, again and again while memory is short."""
+        connections = self.frontend.connections
+        for _ in range(connections.partial_requests // _GIVEN_UP_AT_ONCE + 1):
+            if self.memory.stage < PressureLevel.GIVE_UP or not connections.reject_oldest_partial():
                 break
         if self.memory.stage >= PressureLevel.CLOSE_IDLE:
-            self.frontend.close_idle()
+            connections.close_idle()
             self._core.upstream.close_all_idle()
         self._is_relieving = self.memory.stage >= PressureLevel.GIVE_UP
         if self._is_relieving:
@@ -434,7 +433,7 @@
     def figures(self) -> bytes:
         engine = self._engine
         counts = RuntimeStatistics(
-            in_progress=engine.in_progress + self.frontend.tails,
+            in_progress=engine.in_progress + self.frontend.connections.trailing_answers,
             known_servers=engine.known_servers,
             skipped_servers=engine.skipped_servers,
             tries=self._core.upstream.tries,
@@ -478,9 +477,9 @@
         while self.life.is_leaving:
             what = self.life.lets_go(self._network.time())
             if what is ConnectionsToClose.IDLE:
-                self.frontend.close_idle()
+                self.frontend.connections.close_idle()
             elif what is ConnectionsToClose.RESTING:
-                self.frontend.close_resting()
+                self.frontend.connections.close_unowed()
             await self._network.sleep(_LOOK_AGAIN_S)
 
     # The end
@@ -502,7 +501,7 @@
         second = network.spawn(self.mysql.drain(left_s)) if self.mysql is not None else None
         await network.sleep(max(began + _NEW_FOR_S - network.time(), 0.0))
         closes_by = min(began + KILLED_AFTER_S, until)
-        while network.time() < min(frontend.last_opened + _QUIET_S, closes_by):
+        while network.time() < min(frontend.connections.last_opened_at + _QUIET_S, closes_by):
             await network.sleep(_QUIET_S / 2)
         frontend.stop_listening()
         while self._is_needed() and network.time() < until:
@@ -510,15 +509,15 @@
         engine.fail_open_requests()
         if second is not None:
             await second
-        frontend.close_all()
-        while frontend.open_connections and network.time() < until + FLUSH_S:
+        frontend.connections.close_all()
+        while len(frontend.connections) and network.time() < until + FLUSH_S:
             await network.sleep(_LOOK_AGAIN_S)  # until clients have their last answers, and ended their side
         self.close()
 
     def _is_needed(self) -> bool:
         """Whether an answer is owed, or a client may still send a request that would be."""
         frontend = self.frontend
-        return bool(self._engine.owed_answers or frontend.open_connections or frontend.is_accepting)
+        return bool(self._engine.owed_answers or len(frontend.connections) or frontend.is_accepting)
 
     def close(self) -> None:
         for task in (self._leaving, self._watching):
--- a/tests/broken_builds.py
+++ b/tests/broken_builds.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from micadeck.engine import Engine
-from micadeck.http import listener
+from micadeck.http import downstream_connection
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import Response
 from micadeck.http.upstream import ConnectionPool
@@ -26,7 +26,7 @@
 
 
 def _answers_twice() -> contextlib.AbstractContextManager[Any]:
-    answer = listener.DownstreamConnection.answer
+    answer = downstream_connection.DownstreamConnection.answer
 
     def twice(self: Any, status: int, headers: Any, body: bytes) -> None:
         transport = self._transport
@@ -34,12 +34,14 @@
         if status == 502 and transport is not None:
             transport.write(b"HTTP/1.1 502 Again\r\nContent-Length: 0\r\n\r\n")
 
-    return mock.patch.object(listener.DownstreamConnection, "answer", twice)
+    return mock.patch.object(downstream_connection.DownstreamConnection, "answer", twice)
 
 
 def _forgets_answers() -> contextlib.AbstractContextManager[Any]:
     """A failure is never told."""
-    return mock.patch.object(listener.DownstreamConnection, "failed", lambda self, cause, may_have_run: None)
+    return mock.patch.object(
+        downstream_connection.DownstreamConnection, "failed", lambda self, cause, may_have_run: None
+    )
 
 
 def _drops_are_unsent() -> contextlib.AbstractContextManager[Any]:
@@ -177,7 +179,7 @@
     def again(self: Any) -> None:
         self._network.call_soon(again, self)
 
-    return mock.patch.object(ConnectionPool, "_close_old", again)
+    return mock.patch.object(ConnectionPool, "_close_expired", again)
 
 
 def waits_long() -> contextlib.AbstractContextManager[Any]:
@@ -209,7 +211,7 @@
         {"no leak"},
     ),
     "connections at rest are never closed": (
-        _in_place(ConnectionPool, "_close_old", lambda self: None),
+        _in_place(ConnectionPool, "_close_expired", lambda self: None),
         {"no leak"},
     ),
     "ejected servers stay out": (_ejects_for_good, {"service returns"}),
--- a/tests/embedding_parity.py
+++ b/tests/embedding_parity.py
@@ -16,8 +16,8 @@
 
 from micadeck.asgi import MicadeckMiddleware
 from micadeck.config import Config
+from micadeck.http.connection_limits import DownstreamLimits
 from micadeck.http.h1 import Request, RequestReader
-from micadeck.http.listener import DownstreamLimits
 from micadeck.library import Micadeck
 from micadeck.network import LoopNetwork
 from micadeck.sidecar import Sidecar
@@ -117,10 +117,14 @@
             client.close()
 
 
-class _NoFrontend:
+class _NoConnections:
     """What the daemon has of its clients' connections; here to set their number does nothing."""
 
-    most = 0
+    max_connections = 0
+
+
+class _NoFrontend:
+    connections = _NoConnections()
 
 
 class _Facade:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from micadeck.config import parse
-from micadeck.http.listener import DownstreamLimits
+from micadeck.http.connection_limits import DownstreamLimits
 from micadeck.http.reuse_delay import LEAST_REST_US
 from micadeck.stand_ins.consul import NODE, StandInConsul, State
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -14,8 +14,8 @@
 from loopback import HOST, PATIENCE_S, Client, Stage, played, read_head, request, rested, soon, stage, until
 
 from micadeck.http.body_stream import MOST_KEPT, BodyStream, BufferBudget
+from micadeck.http.connection_limits import DownstreamLimits
 from micadeck.http.h1 import Request, RequestReader, Response, ResponseReader
-from micadeck.http.listener import DownstreamLimits
 
 LARGE = 4 << 20
 DOOR = {"operator": f"{HOST}:0"}
@@ -601,9 +601,9 @@
     given = {**DOOR, "limits": {"sockets": 80, "memory_mb": 16}}
     async with beside(answers(b"ok"), given) as (_, scene):
         frontend = scene.sidecar.frontend
-        for _ in range(frontend.most):
+        for _ in range(frontend.connections.max_connections):
             client = await scene.client()
             client.send(request("lodge", body=content(LARGE))[:100_000])
-        await until(lambda: scene.sidecar.open_requests == frontend.most)
+        await until(lambda: scene.sidecar.open_requests == frontend.connections.max_connections)
         assert (await scene.ask("check")).status in (200, 503)  # the servers' side may be full of them
-        assert frontend.open_connections <= frontend.most
+        assert len(frontend.connections) <= frontend.connections.max_connections
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -22,8 +22,8 @@
 ROOT = Path(__file__).parent.parent
 _OTHER = """
 import sys
-from micadeck.operations import Beside
-beside = Beside(sys.argv[1], sys.argv[2])
+from micadeck.operations import HotRestart
+beside = HotRestart(sys.argv[1], sys.argv[2])
 beside.enter()
 print("there", flush=True)
 sys.stdin.read()
@@ -114,7 +114,7 @@
             sidecar._share()
             assert core.for_clients + core.upstream.most == 256 // 2 - _RESERVED
             assert core.budget.most == 32 * (1 << 20) // 8
-            await until(lambda: sidecar.frontend.open_connections <= core.for_clients)
+            await until(lambda: len(sidecar.frontend.connections) <= core.for_clients)
         assert beside.look()
         sidecar._share()
         assert core.for_clients + core.upstream.most == whole
--- a/tests/test_message_races.py
+++ b/tests/test_message_races.py
@@ -32,7 +32,8 @@
     until,
 )
 
-from micadeck.http.listener import DownstreamConnection, DownstreamLimits
+from micadeck.http.connection_limits import DownstreamLimits
+from micadeck.http.downstream_connection import DownstreamConnection
 from micadeck.signals import ProcessSignals
 
 
@@ -47,7 +48,7 @@
     client.setblocking(False)
     assert (await soon(asyncio.get_running_loop().sock_recv(client, 65_536))).startswith(b"HTTP/1.1 200")
     client.setblocking(True)
-    (side,) = scene.sidecar.frontend.connections()
+    (side,) = scene.sidecar.frontend.connections
     assert isinstance(side, DownstreamConnection) and side.is_idle
     return side
 
@@ -72,7 +73,7 @@
                 reset(client) if how == "resets" else client.close()
                 async with asyncio.timeout(1.5):  # its own time would end it only after 4 s
                     await until(lambda: scene.sidecar.open_requests == 0)
-            assert scene.sidecar.frontend.open_connections == 0
+            assert len(scene.sidecar.frontend.connections) == 0
             accepted = await slow.let_go()
             scene.sidecar.close()
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
@@ -150,7 +151,7 @@
                 client.sendall(request("lodge"))  # after the look, before the close
                 side.close()
                 assert await rest_of(client) == b""
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: len(scene.sidecar.frontend.connections) == 0)
             assert len(scene.heard) == 1
 
     play(work)
@@ -168,7 +169,7 @@
                 scene.sidecar._engine.fail_open_requests()  # its answer is written, its connection closed
                 answer = await rest_of(client)
             assert answer.startswith(b"HTTP/1.1 504") and b"connection: close" in answer
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: len(scene.sidecar.frontend.connections) == 0)
             assert len(scene.heard) == 1
 
     play(work)
@@ -184,7 +185,7 @@
                 client.connect((HOST, scene.sidecar.frontend.port))
                 scene.sidecar.frontend.is_draining = True
                 client.sendall(request("lodge"))
-                await until(lambda: any(not each.is_idle for each in scene.sidecar.frontend.connections()))
+                await until(lambda: any(not each.is_idle for each in scene.sidecar.frontend.connections))
                 await until(lambda: scene.sidecar.open_requests == 0)
                 await asyncio.sleep(0.8)  # it takes nothing for longer than a client is waited for otherwise
                 assert (await rest_of(client)).endswith(body)
@@ -205,7 +206,7 @@
                 client.connect((HOST, scene.sidecar.frontend.port))
                 client.sendall(request("lodge"))
                 await until(lambda: scene.sidecar.open_requests == 1)
-                (side,) = scene.sidecar.frontend.connections()
+                (side,) = scene.sidecar.frontend.connections
                 await until(lambda: side.has_unsent)
                 await soon(scene.sidecar.stop(loop.time() - 100.0))
                 came = 0
@@ -226,7 +227,7 @@
                 (await at_rest(scene, client)).close()
                 assert await rest_of(client) == b""
                 async with asyncio.timeout(3.0):
-                    await until(lambda: scene.sidecar.frontend.open_connections == 0)
+                    await until(lambda: len(scene.sidecar.frontend.connections) == 0)
 
     play(work)
 
--- a/tests/test_room_for_clients.py
+++ b/tests/test_room_for_clients.py
@@ -9,7 +9,8 @@
 import pytest
 from loopback import OK, Heard, played, raw_client, request, rest_of, stage, until
 
-from micadeck.http.listener import DownstreamConnection, State
+from micadeck.http.connection_limits import ConnectionState
+from micadeck.http.downstream_connection import DownstreamConnection
 
 
 @pytest.mark.parametrize("ends", ["client says close", "draining"])
@@ -19,7 +20,7 @@
 
     def answer_and_make_room(self: DownstreamConnection, *given: Any) -> None:
         real(self, *given)
-        self._frontend._make_room()  # one more client connects in this round of the event loop
+        self._table._make_room()  # type: ignore[attr-defined]  # one more client connects in this round of the event loop
 
     async with stage(OK) as scene:
         scene.sidecar.frontend.is_draining = ends == "draining"
@@ -40,14 +41,17 @@
 
     async with stage(answer) as scene:
         frontend = scene.sidecar.frontend
-        moved = frontend.moved
+        moved = frontend.connections.move
 
-        def make_room_as_it_moves(connection: DownstreamConnection, state: State) -> None:
+        def make_room_as_it_moves(connection: DownstreamConnection, state: ConnectionState) -> None:
             moved(connection, state)
-            if state is State.READING and connection._reader.requests:
-                frontend._make_room()
+            if state is ConnectionState.READING and connection._reader.requests:
+                frontend.connections._make_room()
 
-        with mock.patch.object(frontend, "moved", make_room_as_it_moves), raw_client(scene) as client:
+        with (
+            mock.patch.object(frontend.connections, "move", make_room_as_it_moves),
+            raw_client(scene) as client,
+        ):
             client.sendall(request("lodge") + request("lodge"))
             client.setblocking(False)
             came = b""
@@ -63,14 +67,16 @@
 async def test_a_client_that_has_just_connected_goes_before_requests_that_never_end() -> None:
     async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
         frontend = scene.sidecar.frontend
-        dripping = [await scene.client() for _ in range(frontend.most)]
+        dripping = [await scene.client() for _ in range(frontend.connections.max_connections)]
         for each in dripping:
             each.send(request("lodge")[:-2])
-        await until(lambda: frontend.half_sent == frontend.most)
+        await until(lambda: frontend.connections.partial_requests == frontend.connections.max_connections)
         asking = await scene.client()
-        await until(lambda: frontend.half_sent == frontend.most - 1)
-        others = [await scene.client() for _ in range(frontend.most - 1)]  # and more of them come
-        await until(lambda: frontend.half_sent == 0)
+        await until(lambda: frontend.connections.partial_requests == frontend.connections.max_connections - 1)
+        others = [
+            await scene.client() for _ in range(frontend.connections.max_connections - 1)
+        ]  # and more of them come
+        await until(lambda: frontend.connections.partial_requests == 0)
         asking.send(request("lodge"))
         assert (await asking.answer()).status == 200
         for each in others:
