--- a/micadeck/http/framing.py
+++ b/micadeck/http/framing.py
@@ -17,9 +17,9 @@
 class FramingCount:
     """Counts bytes that were read in a row and brought a message no further.
 
-    `has_progressed` is set by whoever sees a message begin or end, or a part of a body, in this read: it is an
-    attribute, since that is several times for each message.  Guards against a peer that sends many messages
-    ahead: those before the current one are no part of it.
+    `has_progressed` is set by whoever sees a message begin or end, or a part of a body, in this read.  It is
+    an attribute, since that is several times for each message.  Guards against a peer that sends many
+    messages ahead: those before the current one are no part of it.
     """
 
     __slots__ = ("has_progressed", "pending")
--- a/micadeck/http/idle_connections.py
+++ b/micadeck/http/idle_connections.py
@@ -1,9 +1,9 @@
 """Idle connections of clients: how many are kept, and for how long.  No input or output.
 
 An idle connection is useful while its client uses it again, and takes a place from a new one otherwise.
-Reuse is observed: a connection that sent a second request is kept as long as there is room.  Those that sent one
-request share a part of the room that follows how many are used again.  Closing early would hide whether they
-are, so a few are samples: they are left alone, and only they are counted.
+Reuse is observed: a connection that sent a second request is kept as long as there is room.  Those that sent
+one request share a part of the room that follows how many are used again.  Closing early would hide whether
+they are, so a few are samples: they are left alone, and only they are counted.
 """
 
 from __future__ import annotations
