--- a/micadeck/fleet/__init__.py
+++ b/micadeck/fleet/__init__.py
@@ -4,12 +4,12 @@
 number of members asks `Fleet.count`, which is an interval, and `Fleet.settled`.
 """
 
-from micadeck.fleet.claims import Claim, Facts, State
-from micadeck.fleet.core import Changed, Fleet, Output
-from micadeck.fleet.encryption import Dropped, Keys, Seal
+from micadeck.fleet.authentication import Dropped, Keys, Seal
+from micadeck.fleet.member import Changed, Fleet, Output
+from micadeck.fleet.member_records import Claim, Facts, State
+from micadeck.fleet.member_table import Count, View
 from micadeck.fleet.messages import Rumour
 from micadeck.fleet.settings import FleetSettings
-from micadeck.fleet.view import Count, View
 
 __all__ = [
     "Changed",
--- a/micadeck/fleet/compare.py
+++ b/micadeck/fleet/anti_entropy.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from micadeck.fleet.claims import Claim
+from micadeck.fleet.member_records import Claim
+from micadeck.fleet.member_table import LEVELS, View
 from micadeck.fleet.messages import Branches, Leaf, Path, size
-from micadeck.fleet.view import LEVELS, View
 
 _MOST = 16  # datagrams in a period; what is over waits for the next
 _SMALL = 6  # members: a branch with so few is told whole
--- a/micadeck/fleet/encryption.py
+++ b/micadeck/fleet/authentication.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from micadeck.fleet.claims import Name, Whole
+from micadeck.fleet.member_records import Name, Whole
 
 VERSION = 1
 MOST_BYTES = 256
--- a/micadeck/fleet/config.py
+++ b/micadeck/fleet/config.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from micadeck.errors import MicadeckError
-from micadeck.fleet.claims import MOST_NAME, Name
-from micadeck.fleet.encryption import Keys
+from micadeck.fleet.authentication import Keys
+from micadeck.fleet.member_records import MOST_NAME, Name
 from micadeck.fleet.settings import FleetSettings
 from micadeck.network import Address, parse_address
 
--- a/micadeck/fleet/host.py
+++ b/micadeck/fleet/host.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from micadeck.engine import EndpointUpdate
-from micadeck.fleet.claims import Facts, State
 from micadeck.fleet.config import FleetConfig
-from micadeck.fleet.core import Changed, Fleet, Output
+from micadeck.fleet.member import Changed, Fleet, Output
+from micadeck.fleet.member_records import Facts, State
 from micadeck.fleet.messages import Rumour
 from micadeck.network import Address, Network, Timer
 from micadeck.peer_datagrams import PeerDatagrams
--- a/micadeck/fleet/core.py
+++ b/micadeck/fleet/member.py
@@ -16,10 +16,11 @@
 
 import msgspec
 
-from micadeck.fleet.claims import Claim, Facts, State
-from micadeck.fleet.compare import Comparison
-from micadeck.fleet.encryption import Keys, Seal
-from micadeck.fleet.gossip import Gossip
+from micadeck.fleet.anti_entropy import Comparison
+from micadeck.fleet.authentication import Keys, Seal
+from micadeck.fleet.broadcast_queue import Gossip
+from micadeck.fleet.member_records import Claim, Facts, State
+from micadeck.fleet.member_table import Count, View
 from micadeck.fleet.messages import (
     Ack,
     Ask,
@@ -34,7 +35,6 @@
     size,
 )
 from micadeck.fleet.settings import FleetSettings
-from micadeck.fleet.view import Count, View
 from micadeck.network import Address
 
 _HEARD_PERIODS = 6  # whom an answer came from in these counts as heard
--- a/micadeck/fleet/view.py
+++ b/micadeck/fleet/member_table.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from micadeck.fleet.claims import Claim, State
+from micadeck.fleet.member_records import Claim, State
 
 BRANCHES = 16
 LEVELS = 2  # of branches below the whole: 256 leaves
--- a/micadeck/fleet/messages.py
+++ b/micadeck/fleet/messages.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from micadeck.fleet.claims import Claim, Host, Name, Port, Whole
-from micadeck.fleet.view import BRANCHES, LEVELS
+from micadeck.fleet.member_records import Claim, Host, Name, Port, Whole
+from micadeck.fleet.member_table import BRANCHES, LEVELS
 
 
 class Rumour(msgspec.Struct, frozen=True, array_like=True, tag=1):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 from fleet_stage import KEYS, MS, WALL, FleetStage, S
 
 from micadeck.fleet import Changed, Claim, Dropped, Facts, Keys, Rumour, Seal, State, View
-from micadeck.fleet.gossip import Gossip
+from micadeck.fleet.broadcast_queue import Gossip
 from micadeck.fleet.messages import Ping
 from micadeck.fleet.settings import FleetSettings
 
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -14,8 +14,8 @@
 from micadeck import errors
 from micadeck.config import ConfigError, parse
 from micadeck.engine import EndpointEntry, EndpointUpdate
+from micadeck.fleet.authentication import Keys, Seal
 from micadeck.fleet.config import FleetConfig, FleetConfigError, load
-from micadeck.fleet.encryption import Keys, Seal
 from micadeck.fleet.host import FleetHost
 from micadeck.fleet.messages import Ask
 from micadeck.fleet.settings import FleetSettings
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -17,10 +17,10 @@
 from stored_values import by_position, peer_exchange
 
 from micadeck.cli import main
-from micadeck.fleet.claims import Claim
-from micadeck.fleet.encryption import Keys, Seal
+from micadeck.fleet.authentication import Keys, Seal
+from micadeck.fleet.member_records import Claim
+from micadeck.fleet.member_table import View
 from micadeck.fleet.messages import Message
-from micadeck.fleet.view import View
 from micadeck.incidents.frames import MARK, Encoder, read
 from micadeck.peer_datagrams import PeerDatagrams
 from micadeck.traces.format import KINDS, decode, encode
