--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -18,7 +18,7 @@
 from micadeck.library import answer as answers
 from micadeck.library.answer import Answer
 from micadeck.library.background_loop import BackgroundLoop, NotStartedError
-from micadeck.library.loglines import LogLines
+from micadeck.library.log_forwarder import LogLines
 from micadeck.library.loop_inbox import LoopInbox
 from micadeck.library.request_validation import Malformed, Reader, Wanted, read_wanted
 
