--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -28,7 +28,7 @@
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import MOST_BODY, Request, Response
 from micadeck.httpx import AsyncMicadeckTransport
-from micadeck.library.request_validation import Wanted, worded
+from micadeck.library.request_validation import RequestOptions, to_http
 from micadeck.network import LoopNetwork
 
 Ask = Callable[[], Awaitable[None]]
@@ -89,7 +89,7 @@
                 held[:] = [await network.dial(made, (rig.HOST, port))]
             connection = held.pop()
             done: asyncio.Future[Response | Failure] = asyncio.get_running_loop().create_future()
-            method, target, headers = worded(kind, Wanted("/api/7"))
+            method, target, headers = to_http(kind, RequestOptions("/api/7"))
             connection.exchange(Request(method, target, headers), done.set_result)
             how = await done
             if not isinstance(how, Response) or how.status != 200:
--- a/micadeck/fleet/broadcast_queue.py
+++ b/micadeck/fleet/broadcast_queue.py
@@ -48,7 +48,7 @@
         """
         self._broadcasts[subject] = _Broadcast(update, expires_at, urgent)
         if len(self._broadcasts) > _MAX_UPDATES:
-            self._remove_most_transmitted()
+            self._remove_one()
 
     def select(
         self, now: int, max_bytes: int, transmit_limit: int, exclude: Container[str] = ()
@@ -81,6 +81,7 @@
                 break
         return selected
 
-    def _remove_most_transmitted(self) -> None:
+    def _remove_one(self) -> None:
+        """Remove the update with the highest number of transmissions."""
         subject = max(self._broadcasts, key=lambda each: self._broadcasts[each].transmissions)
         del self._broadcasts[subject]
--- a/micadeck/fleet/failure_detector.py
+++ b/micadeck/fleet/failure_detector.py
@@ -95,8 +95,8 @@
             return
         probe.is_missed = True
         target = probe.target
-        others = [name for name in self.table.live_names(exclude=self.local.name) if name != target.name]
-        for name in self.rng.sample(others, min(self.settings.indirect_probes, len(others))):
+        helpers = [name for name in self.table.live_names(exclude=self.local.name) if name != target.name]
+        for name in self.rng.sample(helpers, min(self.settings.indirect_probes, len(helpers))):
             probe.requests += 1
             request = PingRequest(probe.sequence, target.name, target.host, target.port, self.table.digest)
             self.outbox.send(self.address_of(name), request)
--- a/micadeck/fleet/fleet_member.py
+++ b/micadeck/fleet/fleet_member.py
@@ -179,8 +179,8 @@
         """Announce that this member leaves; it sends nothing afterwards."""
         self._start_step(now, wall)
         departure = self._local.departure()
-        others = self.table.live_names(exclude=self.name)
-        for name in self._rng.sample(others, min(_DEPARTURE_RECEIVERS, len(others))):
+        peers = self.table.live_names(exclude=self.name)
+        for name in self._rng.sample(peers, min(_DEPARTURE_RECEIVERS, len(peers))):
             ping = Ping(UNACKNOWLEDGED, self.table.digest)
             self._outbox.send(self._detector.address_of(name), ping, [departure])
         self._local.has_left = True
--- a/micadeck/httpx.py
+++ b/micadeck/httpx.py
@@ -14,7 +14,7 @@
 
 from micadeck.http.h1 import MOST_BODY
 from micadeck.library import Answer, Micadeck
-from micadeck.library.request_validation import new_id
+from micadeck.library.request_validation import new_request_id
 from micadeck.policy.settings import Idempotency
 
 _REPEAT_BY_FORM = {
@@ -43,7 +43,7 @@
         headers = [(name.lower(), value) for name, value in request.headers.raw]
         there = {name for name, _ in headers}
         if b"request-id" not in there:
-            headers.append((b"request-id", new_id()))
+            headers.append((b"request-id", new_request_id()))
         if b"request-class" not in there:
             name = self._fixed or self._by_form(request.method, b"idempotency-key" in there)
             if name is not None:
--- a/micadeck/library/__init__.py
+++ b/micadeck/library/__init__.py
@@ -1,7 +1,7 @@
 """The balancer inside a host's own process.
 
-`Micadeck` runs the daemon's engine, carrier and roster on a thread and an event loop of their own; the
-host's threads and loops only hand requests over and take answers back.  `answer` says what comes back.
+`Micadeck` runs the daemon's engine, transport and discovery client on a thread with an event loop of its own;
+the host's threads and loops only submit requests and receive answers.  `answer` defines what they receive.
 """
 
 from micadeck.library.answer import Answer, FailedError, Kind, RefusedError, UnservedError
--- a/micadeck/library/answer.py
+++ b/micadeck/library/answer.py
@@ -1,4 +1,4 @@
-"""The one final answer to a request, as a host gets it.  No input or output."""
+"""The one final answer to a request, as a host receives it.  No input or output."""
 
 from __future__ import annotations
 
@@ -12,43 +12,63 @@
 
 @unique
 class Kind(Enum):
-    """What an answer promises."""
+    """What an answer guarantees."""
 
-    SERVED = "served"  # a server's own answer, whole and in time
-    REFUSED = "refused"  # trying again is harmless
-    FAILED = "failed"  # nothing is promised
+    SERVED = "served"  # the complete response of a server, in time
+    REFUSED = "refused"  # the request did not run: a retry is harmless
+    FAILED = "failed"  # nothing is guaranteed
 
 
 class UnservedError(Exception):
-    """A request was not served; raised only where a caller asks for that."""
+    """A request was not served; raised only for callers that ask for it.
+
+    Attributes:
+        answer: The final answer.
+    """
 
     def __init__(self, answer: Answer) -> None:
+        """Wrap an answer."""
         super().__init__(f"{answer.kind.value}: {answer.reason}")
         self.answer = answer
 
 
 class RefusedError(UnservedError):
-    """Trying again is harmless."""
+    """The request did not run: a retry is harmless."""
 
 
 class FailedError(UnservedError):
-    """Nothing is promised; `answer.may_have_run` tells more."""
+    """Nothing is guaranteed; `answer.may_have_run` is whether the request may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A final answer.  `status`, `headers` and `body` are what the daemon would write for it."""
+    """A final answer; `status`, `headers` and `body` are those of the daemon's response.
+
+    Attributes:
+        kind: What it guarantees.
+        status: The HTTP status.
+        headers: Names in lower case, with values.
+        body: The whole body.
+        reason: A short text; empty if it was served.
+        retry_after_s: When a retry was advised, in seconds.
+        may_have_run: Whether a server may have started the request.
+    """
 
     kind: Kind
     status: int
     headers: Headers
     body: bytes
-    reason: str  # in a few words; empty for a served one
-    retry_after_s: float | None = None  # when to come back, where that was advised
-    may_have_run: bool = False  # whether a server can have begun the request
+    reason: str
+    retry_after_s: float | None = None
+    may_have_run: bool = False
 
     def raise_unless_served(self) -> None:
-        """Raise RefusedError or FailedError, with this answer, unless it was served."""
+        """Raise an error with this answer unless the request was served.
+
+        Raises:
+            RefusedError: If it was refused.
+            FailedError: If it failed.
+        """
         if self.kind is Kind.REFUSED:
             raise RefusedError(self)
         if self.kind is Kind.FAILED:
@@ -60,34 +80,56 @@
     FailureCause.TIME: "no answer came in time",
     FailureCause.DEFECT: "the balancer went wrong",
 }
+_LATE_REASON = "it was served, but taken up after its time"
 
 
 def served(response: Response) -> Answer:
+    """Return the answer for a server's response."""
     return Answer(Kind.SERVED, *error_responses.served(response), "", may_have_run=True)
 
 
 def refused(retry_after_us: int, reason: str = "no room for it now") -> Answer:
-    advice = retry_after_us / 1e6 if retry_after_us > 0 else None
-    return Answer(Kind.REFUSED, *error_responses.refused(retry_after_us), reason, retry_after_s=advice)
+    """Return the answer for a request that was refused.
+
+    Args:
+        retry_after_us: When to retry, in microseconds; 0 without advice.
+        reason: A short text.
+    """
+    retry_after_s = retry_after_us / 1e6 if retry_after_us > 0 else None
+    response = error_responses.refused(retry_after_us)
+    return Answer(Kind.REFUSED, *response, reason, retry_after_s=retry_after_s)
+
 
+def failed(cause: FailureCause, *, may_have_run: bool, reason: str = "") -> Answer:
+    """Return the answer for a request that failed.
 
-def failed(cause: FailureCause, may_have_run: bool, reason: str = "") -> Answer:
-    worded = error_responses.failed(cause)
-    return Answer(Kind.FAILED, *worded, reason or _REASONS[cause], may_have_run=may_have_run)
+    Args:
+        cause: Determines the status, and the reason unless one is given.
+        may_have_run: Whether a server may have started the request.
+        reason: A short text.
+    """
+    response = error_responses.failed(cause)
+    return Answer(Kind.FAILED, *response, reason or _REASONS[cause], may_have_run=may_have_run)
 
 
 def rejected(status: int, text: str, *, with_body: bool = True) -> Answer:
-    """For what is not a request of the protocol; no server saw it."""
-    return Answer(Kind.FAILED, status, [], f"{text}\n".encode() if with_body else b"", text)
+    """Return the answer for an invalid request, which no server received.
+
+    Args:
+        status: The HTTP status.
+        text: The reason, and the body unless there is none.
+        with_body: Whether the answer has a body.
+    """
+    body = f"{text}\n".encode() if with_body else b""
+    return Answer(Kind.FAILED, status, [], body, text)
 
 
-def in_time(answer: Answer, is_late: bool) -> Answer:
-    """The answer as it holds on delivery: what was served, but is taken up after its time, has failed.
+def on_delivery(answer: Answer, *, is_late: bool) -> Answer:
+    """Return the answer as it holds when its caller receives it.
 
-    A refusal stays one: that the request never ran does not change with time.
+    A served answer that is received after the deadline has failed.  A refusal stays one: that the request
+    never ran does not change with time.
     """
     if is_late and answer.kind is Kind.SERVED:
-        return failed(
-            FailureCause.TIME, may_have_run=True, reason="it was served, but taken up after its time"
-        )
+        return failed(FailureCause.TIME, may_have_run=True, reason=_LATE_REASON)
     return answer
--- a/micadeck/library/background_loop.py
+++ b/micadeck/library/background_loop.py
@@ -1,4 +1,4 @@
-"""The thread that the engine runs on, and the calls that cross to it and back."""
+"""The engine's thread with its event loop, and the requests that cross to it and back."""
 
 from __future__ import annotations
 
@@ -22,161 +22,214 @@
 from micadeck.operations import Lifecycle, Phase
 from micadeck.sidecar import Core
 
-_JOIN_SPARE_S = 1.0  # beyond the longest deadline, for the thread to end
+_JOIN_MARGIN_S = 1.0  # beyond the longest deadline, for the thread to end
 
 
 class NotStartedError(RuntimeError):
     """The balancer has not been started."""
 
+    def __init__(self, message: str = "start the balancer first, by `with`, `async with` or start()") -> None:
+        """Name the ways to start it."""
+        super().__init__(message)
+
 
 class ForkedError(RuntimeError):
-    """The balancer belongs to another process: its sockets and its thread did not come along a fork."""
+    """The balancer belongs to another process: a fork does not take its sockets and its thread along."""
+
+    @classmethod
+    def started_in(cls, pid: int) -> ForkedError:
+        """Return the error for a balancer of another process."""
+        return cls(f"this balancer was started in process {pid}; make and start one in each process")
 
 
-class Call:
-    """A request on its way: handed over by one thread, answered by another, whoever comes first."""
+class PendingRequest:
+    """A request between its submission and its answer; the response handler that the engine calls.
 
-    __slots__ = ("_deliver", "_worker", "due", "incoming", "number")
+    Attributes:
+        request: The request.
+        deadline: By the clock of `BackgroundLoop.now`, in microseconds.
+        engine_id: The engine's number of the request, once it has accepted it.
+    """
+
+    __slots__ = ("_background", "_deliver", "deadline", "engine_id", "request")
 
     def __init__(
-        self, worker: BackgroundLoop, incoming: ValidatedRequest, deliver: Callable[[Answer], object]
+        self, background: BackgroundLoop, request: ValidatedRequest, deliver: Callable[[Answer], object]
     ) -> None:
-        self._worker = worker
-        self._deliver = deliver  # called on the engine's thread, once; must not block
-        self.incoming = incoming
-        self.due = worker.now() + incoming.remaining_us
-        self.number: int | None = None  # the engine's, once it is taken
-
-    # What the engine calls
+        """Start the request's time.
+
+        Args:
+            background: The engine's thread.
+            request: The request.
+            deliver: Takes the answer; called once, on the engine's thread, and must not block.
+        """
+        self._background = background
+        self._deliver = deliver
+        self.request = request
+        self.deadline = background.now() + request.remaining_us
+        self.engine_id: int | None = None
 
     def served(self, response: Response) -> None:
-        self.end(answers.served(response))
+        """Deliver a server's response."""
+        self.finish(answers.served(response))
 
     def refused(self, retry_after_us: int) -> None:
-        self.end(answers.refused(retry_after_us))
+        """Deliver a refusal; the advice is in microseconds, 0 for none."""
+        self.finish(answers.refused(retry_after_us))
 
     def failed(self, cause: FailureCause, may_have_run: bool) -> None:
-        self.end(answers.failed(cause, may_have_run))
+        """Deliver a failure."""
+        self.finish(answers.failed(cause, may_have_run=may_have_run))
 
-    # What both sides call
-
-    def end(self, answer: Answer) -> None:
-        """Deliver the answer, unless it has one or nobody waits any more."""
-        if self._worker.forget(self):
+    def finish(self, answer: Answer) -> None:
+        """Deliver an answer, unless there was one or the caller has withdrawn the request."""
+        if self._background.claim_answer(self):
             self._deliver(answer)
 
 
 class BackgroundLoop:
-    """A core on a thread of its own.  All but `_main` and what it names runs on any thread."""
+    """Owns the engine's thread and which requests are unanswered.
+
+    All but `_main` and the methods that it posts may run on any thread.
+    """
 
     def __init__(self, config: Config, log: Callable[[str], None]) -> None:
+        """Prepare the thread.
+
+        Args:
+            config: The balancer's configuration.
+            log: Takes a log line on the engine's thread, and must not block.
+        """
         self._config = config
         self._log = log
         self._pid = os.getpid()
-        self._life = Lifecycle()
-        self._fault: BaseException | None = None
-        # To take a call out of one of these decides a race between threads: `pop` is atomic.
-        self._owed: dict[Call, None] = {}  # its answer; who takes it out delivers that
-        self._handed: dict[Call, None] = {}  # not yet to the engine; who takes it out decides if it runs
+        self._lifecycle = Lifecycle()
+        self._error: BaseException | None = None
+        # Threads race for the requests in these; `dict.pop` is atomic and decides.
+        self._unanswered: dict[PendingRequest, None] = {}  # whoever removes one delivers its answer
+        self._submitted: dict[PendingRequest, None] = {}  # whoever removes one decides whether it runs
         self._core: Core | None = None
         self._inbox: LoopInbox | None = None
-        self._drain: asyncio.Event | None = None
+        self._stop_requested: asyncio.Event | None = None
         self._is_up = threading.Event()
         self._on_end: list[Callable[[], object]] = []
         self._thread = threading.Thread(target=self._run, name="micadeck-engine", daemon=True)
-        self.longest_s = max(each.deadline_us for each in config.settings.classes) / 1e6
+        self.longest_deadline_s = max(each.deadline_us for each in config.settings.classes) / 1e6
+
+    @property
+    def open_requests(self) -> int:
+        """The number of requests that are unanswered or have an attempt in flight."""
+        return self._core.engine.open_requests if self._core is not None else 0
+
+    @property
+    def is_in_this_process(self) -> bool:
+        """Whether the thread runs in this process, rather than in one that was forked."""
+        return os.getpid() == self._pid
 
     def start(self) -> None:
-        """Return once requests are taken; raise what kept the engine from starting (OSError, ...)."""
+        """Start the thread, and return once requests are accepted.
+
+        Raises:
+            BaseException: What kept the engine from starting, such as OSError.
+        """
         self._thread.start()
         self._is_up.wait()
         if self._core is None:
             self._thread.join()
-            assert self._fault is not None
-            raise self._fault
+            assert self._error is not None
+            raise self._error
 
     def now(self) -> int:
+        """Return the engine's clock in microseconds."""
         assert self._core is not None
         return self._core.network.now()
 
-    @property
-    def open_requests(self) -> int:
-        """Requests that are not over: unanswered, or with an attempt still out."""
-        return self._core.engine.open_requests if self._core is not None else 0
-
-    @property
-    def is_here(self) -> bool:
-        """Whether this process is the one that the thread runs in."""
-        return os.getpid() == self._pid
-
-    def call(self, incoming: ValidatedRequest, deliver: Callable[[Answer], object]) -> Call:
-        """A request to submit; its time runs from here on."""
-        if not self.is_here:
-            raise ForkedError(
-                f"this balancer was started in process {self._pid}; make and start one in each process"
-            )
-        return Call(self, incoming, deliver)
-
-    def submit(self, call: Call) -> None:
-        """Hand a request over; it gets its one answer, on the engine's thread or within this call."""
-        self._owed[call] = self._handed[call] = None
-        if self._life.can_serve:
+    def create_request(
+        self, request: ValidatedRequest, deliver: Callable[[Answer], object]
+    ) -> PendingRequest:
+        """Return a request to submit; its time starts.
+
+        Args:
+            request: The request.
+            deliver: Takes the answer; called once, on the engine's thread, and must not block.
+
+        Raises:
+            ForkedError: If the thread runs in another process.
+        """
+        if not self.is_in_this_process:
+            raise ForkedError.started_in(self._pid)
+        return PendingRequest(self, request, deliver)
+
+    def submit(self, pending: PendingRequest) -> None:
+        """Hand a request over; it gets one answer, on the engine's thread or within this call."""
+        self._unanswered[pending] = self._submitted[pending] = None
+        if self._lifecycle.can_serve:
             assert self._inbox is not None
-            self._inbox.post(self._take, call)
-        # After the call stands in the lists: if the thread ends meanwhile, one of both sees the other.
-        if not self._life.can_serve and self._take_back(call):
-            self._end_unrun(call)
-
-    def withdraw(self, call: Call) -> None:
-        """Nobody waits for this call any more."""
-        if self.forget(call) and not self._take_back(call) and self._inbox is not None:
-            self._inbox.post(self._gone, call)
-
-    def give_up(self, call: Call) -> Answer | None:
-        """The answer to a call on which the engine has no word, its time long over; None if it has one."""
-        if not self.forget(call):
+            self._inbox.post(self._accept, pending)
+        # Only after the request is in both: if the thread ends meanwhile, this thread or that one sees it.
+        if not self._lifecycle.can_serve and self._take_back(pending):
+            self._answer_unrun(pending)
+
+    def withdraw(self, pending: PendingRequest) -> None:
+        """Cancel a request whose caller does not wait any more."""
+        if self.claim_answer(pending) and not self._take_back(pending) and self._inbox is not None:
+            self._inbox.post(self._disconnect, pending)
+
+    def abandon(self, pending: PendingRequest) -> Answer | None:
+        """Return the answer to a request on which the engine is overdue; None if it answered after all."""
+        if not self.claim_answer(pending):
             return None
-        never_ran = self._take_back(call)
+        never_ran = self._take_back(pending)
         if not never_ran and self._inbox is not None:
-            self._inbox.post(self._gone, call)
-        return answers.failed(FailureCause.DEFECT, not never_ran, "the balancer's thread gave no answer")
-
-    def forget(self, call: Call) -> bool:
-        """Owe this call nothing from here on; whether it was still owed its answer."""
-        return self._owed.pop(call, self) is None
+            self._inbox.post(self._disconnect, pending)
+        return answers.failed(
+            FailureCause.DEFECT, may_have_run=not never_ran, reason="the balancer's thread gave no answer"
+        )
 
-    def _take_back(self, call: Call) -> bool:
-        """Keep a call from the engine; whether it had not come there, and never will."""
-        return self._handed.pop(call, self) is None
+    def claim_answer(self, pending: PendingRequest) -> bool:
+        """Take over the delivery of an answer; False if another did."""
+        return self._unanswered.pop(pending, self) is None
 
     def reload(self, config: Config) -> None:
-        assert self._core is not None and self._inbox is not None
+        """Apply another configuration."""
+        assert self._core is not None
+        assert self._inbox is not None
         self._inbox.post(self._core.reload, config)
 
     def stop(self, on_end: Callable[[], object] | None = None) -> None:
-        """Take nothing new, answer all that was taken, end.  `on_end` is called once that is done."""
+        """Accept no more requests, answer those accepted, and end.
+
+        Args:
+            on_end: Called once that is done.
+        """
         if on_end is not None:
             self._on_end.append(on_end)
-        if self._life.stop(0.0):
-            assert self._inbox is not None and self._drain is not None
-            self._inbox.post(self._drain.set)
-        if self._life.phase is Phase.ENDED:
-            self._tell_end()
+        if self._lifecycle.stop(0.0):
+            assert self._inbox is not None
+            assert self._stop_requested is not None
+            self._inbox.post(self._stop_requested.set)
+        if self._lifecycle.phase is Phase.ENDED:
+            self._notify_end()
 
     def join(self) -> bool:
-        """Wait for the end, no longer than it may take; whether it came."""
-        self._thread.join(self.longest_s + _JOIN_SPARE_S)
+        """Wait for the thread's end, for the longest deadline and a margin; False if it has not ended."""
+        self._thread.join(self.longest_deadline_s + _JOIN_MARGIN_S)
         return not self._thread.is_alive()
 
-    def _end_unrun(self, call: Call) -> None:
-        """Answer a call that the engine will never see."""
-        if self._fault is None:
-            call.end(answers.refused(0, "the balancer is closed"))
+    def _take_back(self, pending: PendingRequest) -> bool:
+        """Keep a request from the engine; False if it has accepted it."""
+        return self._submitted.pop(pending, self) is None
+
+    def _answer_unrun(self, pending: PendingRequest) -> None:
+        """Answer a request that the engine will never accept."""
+        if self._error is None:
+            pending.finish(answers.refused(0, "the balancer is closed"))
         else:
-            call.end(answers.failed(FailureCause.DEFECT, False, self._epitaph()))
+            pending.finish(self._engine_failed(may_have_run=False))
 
-    def _epitaph(self) -> str:
-        return f"the balancer's thread ended: {self._fault!r}"
+    def _engine_failed(self, *, may_have_run: bool) -> Answer:
+        reason = f"the balancer's thread ended: {self._error!r}"
+        return answers.failed(FailureCause.DEFECT, may_have_run=may_have_run, reason=reason)
 
     # On the engine's thread
 
@@ -184,52 +237,53 @@
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 runner.run(self._main())
-        except BaseException as fault:
-            # Whatever it is, those who wait must hear of it: nobody else will answer them.
-            self._fault = fault
+        except BaseException as error:
+            # Whatever it is, it must reach the callers that wait: nothing else will answer them.
+            self._error = error
         finally:
-            self._life.end(0.0)
-            for call in list(self._owed):
-                if self._take_back(call):
-                    self._end_unrun(call)
+            self._lifecycle.end(0.0)
+            for pending in list(self._unanswered):
+                if self._take_back(pending):
+                    self._answer_unrun(pending)
                 else:
-                    call.end(answers.failed(FailureCause.DEFECT, True, self._epitaph()))
+                    pending.finish(self._engine_failed(may_have_run=True))
             self._is_up.set()
-            self._tell_end()
+            self._notify_end()
 
-    def _tell_end(self) -> None:
+    def _notify_end(self) -> None:
         while self._on_end:
             self._on_end.pop()()
 
     async def _main(self) -> None:
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self._unhandled)
+        loop.set_exception_handler(self._log_unhandled)
         core = Core(self._config, LoopNetwork(), self._log, HandlerFirstEngine)
         await core.start()
-        self._inbox, self._drain, self._core = LoopInbox(loop), asyncio.Event(), core
-        self._life.started(0.0)
+        self._inbox, self._stop_requested, self._core = LoopInbox(loop), asyncio.Event(), core
+        self._lifecycle.started(0.0)
         self._is_up.set()
         try:
-            await self._drain.wait()
-            await core.drain(self.longest_s)
+            await self._stop_requested.wait()
+            await core.drain(self.longest_deadline_s)
         finally:
             core.close()
-        await asyncio.sleep(0)  # connections end in a later round of the loop
+        await asyncio.sleep(0)  # connections close in a later round of the loop
 
-    def _unhandled(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
-        self._log(f"internal error: {what['message']}: {what.get('exception')!r}")
+    def _log_unhandled(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        self._log(f"internal error: {context['message']}: {context.get('exception')!r}")
 
-    def _take(self, call: Call) -> None:
+    def _accept(self, pending: PendingRequest) -> None:
+        """Pass a request to the engine, unless it was withdrawn or answered before."""
         assert self._core is not None
-        if not self._take_back(call):
-            return  # withdrawn, or ended, before its turn came
-        # Its time has run since the host handed it over, however long this thread had to wait.
-        call.incoming.remaining_us = max(call.due - self._core.network.now(), 1)
+        if not self._take_back(pending):
+            return
+        # Its time has run since the host submitted it, however long this thread was busy.
+        pending.request.remaining_us = max(pending.deadline - self._core.network.now(), 1)
         try:
-            call.number = self._core.engine.take(call.incoming, call)
+            pending.engine_id = self._core.engine.take(pending.request, pending)
         except RequestIdInUseError:
-            call.end(answers.rejected(409, "request-id is that of an open request"))
+            pending.finish(answers.rejected(409, "request-id is that of an open request"))
 
-    def _gone(self, call: Call) -> None:
-        if call.number is not None and self._core is not None:
-            self._core.engine.client_disconnected(call.number)
+    def _disconnect(self, pending: PendingRequest) -> None:
+        if pending.engine_id is not None and self._core is not None:
+            self._core.engine.client_disconnected(pending.engine_id)
--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer as a host holds it."""
+"""The public balancer of the library."""
 
 from __future__ import annotations
 
@@ -18,162 +18,176 @@
 from micadeck.library import answer as answers
 from micadeck.library.answer import Answer
 from micadeck.library.background_loop import BackgroundLoop, NotStartedError
-from micadeck.library.log_forwarder import LogLines
+from micadeck.library.log_forwarder import LogForwarder
 from micadeck.library.loop_inbox import LoopInbox
-from micadeck.library.request_validation import Malformed, Reader, Wanted, read_wanted
+from micadeck.library.request_validation import MalformedRequestError, RequestOptions, RequestValidator
 
-_SILENT_S = 1.0  # past a request's time without an answer from the engine: it is failed for it
-_LOG_WITHIN_S = 0.5
+ConfigSource = Config | Mapping[str, Any] | str | os.PathLike[str]
 
-# A mailbox for each event loop of the host's, whichever balancer answers there.
-_mailboxes: dict[asyncio.AbstractEventLoop, LoopInbox] = {}
+_ENGINE_OVERDUE_S = 1.0  # past a request's deadline: without an answer from the engine, it has failed
+_LOG_FLUSH_TIMEOUT_S = 0.5
 
+_inboxes: dict[asyncio.AbstractEventLoop, LoopInbox] = {}  # of the host's event loops, for all balancers
 
-def _mailbox(loop: asyncio.AbstractEventLoop) -> LoopInbox:
-    found = _mailboxes.get(loop)
-    if found is None:
-        # Guards against growth in a host that runs one short-lived loop after another.
-        for other in list(_mailboxes):
+
+def _inbox_of(loop: asyncio.AbstractEventLoop) -> LoopInbox:
+    inbox = _inboxes.get(loop)
+    if inbox is None:
+        # A host may run one short-lived loop after another: those that closed are removed.
+        for other in list(_inboxes):
             if other.is_closed():
-                _mailboxes.pop(other, None)
-        found = _mailboxes[loop] = LoopInbox(loop)
-    return found
+                _inboxes.pop(other, None)
+        inbox = _inboxes[loop] = LoopInbox(loop)
+    return inbox
+
 
+def read_config(source: ConfigSource) -> Config:
+    """Return the daemon's configuration; `listen` and `name` may be left out.
 
-def read_config(given: Config | Mapping[str, Any] | str | os.PathLike[str]) -> Config:
-    """The daemon's configuration, from a mapping or a file; `listen` and `name` may be left out.
+    Args:
+        source: A configuration, its mapping, or the path of its file.
 
-    Raises ConfigError, naming the key, on nonsense.
+    Raises:
+        ConfigError: If it is invalid; it names the key.
     """
-    if isinstance(given, Config):
-        return given
-    if not isinstance(given, Mapping):
-        try:
-            given = json.loads(Path(given).read_bytes())
-        except (OSError, ValueError, RecursionError) as fault:
-            raise ConfigError(f"{given}: it can't be read: {fault}") from None
-        if not isinstance(given, dict):
-            raise ConfigError("the file must hold an object")
-    return parse({"name": "library", "listen": "127.0.0.1:0", **given})
+    if isinstance(source, Config):
+        return source
+    if isinstance(source, Mapping):
+        return _parse(source)
+    try:
+        contents = json.loads(Path(source).read_bytes())
+    except (OSError, ValueError, RecursionError) as error:
+        message = f"{source}: it can't be read: {error}"
+        raise ConfigError(message) from None
+    if not isinstance(contents, dict):
+        message = "the file must hold an object"
+        raise ConfigError(message)
+    return _parse(contents)
+
+
+def _parse(values: Mapping[str, Any]) -> Config:
+    return parse({"name": "library", "listen": "127.0.0.1:0", **values})
 
 
 class Micadeck:
-    """A balancer inside this process, the same as the daemon to servers and to whoever asks.
+    """A balancer inside this process, which behaves as the daemon does to servers and clients.
 
     `async with Micadeck(config) as balancer: await balancer.request("check", "/api/7")`, or without a loop
     `with Micadeck(config) as balancer: balancer.call("check", "/api/7")`.  It may be used from any number of
     threads and event loops at once.  A closed one can't be started again.
     """
 
-    def __init__(
-        self,
-        config: Config | Mapping[str, Any] | str | os.PathLike[str],
-        *,
-        log: Callable[[str], None] | None = None,
-    ) -> None:
-        """Check the configuration (ConfigError); nothing runs yet.
+    def __init__(self, config: ConfigSource, *, log: Callable[[str], None] | None = None) -> None:
+        """Check the configuration; nothing runs yet.
 
-        `log` gets each line on the engine's thread and must not block; without it, lines go to the logger
-        `micadeck`, on a thread of their own.
+        Args:
+            config: The daemon's configuration, its mapping, or the path of its file.
+            log: Receives each line on the engine's thread and must not block.  Without it, lines go to the
+                logger `micadeck`, on a thread of their own.
+
+        Raises:
+            ConfigError: If the configuration is invalid; it names the key.
         """
         self._config = read_config(config)
-        self._reader = Reader(self._config.settings)
-        self._own_log = LogLines(logging.getLogger("micadeck")) if log is None else None
-        self._log = log or self._own_log
-        self._worker: BackgroundLoop | None = None
-        self._starting = threading.Lock()
-
-    # Start and end
+        self._validator = RequestValidator(self._config.settings)
+        self._log_forwarder = LogForwarder(logging.getLogger("micadeck")) if log is None else None
+        self._log = log or self._log_forwarder
+        self._background: BackgroundLoop | None = None
+        self._start_lock = threading.Lock()
 
     def start(self) -> None:
-        """Start the engine's thread, and return once requests are taken; once started, do nothing.
+        """Start the engine's thread, and return once requests are accepted; once started, do nothing.
 
-        Raises OSError if it can't have the sockets that the configuration asks for.
+        Raises:
+            OSError: If a socket that the configuration asks for can't be opened.
         """
-        with self._starting:
-            if self._worker is None:
+        with self._start_lock:
+            if self._background is None:
                 assert self._log is not None
-                worker = BackgroundLoop(self._config, self._log)
-                worker.start()
-                self._worker = worker
-                # Otherwise an interpreter that exits would cut what is under way.
+                background = BackgroundLoop(self._config, self._log)
+                background.start()
+                self._background = background
+                # Otherwise an interpreter that exits would cut off requests in flight.
                 atexit.register(self.close)
 
     def close(self) -> None:
-        """Take nothing new, answer all that was taken, let go of every socket.  Blocks until then.
+        """Accept no more requests, answer those accepted, and close every socket; blocks until then.
 
-        That is no longer than the longest deadline and a second.  In a forked child it does nothing.
+        That takes no longer than the longest deadline and a second.  In a forked child it does nothing.
         """
-        worker = self._worker
-        if worker is None or not worker.is_here:
+        background = self._background
+        if background is None or not background.is_in_this_process:
             return
-        worker.stop()
-        worker.join()
-        self._closed()
+        background.stop()
+        background.join()
+        self._release()
 
     async def aclose(self) -> None:
-        """The same, for an event loop, which goes on meanwhile."""
-        worker = self._worker
-        if worker is None or not worker.is_here:
+        """Do the same as `close` without blocking the event loop."""
+        background = self._background
+        if background is None or not background.is_in_this_process:
             return
         ended = asyncio.Event()
-        mailbox = _mailbox(asyncio.get_running_loop())
-        worker.stop(lambda: mailbox.post(ended.set))
+        inbox = _inbox_of(asyncio.get_running_loop())
+        background.stop(lambda: inbox.post(ended.set))
         await ended.wait()
-        worker.join()
-        self._closed()
+        background.join()
+        self._release()
 
-    def _closed(self) -> None:
+    def _release(self) -> None:
         atexit.unregister(self.close)
-        if self._own_log is not None:
-            self._own_log.close(_LOG_WITHIN_S)
+        if self._log_forwarder is not None:
+            self._log_forwarder.close(_LOG_FLUSH_TIMEOUT_S)
 
     def __enter__(self) -> Micadeck:
+        """Start the balancer."""
         self.start()
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
+        """Close the balancer."""
         self.close()
 
     async def __aenter__(self) -> Micadeck:
-        self.start()  # a few milliseconds
+        """Start the balancer, which blocks the loop for a few milliseconds."""
+        self.start()
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
+        """Close the balancer."""
         await self.aclose()
 
-    # In between
-
     @property
     def config(self) -> Config:
+        """The configuration that the balancer was made with."""
         return self._config
 
     @property
     def is_started(self) -> bool:
-        return self._worker is not None and self._worker.is_here
+        """Whether the balancer was started in this process."""
+        return self._background is not None and self._background.is_in_this_process
 
     @property
     def open_requests(self) -> int:
-        """Requests that are not over: unanswered, or with an attempt still out."""
-        return self._worker.open_requests if self._worker is not None else 0
+        """The number of requests that are unanswered or have an attempt in flight."""
+        return self._background.open_requests if self._background is not None else 0
 
-    def reload(self, config: Config | Mapping[str, Any] | str | os.PathLike[str]) -> None:
-        """Take up what a new configuration may change in a running balancer, as the daemon does on SIGHUP.
+    def reload(self, config: ConfigSource) -> None:
+        """Apply what another configuration may change in a running balancer, as the daemon does on SIGHUP.
 
-        Raises ConfigError, and keeps the old one, on nonsense.
+        Raises:
+            ConfigError: If it is invalid; the current one stays in force.
         """
-        read = read_config(config)
-        read.replaces(self._config)
-        self._running().reload(read)
-        self._reader = Reader(read.settings)  # a host words its requests by what it has just given
+        new_config = read_config(config)
+        new_config.replaces(self._config)
+        self._require_started().reload(new_config)
+        self._validator = RequestValidator(new_config.settings)
 
-    # Requests
-
-    async def request(
+    async def request(  # noqa: PLR0913, RUF100  the public signature: one keyword for each option
         self,
         service_class: str,
         target: str,
@@ -189,14 +203,32 @@
         host: str = "localhost",
         raise_unserved: bool = False,
     ) -> Answer:
-        """Send a request of a class to one of the servers, and give its one final answer.
-
-        `timeout_s` is the time that it has, up to the class's deadline, which is the default.  A cancelled
-        task withdraws its request.  Nothing is raised for refused and failed, unless `raise_unserved` is
-        set: then RefusedError and FailedError.  An unknown class is a failed answer with status 400, as is
-        all else that the daemon would answer so.
+        """Send a request of a class to one of the servers, and return its one final answer.
+
+        A cancelled task withdraws its request.  An unknown class is a failed answer with status 400, as is
+        whatever the daemon would answer so.
+
+        Args:
+            service_class: The name of the class.
+            target: Path and query.
+            body: The whole body.
+            timeout_s: The time that the request has, in seconds, up to the class's deadline, the default.
+            tenant: The tenant's name, if any.
+            idempotency_key: The key, for classes that need one.
+            request_id: A unique id; without it, a new one.
+            client_retry: Whether the host has sent this request before.
+            work_hint_us: The expected work in microseconds.
+            headers: Further headers.
+            host: The value of the header Host.
+            raise_unserved: Whether to raise unless the request was served.
+
+        Raises:
+            RefusedError: If it was refused, with `raise_unserved`.
+            FailedError: If it failed, with `raise_unserved`.
+            NotStartedError: If the balancer was not started.
+            ForkedError: If it was started in another process.
         """
-        wanted = Wanted(
+        options = RequestOptions(
             target,
             body,
             timeout_s,
@@ -208,19 +240,19 @@
             headers,
             host,
         )
-        worker = self._running()
-        incoming = self._read_wanted(service_class, wanted)
-        answer = incoming if isinstance(incoming, Answer) else await _ask(worker, incoming)
+        background = self._require_started()
+        request = self._validate_options(service_class, options)
+        answer = request if isinstance(request, Answer) else await _exchange(background, request)
         if raise_unserved:
             answer.raise_unless_served()
         return answer
 
     def call(self, service_class: str, target: str, *, raise_unserved: bool = False, **how: Any) -> Answer:
-        """`request` for hosts without an event loop: it blocks its thread, and no other."""
-        wanted = Wanted(target, **how)
-        worker = self._running()
-        incoming = self._read_wanted(service_class, wanted)
-        answer = incoming if isinstance(incoming, Answer) else _wait(worker, incoming)
+        """Do the same as `request`, with the same keywords, blocking the calling thread only."""
+        options = RequestOptions(target, **how)
+        background = self._require_started()
+        request = self._validate_options(service_class, options)
+        answer = request if isinstance(request, Answer) else _exchange_blocking(background, request)
         if raise_unserved:
             answer.raise_unless_served()
         return answer
@@ -228,43 +260,50 @@
     async def exchange(
         self, method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
     ) -> Answer:
-        """Send a request already worded as the daemon's protocol asks; for middleware and transports."""
-        worker = self._running()
-        incoming = self._read(method, target, headers, body)
-        return incoming if isinstance(incoming, Answer) else await _ask(worker, incoming)
+        """Send a request that has the headers of the daemon's protocol; for middleware and transports.
+
+        Args:
+            method: The HTTP method.
+            target: Path and query.
+            headers: Names in any case, with values.
+            body: The whole body.
+        """
+        background = self._require_started()
+        request = self._validate(method, target, headers, body)
+        return request if isinstance(request, Answer) else await _exchange(background, request)
 
     def exchange_blocking(
         self, method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
     ) -> Answer:
-        """The same for hosts without an event loop."""
-        worker = self._running()
-        incoming = self._read(method, target, headers, body)
-        return incoming if isinstance(incoming, Answer) else _wait(worker, incoming)
+        """Do the same as `exchange`, blocking the calling thread only."""
+        background = self._require_started()
+        request = self._validate(method, target, headers, body)
+        return request if isinstance(request, Answer) else _exchange_blocking(background, request)
 
-    def _read(
+    def _validate(
         self, method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes
     ) -> ValidatedRequest | Answer:
-        """A request that can be submitted, or the answer to what is none."""
+        """Return a request to submit, or the answer to an invalid one."""
         try:
-            return self._reader.read(method, target, headers, body)
-        except BadRequestError as fault:
-            # An answer to HEAD has no body, whatever it says.
-            with_body = method != b"HEAD" and not isinstance(fault, Malformed)
-            return answers.rejected(fault.status, str(fault), with_body=with_body)
-
-    def _read_wanted(self, service_class: str, wanted: Wanted) -> ValidatedRequest | Answer:
-        kind = self._reader.classes.get(service_class)
-        if kind is None:
+            return self._validator.validate(method, target, headers, body)
+        except BadRequestError as error:
+            # The answer to a HEAD request never has a body.
+            with_body = method != b"HEAD" and not isinstance(error, MalformedRequestError)
+            return answers.rejected(error.status, str(error), with_body=with_body)
+
+    def _validate_options(self, service_class: str, options: RequestOptions) -> ValidatedRequest | Answer:
+        known_class = self._validator.classes.get(service_class)
+        if known_class is None:
             return answers.rejected(400, "request-class is unknown")
         try:
-            return read_wanted(self._reader, kind, wanted)
-        except BadRequestError as fault:
-            return answers.rejected(fault.status, str(fault))
+            return self._validator.validate_options(known_class, options)
+        except BadRequestError as error:
+            return answers.rejected(error.status, str(error))
 
-    def _running(self) -> BackgroundLoop:
-        if self._worker is None:
-            raise NotStartedError("start the balancer first, by `with`, `async with` or start()")
-        return self._worker
+    def _require_started(self) -> BackgroundLoop:
+        if self._background is None:
+            raise NotStartedError
+        return self._background
 
 
 def _resolve(future: asyncio.Future[Answer], answer: Answer) -> None:
@@ -272,48 +311,49 @@
         future.set_result(answer)
 
 
-async def _ask(worker: BackgroundLoop, incoming: ValidatedRequest) -> Answer:
+async def _exchange(background: BackgroundLoop, request: ValidatedRequest) -> Answer:
+    """Submit a request and wait for its answer on this event loop."""
     loop = asyncio.get_running_loop()
-    mailbox = _mailbox(loop)
+    inbox = _inbox_of(loop)
     future: asyncio.Future[Answer] = loop.create_future()
 
-    def overdue() -> None:
-        if not future.done() and (answer := worker.give_up(call)) is not None:
+    def on_overdue() -> None:
+        if not future.done() and (answer := background.abandon(pending)) is not None:
             future.set_result(answer)
 
-    call = worker.call(incoming, lambda answer: mailbox.post(_resolve, future, answer))
-    mailbox.expect(call, incoming.remaining_us / 1e6 + _SILENT_S, overdue)
-    # Last, since the engine's thread wakes by it and can do nothing while this one holds the interpreter's
-    # lock.
-    worker.submit(call)
+    pending = background.create_request(request, lambda answer: inbox.post(_resolve, future, answer))
+    inbox.set_timeout(pending, request.remaining_us / 1e6 + _ENGINE_OVERDUE_S, on_overdue)
+    # Last, since it wakes the engine's thread, which can't run while this one holds the interpreter's lock.
+    background.submit(pending)
     try:
         answer = await future
     except asyncio.CancelledError:
-        worker.withdraw(call)
+        background.withdraw(pending)
         raise
     finally:
-        mailbox.came(call)
-    return answers.in_time(answer, worker.now() > call.due)
+        inbox.clear_timeout(pending)
+    return answers.on_delivery(answer, is_late=background.now() > pending.deadline)
 
 
-def _wait(worker: BackgroundLoop, incoming: ValidatedRequest) -> Answer:
-    ready = threading.Event()
-    got: list[Answer] = []
+def _exchange_blocking(background: BackgroundLoop, request: ValidatedRequest) -> Answer:
+    """Submit a request and block this thread until its answer."""
+    is_answered = threading.Event()
+    received: list[Answer] = []
 
     def deliver(answer: Answer) -> None:
-        got.append(answer)
-        ready.set()
+        received.append(answer)
+        is_answered.set()
 
-    call = worker.call(incoming, deliver)
-    guard_s = incoming.remaining_us / 1e6 + _SILENT_S  # before the engine counts its time down
-    worker.submit(call)
+    pending = background.create_request(request, deliver)
+    overdue_s = request.remaining_us / 1e6 + _ENGINE_OVERDUE_S  # the engine reduces `remaining_us` later
+    background.submit(pending)
     try:
-        if not ready.wait(guard_s):
-            answer = worker.give_up(call)
+        if not is_answered.wait(overdue_s):
+            answer = background.abandon(pending)
             if answer is not None:
                 return answer
-        ready.wait()  # whoever took the call out delivers at once
+        is_answered.wait()  # whoever claimed the answer delivers it at once
     except BaseException:
-        worker.withdraw(call)  # a signal's exception, KeyboardInterrupt among them
+        background.withdraw(pending)  # an exception of a signal handler, such as KeyboardInterrupt
         raise
-    return answers.in_time(got[0], worker.now() > call.due)
+    return answers.on_delivery(received[0], is_late=background.now() > pending.deadline)
--- a/micadeck/library/engine.py
+++ b/micadeck/library/engine.py
@@ -1,4 +1,4 @@
-"""The engine for waiters on other threads of this process, who can't run while the engine's thread does."""
+"""The engine for response handlers on other threads, which compete with it for the interpreter's lock."""
 
 from __future__ import annotations
 
@@ -12,32 +12,34 @@
 
 
 class HandlerFirstEngine(Engine):
-    """Lets a waiter run before the decisions hear of the attempt that served it.
+    """Lets the response handler run before the policy processes the attempt that served it.
 
-    While requests come with pauses between, they hear a millisecond later, or right before the next event,
-    whichever is first; otherwise at once.  The order of events is the same.
+    While requests come with pauses between them, the policy receives the end of a served attempt a
+    millisecond later, or right before the next event, whichever is first; otherwise at once.  The order of
+    events is the same.
     """
 
-    def __init__(self, *given: Any) -> None:
-        super().__init__(*given)
+    def __init__(self, *args: Any) -> None:
+        """Make an engine; the arguments are those of `Engine`."""
+        super().__init__(*args)
         self._served_at = 0
-        self._are_pauses = False  # whether the last answer was followed by one
-        self._held: AttemptEnded | None = None
+        self._requests_have_pauses = False  # whether the last request came after a pause
+        self._deferred: AttemptEnded | None = None
 
     def _post(self, event: Event) -> None:
-        self._release(self._held)
+        self._post_deferred(self._deferred)
         if isinstance(event, RequestArrived):
-            self._are_pauses = self._network.now() - self._served_at > _PAUSE_US
+            self._requests_have_pauses = self._network.now() - self._served_at > _PAUSE_US
         elif isinstance(event, AttemptEnded) and event.outcome is Outcome.DELIVERED:
             self._served_at = self._network.now()
-            if self._are_pauses:
-                self._held = event
-                self._network.call_later(_PAUSE_US / 1e6, self._release, event)
+            if self._requests_have_pauses:
+                self._deferred = event
+                self._network.call_later(_PAUSE_US / 1e6, self._post_deferred, event)
                 return
         super()._post(event)
 
-    def _release(self, event: AttemptEnded | None) -> None:
-        """Tell the decisions of this attempt, unless they have heard."""
-        if event is not None and event is self._held:
-            self._held = None
+    def _post_deferred(self, event: AttemptEnded | None) -> None:
+        """Pass a deferred event to the policy, unless that was done."""
+        if event is not None and event is self._deferred:
+            self._deferred = None
             super()._post(event)
--- a/micadeck/library/log_forwarder.py
+++ b/micadeck/library/log_forwarder.py
@@ -1,4 +1,4 @@
-"""Log lines from the engine's thread to the host's logging, which may take its time."""
+"""Forwards log lines from the engine's thread to the host's logging, which may block."""
 
 from __future__ import annotations
 
@@ -6,44 +6,50 @@
 import queue
 import threading
 
-_MOST_WAITING = 1_000
+_MAX_QUEUE_SIZE = 1_000
 
 
-class LogLines:
-    """Passes lines to a logger on a thread of its own, begun with the first line.
+class LogForwarder:
+    """Passes lines to a logger on a thread of its own, which the first line starts.
 
-    Guards against a host that stalls in a log handler, its lock held: the engine would stall with it.
+    A log handler of the host that blocks therefore never blocks the engine.
     """
 
     def __init__(self, logger: logging.Logger) -> None:
+        """Forward to a logger."""
         self._logger = logger
-        self._waiting: queue.Queue[str | None] = queue.Queue(_MOST_WAITING)
+        self._queue: queue.Queue[str | None] = queue.Queue(_MAX_QUEUE_SIZE)  # None: the end
         self._thread: threading.Thread | None = None
-        self._left_out = 0
+        self._dropped_count = 0
 
     def __call__(self, text: str) -> None:
-        """Pass a line on, or leave it out if too many wait; called on the engine's thread only."""
+        """Forward a line, or drop it if the queue is full; for the engine's thread only."""
         if self._thread is None:
-            self._thread = threading.Thread(target=self._pass_on, name="micadeck-log", daemon=True)
+            self._thread = threading.Thread(target=self._forward, name="micadeck-log", daemon=True)
             self._thread.start()
         try:
-            if self._left_out:
-                self._waiting.put_nowait(f"left out {self._left_out} lines")
-                self._left_out = 0
-            self._waiting.put_nowait(text)
+            if self._dropped_count:
+                self._queue.put_nowait(f"left out {self._dropped_count} lines")
+                self._dropped_count = 0
+            self._queue.put_nowait(text)
         except queue.Full:
-            self._left_out += 1
+            self._dropped_count += 1
 
-    def close(self, within_s: float) -> None:
-        """Let the lines that wait be passed on, for so long at most."""
+    def close(self, timeout_s: float) -> None:
+        """Wait until the queued lines are forwarded, up to this time.
+
+        Args:
+            timeout_s: The limit for each of two steps: to queue the end, and to join the thread.
+        """
         if self._thread is None:
             return
         try:
-            self._waiting.put(None, timeout=within_s)
+            self._queue.put(None, timeout=timeout_s)
         except queue.Full:
-            return  # the host's logging hangs; the thread is a daemon and ends with the process
-        self._thread.join(within_s)
+            return  # the host's logging blocks; the daemon thread ends with the process
+        self._thread.join(timeout_s)
 
-    def _pass_on(self) -> None:
-        while (text := self._waiting.get()) is not None:
-            self._logger.warning("%s", text) if "internal error" in text else self._logger.info("%s", text)
+    def _forward(self) -> None:
+        while (text := self._queue.get()) is not None:
+            level = logging.WARNING if "internal error" in text else logging.INFO
+            self._logger.log(level, "%s", text)
--- a/micadeck/library/loop_inbox.py
+++ b/micadeck/library/loop_inbox.py
@@ -1,4 +1,4 @@
-"""Work handed from any thread to the one that runs an event loop, in order."""
+"""Hands work from any thread to the one that runs an event loop, in order."""
 
 from __future__ import annotations
 
@@ -7,66 +7,74 @@
 from collections.abc import Callable, Hashable
 from typing import Any
 
-_LOOK_AGAIN_S = 0.25
+_TIMEOUT_CHECK_INTERVAL_S = 0.25
 
 
 class LoopInbox:
-    """One loop's mailbox.  However much is posted while the loop is busy, it is woken once."""
+    """Owns the work posted to one event loop, and the timeouts of what the loop waits for.
+
+    However much is posted while the loop is busy, it is woken once.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Make the inbox of a loop."""
         self._loop = loop
         self._items: deque[tuple[Callable[..., object], tuple[Any, ...]]] = deque()
-        self._is_woken = False
-        self._awaited: dict[Hashable, tuple[float, Callable[[], object]]] = {}
-        self._is_looking = False
+        self._is_wakeup_scheduled = False
+        self._timeouts: dict[Hashable, tuple[float, Callable[[], object]]] = {}
+        self._is_check_scheduled = False
 
     def post(self, work: Callable[..., object], *args: Any) -> bool:
-        """Have the loop's thread call this; False if the loop is closed, and nothing will be called."""
+        """Call this on the loop's thread; any thread may post.
+
+        Returns:
+            False if the loop is closed, so that nothing will be called.
+        """
         self._items.append((work, args))
-        if self._is_woken:
+        if self._is_wakeup_scheduled:
             return True
-        self._is_woken = True
+        self._is_wakeup_scheduled = True
         try:
-            self._loop.call_soon_threadsafe(self.empty)
+            self._loop.call_soon_threadsafe(self.run_posted)
         except RuntimeError:
             return False
         return True
 
-    def empty(self) -> None:
-        """Do all that has been posted so far; on the loop's thread only."""
+    def run_posted(self) -> None:
+        """Run the work posted so far; on the loop's thread only."""
         # First, so that whatever is posted from here on wakes the loop again.
-        self._is_woken = False
+        self._is_wakeup_scheduled = False
         for _ in range(len(self._items)):
             work, args = self._items.popleft()
             try:
                 work(*args)
-            except Exception as fault:
-                # Guards against a defect that leaves the rest undone, with nothing to wake the loop for it.
-                context = {"message": "posted work failed", "exception": fault}
+            except Exception as error:
+                # The rest still has to run: nothing would wake the loop for it.
+                context = {"message": "posted work failed", "exception": error}
                 self._loop.call_exception_handler(context)
 
-    # On the loop's thread only
-
-    def expect(self, name: Hashable, within_s: float, overdue: Callable[[], object]) -> None:
-        """Call `overdue` once this is not `came` in time, or a little later.
+    def set_timeout(self, key: Hashable, timeout_s: float, on_timeout: Callable[[], object]) -> None:
+        """Call `on_timeout` after this time, or a little later, unless the timeout is cleared.
 
-        One timer looks after all: a timer for each would cost more than all else that this does.
+        For the loop's thread only.  One timer serves all timeouts, since one each would cost more than the
+        rest of a request here.
         """
-        self._awaited[name] = (self._loop.time() + within_s, overdue)
-        if not self._is_looking:
-            self._is_looking = True
-            self._loop.call_later(_LOOK_AGAIN_S, self._look)
+        self._timeouts[key] = (self._loop.time() + timeout_s, on_timeout)
+        if not self._is_check_scheduled:
+            self._is_check_scheduled = True
+            self._loop.call_later(_TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
-    def came(self, name: Hashable) -> None:
-        self._awaited.pop(name, None)
+    def clear_timeout(self, key: Hashable) -> None:
+        """Cancel a timeout, if it is set; on the loop's thread only."""
+        self._timeouts.pop(key, None)
 
-    def _look(self) -> None:
-        # After a stall of this loop, what was awaited may lie in the mailbox: that counts.
-        self.empty()
+    def _check_timeouts(self) -> None:
+        # After a stall of this loop, what it waits for may have been posted: that is in time.
+        self.run_posted()
         now = self._loop.time()
-        for name in [name for name, (due, _) in self._awaited.items() if due <= now]:
-            _, overdue = self._awaited.pop(name)
-            overdue()
-        self._is_looking = bool(self._awaited)
-        if self._is_looking:
-            self._loop.call_later(_LOOK_AGAIN_S, self._look)
+        for key in [key for key, (due, _) in self._timeouts.items() if due <= now]:
+            _, on_timeout = self._timeouts.pop(key)
+            on_timeout()
+        self._is_check_scheduled = bool(self._timeouts)
+        if self._is_check_scheduled:
+            self._loop.call_later(_TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
--- a/micadeck/library/request_validation.py
+++ b/micadeck/library/request_validation.py
@@ -1,4 +1,4 @@
-"""What a host hands over, made into a request of the protocol and checked.  No input or output."""
+"""Builds a request of the protocol from what a host passes, and validates it.  No input or output."""
 
 from __future__ import annotations
 
@@ -13,148 +13,233 @@
 from micadeck.http.settings_versions import SettingsVersions
 from micadeck.policy.settings import Idempotency, ServiceClass, Settings
 
-_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
+_HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+_HEADER_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
 _TARGET = re.compile(rb"[!-~]+")
 _METHOD = re.compile(rb"[A-Z]+")
-_PLAIN_TARGET = re.compile(r"/[!-~]*")
-_PLAIN_TEXT = re.compile(r"[!-~]{1,128}")
-_PLAIN_SIZE = 2_048  # of a target; with the other texts far under what a head may be
+_HEADER_SEPARATOR_BYTES = 4  # a colon, a space and the line's end
+_FAST_PATH_TARGET = re.compile(r"/[!-~]*")
+_FAST_PATH_VALUE = re.compile(r"[!-~]{1,128}")
+_FAST_PATH_MAX_TARGET = 2_048  # characters; together with the other texts well below MOST_HEAD
+_FAST_PATH_MIN_TIMEOUT_S = 0.001
+_FAST_PATH_MAX_TIMEOUT_S = 99_999.0
 
 
-class Malformed(BadRequestError):
-    """What the daemon's parser would not get through; it answers such without a word in the body."""
+class MalformedRequestError(BadRequestError):
+    """A request that is not valid HTTP; the daemon answers it without a body."""
 
+    @classmethod
+    def invalid_header_name(cls, name: bytes) -> MalformedRequestError:
+        """Return the error for a header's name."""
+        return cls(f"a header's name is nonsense: {name!r:.60}")
 
-class Reader:
-    """Checks requests as the daemon does, without the bytes on a wire between."""
+    @classmethod
+    def invalid_header_value(cls, name: bytes) -> MalformedRequestError:
+        """Return the error for the value of a header."""
+        return cls(f"the value of {name.decode().lower()} is nonsense")
 
-    def __init__(self, settings: Settings) -> None:
-        self._generations = SettingsVersions(settings)
-        self.classes: Mapping[str, ServiceClass] = {each.name: each for each in settings.classes}
-        self.tenants = frozenset(each.name for each in settings.tenants)
-
-    def read(
-        self, method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes
-    ) -> ValidatedRequest:
-        """Check a request; raise BadRequest, with the status that the daemon would answer, on nonsense."""
-        given: Headers = []
-        size = len(method) + len(target)
-        for name, value in headers:
-            # Guards against a line break in a value: servers would read what follows as a header, or a
-            # request.
-            if not _NAME.fullmatch(name):
-                raise Malformed(f"a header's name is nonsense: {name!r:.60}")
-            value = value.strip(b" \t")
-            if not _VALUE.fullmatch(value):
-                raise Malformed(f"the value of {name.decode().lower()} is nonsense")
-            given.append((name.lower(), value))
-            size += len(name) + len(value) + 4
-        if not _METHOD.fullmatch(method):
-            raise Malformed("the method is nonsense")
-        if not _TARGET.fullmatch(target):
-            raise Malformed("the target is nonsense")
-        if size > MOST_HEAD or len(given) > MOST_HEADERS:
-            raise Malformed("the headers are too large", 431)
-        if len(body) > MOST_BODY:
-            raise Malformed("the body is too large", 413)
-        return read_request(Request(method, target, given, body), self._generations)
+    @classmethod
+    def invalid_part(cls, part: str) -> MalformedRequestError:
+        """Return the error for the method or the target."""
+        return cls(f"the {part} is nonsense")
 
+    @classmethod
+    def headers_too_large(cls) -> MalformedRequestError:
+        """Return the error for headers above a limit."""
+        return cls("the headers are too large", 431)
 
-def new_id() -> bytes:
-    """A request's id that no other process, a forked one included, gives again."""
-    return os.urandom(16).hex().encode()
+    @classmethod
+    def body_too_large(cls) -> MalformedRequestError:
+        """Return the error for a body above its limit."""
+        return cls("the body is too large", 413)
 
 
 @dataclass(slots=True)
-class Wanted:
-    """A request as a host words it; times in seconds and microseconds as their names say."""
+class RequestOptions:
+    """A request as a host passes it to `Micadeck.request`.
+
+    Attributes:
+        target: Path and query.
+        body: The whole body.
+        timeout_s: The time that the request has, in seconds; None: the class's deadline.
+        tenant: The tenant's name, if any.
+        idempotency_key: The key, for classes that need one.
+        request_id: A unique id; None: a new one.
+        client_retry: Whether the host has sent it before.
+        work_hint_us: The expected work in microseconds.
+        headers: Further headers.
+        host: The value of the header Host.
+    """
 
     target: str
     body: bytes = b""
-    timeout_s: float | None = None  # None: the class's deadline
+    timeout_s: float | None = None
     tenant: str | None = None
     idempotency_key: str | None = None
-    request_id: str | None = None  # None: a new one
+    request_id: str | None = None
     client_retry: bool = False
     work_hint_us: int | None = None
     headers: Iterable[tuple[str, str]] = ()
     host: str = "localhost"
 
 
-def read_wanted(reader: Reader, kind: ServiceClass, wanted: Wanted) -> ValidatedRequest:
-    """Check what a host wants of this class; raise BadRequest as `Reader.read` does."""
-    plain = _plain(reader, kind, wanted)
-    if plain is not None:
-        return plain
-    method, target, headers = worded(kind, wanted)
-    return reader.read(method, target, headers, wanted.body)
-
-
-def worded(kind: ServiceClass, wanted: Wanted) -> tuple[bytes, bytes, list[tuple[bytes, bytes]]]:
-    """Method, target and headers, as a client of the daemon would write them."""
-    timeout = kind.deadline_us / 1e6 if wanted.timeout_s is None else wanted.timeout_s
-    hint = str(wanted.work_hint_us) if wanted.work_hint_us is not None else None
-    given = [
-        ("host", wanted.host),
-        ("request-id", wanted.request_id if wanted.request_id is not None else new_id().decode()),
-        ("request-class", kind.name),
-        ("request-timeout", f"{timeout:.6f}"),
-        ("tenant", wanted.tenant),
-        ("idempotency-key", wanted.idempotency_key),
-        ("work-hint", hint),
-        ("client-retry", "1" if wanted.client_retry else None),
-        *wanted.headers,
+class RequestValidator:
+    """Validates requests by the daemon's rules, without bytes on a connection."""
+
+    def __init__(self, settings: Settings) -> None:
+        """Validate by settings.
+
+        Args:
+            settings: They name the classes and tenants.
+        """
+        self._settings_versions = SettingsVersions(settings)
+        self.classes: Mapping[str, ServiceClass] = {each.name: each for each in settings.classes}
+        self.tenants = frozenset(each.name for each in settings.tenants)
+
+    def validate(
+        self, method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes
+    ) -> ValidatedRequest:
+        """Validate a request in the form of HTTP.
+
+        Args:
+            method: The HTTP method.
+            target: Path and query.
+            headers: Names in any case, with values.
+            body: The whole body.
+
+        Raises:
+            BadRequestError: If it is invalid, with the status that the daemon would answer.
+        """
+        checked_headers, headers_size = _check_headers(headers)
+        if not _METHOD.fullmatch(method):
+            raise MalformedRequestError.invalid_part("method")
+        if not _TARGET.fullmatch(target):
+            raise MalformedRequestError.invalid_part("target")
+        head_size = len(method) + len(target) + headers_size
+        if head_size > MOST_HEAD or len(checked_headers) > MOST_HEADERS:
+            raise MalformedRequestError.headers_too_large()
+        if len(body) > MOST_BODY:
+            raise MalformedRequestError.body_too_large()
+        return read_request(Request(method, target, checked_headers, body), self._settings_versions)
+
+    def validate_options(self, service_class: ServiceClass, options: RequestOptions) -> ValidatedRequest:
+        """Validate a request of a class.
+
+        Raises:
+            BadRequestError: If it is invalid, with the status that the daemon would answer.
+        """
+        if _is_on_fast_path(service_class, options):
+            return _build_directly(service_class, options, self.tenants)
+        method, target, headers = to_http(service_class, options)
+        return self.validate(method, target, headers, options.body)
+
+
+def new_request_id() -> bytes:
+    """Return a request id that no other process generates, forked ones included."""
+    return os.urandom(16).hex().encode()
+
+
+def to_http(
+    service_class: ServiceClass, options: RequestOptions
+) -> tuple[bytes, bytes, list[tuple[bytes, bytes]]]:
+    """Return method, target and headers, as a client of the daemon would send them."""
+    deadline_s = service_class.deadline_us / 1e6
+    timeout_s = deadline_s if options.timeout_s is None else options.timeout_s
+    work_hint = str(options.work_hint_us) if options.work_hint_us is not None else None
+    request_id = options.request_id if options.request_id is not None else new_request_id().decode()
+    fields = [
+        ("host", options.host),
+        ("request-id", request_id),
+        ("request-class", service_class.name),
+        ("request-timeout", f"{timeout_s:.6f}"),
+        ("tenant", options.tenant),
+        ("idempotency-key", options.idempotency_key),
+        ("work-hint", work_hint),
+        ("client-retry", "1" if options.client_retry else None),
+        *options.headers,
     ]
-    headers = [(_bytes(name), _bytes(value)) for name, value in given if value is not None]
-    return b"GET" if kind.repeat is Idempotency.IDEMPOTENT else b"POST", _bytes(wanted.target), headers
+    headers = [(_to_bytes(name), _to_bytes(value)) for name, value in fields if value is not None]
+    return _method_of(service_class), _to_bytes(options.target), headers
 
 
-def _bytes(text: str) -> bytes:
-    return text.encode("latin-1", "replace")
+def _check_headers(headers: Iterable[tuple[bytes, bytes]]) -> tuple[Headers, int]:
+    """Return the headers with names in lower case, and their size in bytes."""
+    checked: Headers = []
+    size = 0
+    for name, value in headers:
+        # A line break in a value would let servers read what follows as another header or request.
+        if not _HEADER_NAME.fullmatch(name):
+            raise MalformedRequestError.invalid_header_name(name)
+        stripped = value.strip(b" \t")
+        if not _HEADER_VALUE.fullmatch(stripped):
+            raise MalformedRequestError.invalid_header_value(name)
+        checked.append((name.lower(), stripped))
+        size += len(name) + len(stripped) + _HEADER_SEPARATOR_BYTES
+    return checked, size
 
 
-def _plain(reader: Reader, kind: ServiceClass, wanted: Wanted) -> ValidatedRequest | None:
-    """The same as `worded` and `Reader.read` together, for the requests that most are; None for others.
+def _method_of(service_class: ServiceClass) -> bytes:
+    return b"GET" if service_class.repeat is Idempotency.IDEMPOTENT else b"POST"
 
-    Nothing is refused here.  A test holds the two ways against one another.
-    """
-    key, ident, timeout = wanted.idempotency_key, wanted.request_id, wanted.timeout_s
+
+def _to_bytes(text: str) -> bytes:
+    return text.encode("latin-1", "replace")
+
+
+def _is_on_fast_path(service_class: ServiceClass, options: RequestOptions) -> bool:
+    """Whether a request is valid and common enough for `_build_directly`; others need full validation."""
+    timeout_s = options.timeout_s
+    has_key = options.idempotency_key is not None
     if (
-        wanted.headers
-        or wanted.work_hint_us is not None
-        or wanted.client_retry
-        or len(wanted.body) > MOST_BODY
-        or len(wanted.target) > _PLAIN_SIZE
-        or (key is not None) != (kind.repeat is Idempotency.KEYED)
-        or not (timeout is None or 0.001 <= timeout <= 99_999.0)
-        or not _PLAIN_TARGET.fullmatch(wanted.target)
+        options.headers
+        or options.work_hint_us is not None
+        or options.client_retry
+        or len(options.body) > MOST_BODY
+        or len(options.target) > _FAST_PATH_MAX_TARGET
+        or has_key != (service_class.repeat is Idempotency.KEYED)
+        or not (timeout_s is None or _FAST_PATH_MIN_TIMEOUT_S <= timeout_s <= _FAST_PATH_MAX_TIMEOUT_S)
+        or not _FAST_PATH_TARGET.fullmatch(options.target)
     ):
-        return None
-    for text in (wanted.host, kind.name, wanted.tenant, key, ident):
-        if text is not None and not _PLAIN_TEXT.fullmatch(text):
-            return None
-    target = wanted.target.encode()
-    name = ident.encode() if ident is not None else new_id()
-    headers = [(b"host", wanted.host.encode()), (b"request-id", name), (b"request-class", kind.name.encode())]
-    if wanted.tenant is not None:
-        headers.append((b"tenant", wanted.tenant.encode()))
-    if key is not None:
-        headers.append((b"idempotency-key", key.encode()))
-    is_safe = kind.repeat is Idempotency.IDEMPOTENT
-    if wanted.body or not is_safe:
-        headers.append((b"content-length", b"%d" % len(wanted.body)))
+        return False
+    name, key, request_id = service_class.name, options.idempotency_key, options.request_id
+    for value in (options.host, name, options.tenant, key, request_id):
+        if value is not None and not _FAST_PATH_VALUE.fullmatch(value):
+            return False
+    return True
+
+
+def _build_directly(
+    service_class: ServiceClass, options: RequestOptions, tenants: frozenset[str]
+) -> ValidatedRequest:
+    """Return what `to_http` and `RequestValidator.validate` would, at less cost; a test compares them."""
+    target = options.target.encode()
+    request_id = options.request_id.encode() if options.request_id is not None else new_request_id()
+    headers = [
+        (b"host", options.host.encode()),
+        (b"request-id", request_id),
+        (b"request-class", service_class.name.encode()),
+    ]
+    if options.tenant is not None:
+        headers.append((b"tenant", options.tenant.encode()))
+    if options.idempotency_key is not None:
+        headers.append((b"idempotency-key", options.idempotency_key.encode()))
+    is_write = service_class.repeat is not Idempotency.IDEMPOTENT
+    if options.body or is_write:
+        headers.append((b"content-length", b"%d" % len(options.body)))
+    remaining_us = service_class.deadline_us
+    if options.timeout_s is not None:
+        remaining_us = min(round(options.timeout_s * 1e6), remaining_us)
     return ValidatedRequest(
-        service_class=kind.name,
-        tenant=wanted.tenant if wanted.tenant in reader.tenants else None,
+        service_class=service_class.name,
+        tenant=options.tenant if options.tenant in tenants else None,
         key=key_of(target),
-        remaining_us=kind.deadline_us if timeout is None else min(round(timeout * 1e6), kind.deadline_us),
+        remaining_us=remaining_us,
         cost_us=None,
         client_retry=False,
-        ident=name,
-        write=not is_safe,
-        method=b"GET" if is_safe else b"POST",
+        ident=request_id,
+        write=is_write,
+        method=_method_of(service_class),
         target=target,
         headers=headers,
-        body=wanted.body,
+        body=options.body,
     )
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -299,9 +299,9 @@
         with world(1) as there:
             async with _balancer(there) as balancer:
                 hold = threading.Event()
-                worker = balancer._worker
-                assert worker is not None and worker._inbox is not None
-                worker._inbox.post(hold.wait)  # the engine's thread is busy
+                background = balancer._background
+                assert background is not None and background._inbox is not None
+                background._inbox.post(hold.wait)  # the engine's thread is busy
                 asked = asyncio.ensure_future(balancer.request("lodge", "/api/1"))
                 await asyncio.sleep(0)
                 asked.cancel()
@@ -390,14 +390,14 @@
                 asking.start()
                 asked = asyncio.ensure_future(balancer.request("lodge", "/api/2"))
                 await until(lambda: len(there.heard()) == 2)
-                worker = balancer._worker
-                assert worker is not None and worker._inbox is not None
+                background = balancer._background
+                assert background is not None and background._inbox is not None
                 began = time.monotonic()
 
                 def defect() -> None:
                     raise SystemExit("a defect")
 
-                worker._inbox.post(defect)
+                background._inbox.post(defect)
                 answers = [await asked]
                 asking.join()
                 answers += [*got, await balancer.request("lodge", "/api/3"), balancer.call("lodge", "/api/4")]
@@ -415,9 +415,9 @@
         with world(1) as there:
             async with _balancer(there) as balancer:
                 hold = threading.Event()
-                worker = balancer._worker
-                assert worker is not None and worker._inbox is not None
-                worker._inbox.post(hold.wait)
+                background = balancer._background
+                assert background is not None and background._inbox is not None
+                background._inbox.post(hold.wait)
                 got: list[Answer] = []
                 ask = threading.Thread(
                     target=lambda: got.append(balancer.call("lodge", "/api/1", timeout_s=0.1))
@@ -481,7 +481,7 @@
             return (await balancer.request("check", "/api/1")).kind
 
         assert [asyncio.run(one()) for _ in range(20)] == [Kind.SERVED] * 20
-        assert sum(each.is_closed() for each in micadeck.library.balancer._mailboxes) <= 1
+        assert sum(each.is_closed() for each in micadeck.library.balancer._inboxes) <= 1
 
 
 def test_an_id_that_is_open_is_not_taken_twice() -> None:
