--- a/micadeck/asgi.py
+++ b/micadeck/asgi.py
@@ -1,7 +1,7 @@
 """The balancer as ASGI middleware (ASGI 3.0: https://asgi.readthedocs.io/en/latest/specs/).
 
-Requests under a prefix that carry the protocol's headers are balanced; all others go to the application.  It
-needs nothing beside the package; `micadeck[asgi]` brings the host that it is tested under.
+Requests below a path prefix that have the protocol's headers are balanced; all others go to the application.
+It needs nothing beyond this package; `micadeck[asgi]` adds the server that it is tested with.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 import asyncio
 import os
 from collections.abc import Awaitable, Callable, Mapping, MutableMapping
+from http import HTTPStatus
 from typing import Any
 
 from micadeck.config import Config
@@ -22,17 +23,16 @@
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
 STATE_KEY = "micadeck"
-# One of them is enough: a request that lacks another is answered as the daemon would, and not passed by.
-_OWN_HEADERS = frozenset((b"request-class", b"request-id", b"request-timeout"))
+# Any one of them marks a request of the protocol: if another is missing, it is answered as the daemon would.
+_PROTOCOL_HEADERS = frozenset((b"request-class", b"request-id", b"request-timeout"))
 
 
 class MicadeckMiddleware:
-    """Balances what is addressed to the servers; the application's handlers find the balancer in the state.
+    """Balances requests for the servers; the application's handlers find the balancer in the state.
 
     `app.add_middleware(MicadeckMiddleware, balancer=config, prefix="/api/")`, with a configuration or a
-    balancer of one's own.  Lifespan starts the balancer and drains it; one that was already started is left
-    running. Under hosts without lifespan it is started by the first request and drained as the interpreter
-    exits.
+    balancer.  Lifespan starts the balancer and closes it; one that was started before is left running.  Under
+    servers without lifespan the first request starts it, and it is closed when the interpreter exits.
     """
 
     def __init__(
@@ -42,116 +42,141 @@
         *,
         prefix: str = "/api/",
     ) -> None:
+        """Wrap an application.
+
+        Args:
+            app: Receives all other requests.
+            balancer: A balancer, or the configuration of one.
+            prefix: Of the paths whose requests are balanced.
+
+        Raises:
+            ConfigError: If the configuration is invalid.
+            ValueError: If the prefix is not a path.
+        """
         if not prefix.startswith("/"):
-            raise ValueError(f"prefix: a path is needed, not {prefix!r:.60}")
+            message = f"prefix: a path is needed, not {prefix!r:.60}"
+            raise ValueError(message)
         self.app = app
         self.balancer = balancer if isinstance(balancer, Micadeck) else Micadeck(balancer)
         self._prefix = prefix
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Handle one connection scope."""
         if scope["type"] == "lifespan":
-            await self._live(scope, receive, send)
+            await _Lifespan(self.app, self.balancer, scope, receive, send).run()
             return
         if scope["type"] in ("http", "websocket"):
             scope.setdefault("state", {})[STATE_KEY] = self.balancer
-            if scope["type"] == "http" and self._is_ours(scope):
+            if scope["type"] == "http" and self._is_for_servers(scope):
                 await self._balance(scope, receive, send)
                 return
         await self.app(scope, receive, send)
 
-    def _is_ours(self, scope: Scope) -> bool:
+    def _is_for_servers(self, scope: Scope) -> bool:
         return scope["path"].startswith(self._prefix) and any(
-            name.lower() in _OWN_HEADERS for name, _ in scope["headers"]
+            name.lower() in _PROTOCOL_HEADERS for name, _ in scope["headers"]
         )
 
-    # Requests
-
     async def _balance(self, scope: Scope, receive: Receive, send: Send) -> None:
         if not self.balancer.is_started:
             self.balancer.start()
-        body = bytearray()
-        more = True
-        while more:
-            message = await receive()
-            if message["type"] == "http.disconnect":
-                return  # it was never whole
-            body += message.get("body", b"")
-            if len(body) > MOST_BODY:
-                break  # too large as it is; the rest is not read
-            more = message.get("more_body", False)
+        body = await _read_body(receive)
+        if body is None:
+            return
         target = scope.get("raw_path") or scope["path"].encode("latin-1", "replace")
         if scope.get("query_string"):
             target = b"%s?%s" % (target, scope["query_string"])
-        asking = asyncio.ensure_future(
-            self.balancer.exchange(scope["method"].encode(), target, scope["headers"], bytes(body))
+        exchange = asyncio.ensure_future(
+            self.balancer.exchange(scope["method"].encode(), target, scope["headers"], body)
         )
-        answer = await _unless_gone(asking, receive)
+        answer = await _unless_disconnected(exchange, receive)
         if answer is not None:
-            await _write(answer, send)
-
-    # Lifespan
-
-    async def _live(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Start before the application does, and drain after it has ended; an application may know no
-        lifespan."""
-        scope.setdefault("state", {})[STATE_KEY] = self.balancer
-        was_started = self.balancer.is_started
-        has_begun = has_ended = False
-
-        async def hear() -> Message:
-            nonlocal has_begun
-            message = await receive()
-            if message["type"] == "lifespan.startup":
-                self.balancer.start()
-                has_begun = True
-            return message
-
-        async def say(message: Message) -> None:
-            nonlocal has_ended
-            if message["type"] in ("lifespan.shutdown.complete", "lifespan.shutdown.failed"):
-                has_ended = True
-                if not was_started:
-                    await self.balancer.aclose()
-            elif message["type"] == "lifespan.startup.failed" and not was_started:
-                await self.balancer.aclose()
-            await send(message)
+            await _send_answer(answer, send)
 
-        try:
-            await self.app(scope, hear, say)
-        except Exception:
-            if has_ended:
-                raise
-            # An application may answer that it knows no lifespan by raising; the balancer needs it all the
-            # same.
-            await self._live_alone(has_begun, hear, say)
 
-    async def _live_alone(self, has_begun: bool, hear: Receive, say: Send) -> None:
-        if not has_begun:
-            await hear()
-        await say({"type": "lifespan.startup.complete"})
-        await hear()
-        await say({"type": "lifespan.shutdown.complete"})
+class _Lifespan:
+    """Starts the balancer before the application and closes it after; the application may lack lifespan."""
 
+    def __init__(self, app: App, balancer: Micadeck, scope: Scope, receive: Receive, send: Send) -> None:
+        scope.setdefault("state", {})[STATE_KEY] = balancer
+        self._app = app
+        self._balancer = balancer
+        self._scope = scope
+        self._server_receive = receive
+        self._server_send = send
+        self._was_started_before = balancer.is_started
+        self._has_started = False
+        self._has_shut_down = False
 
-async def _unless_gone(asking: asyncio.Future[Answer], receive: Receive) -> Answer | None:
-    """The answer, or None if the client left before it came."""
-    leaving = asyncio.ensure_future(_disconnected(receive))
+    async def run(self) -> None:
+        """Run the application's lifespan; without one, answer the server in its place."""
+        try:
+            await self._app(self._scope, self._receive, self._send)
+        except Exception:
+            if self._has_shut_down:
+                raise
+            # By the specification an application may raise to show that it does not support lifespan.
+            await self._run_without_application()
+
+    async def _run_without_application(self) -> None:
+        if not self._has_started:
+            await self._receive()
+        await self._send({"type": "lifespan.startup.complete"})
+        await self._receive()
+        await self._send({"type": "lifespan.shutdown.complete"})
+
+    async def _receive(self) -> Message:
+        message = await self._server_receive()
+        if message["type"] == "lifespan.startup":
+            self._balancer.start()
+            self._has_started = True
+        return message
+
+    async def _send(self, message: Message) -> None:
+        if message["type"] in ("lifespan.shutdown.complete", "lifespan.shutdown.failed"):
+            self._has_shut_down = True
+            await self._close()
+        elif message["type"] == "lifespan.startup.failed":
+            await self._close()
+        await self._server_send(message)
+
+    async def _close(self) -> None:
+        if not self._was_started_before:
+            await self._balancer.aclose()
+
+
+async def _read_body(receive: Receive) -> bytes | None:
+    """Return the body, or what was read once it is too large; None if the client disconnects first."""
+    body = bytearray()
+    has_more = True
+    while has_more and len(body) <= MOST_BODY:
+        message = await receive()
+        if message["type"] == "http.disconnect":
+            return None
+        body += message.get("body", b"")
+        has_more = message.get("more_body", False)
+    return bytes(body)
+
+
+async def _unless_disconnected(exchange: asyncio.Future[Answer], receive: Receive) -> Answer | None:
+    """Return the answer; None if the client disconnects first, which withdraws the request."""
+    disconnect = asyncio.ensure_future(_wait_for_disconnect(receive))
     try:
-        await asyncio.wait((asking, leaving), return_when=asyncio.FIRST_COMPLETED)
-        return asking.result() if asking.done() else None
+        await asyncio.wait((exchange, disconnect), return_when=asyncio.FIRST_COMPLETED)
+        return exchange.result() if exchange.done() else None
     finally:
-        asking.cancel()  # does nothing to one that is done
-        leaving.cancel()
+        exchange.cancel()  # has no effect once it is done
+        disconnect.cancel()
 
 
-async def _disconnected(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     while (await receive())["type"] != "http.disconnect":
-        pass  # an empty piece of body from hosts that send one
+        pass  # some servers send an empty part of the body
 
 
-async def _write(answer: Answer, send: Send) -> None:
+async def _send_answer(answer: Answer, send: Send) -> None:
     headers = [*answer.headers, (b"content-length", b"%d" % len(answer.body))]
-    if 400 <= answer.status < 500:
-        headers.append((b"connection", b"close"))  # as the daemon does with what it can't serve
+    if HTTPStatus.BAD_REQUEST <= answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+        headers.append((b"connection", b"close"))  # as the daemon does after an invalid request
     await send({"type": "http.response.start", "status": answer.status, "headers": headers})
     await send({"type": "http.response.body", "body": answer.body})
--- a/micadeck/httpx.py
+++ b/micadeck/httpx.py
@@ -1,8 +1,8 @@
-"""The balancer under an httpx client (https://www.python-httpx.org/advanced/transports/): `micadeck[httpx]`.
+"""The balancer as transports of httpx (https://www.python-httpx.org/advanced/transports/): `micadeck[httpx]`.
 
-`httpx.AsyncClient(transport=AsyncMicadeckTransport(balancer))` sends what it is asked to one of the servers,
-whatever host the URL names.  Answers are the daemon's: 200 served, 503 refused with `Retry-After`, 502, 504
-and 500 failed; the `Answer` itself stands in `response.extensions["micadeck"]`.
+`httpx.AsyncClient(transport=AsyncMicadeckTransport(balancer))` sends each request to one of the servers,
+whatever host its URL names.  Responses are the daemon's: 200 served, 503 refused with `Retry-After`, 502, 504
+and 500 failed; the `Answer` is in `response.extensions["micadeck"]`.
 """
 
 from __future__ import annotations
@@ -17,103 +17,133 @@
 from micadeck.library.request_validation import new_request_id
 from micadeck.policy.settings import Idempotency
 
-_REPEAT_BY_FORM = {
+Headers = list[tuple[bytes, bytes]]
+
+_IDEMPOTENCY_BY_FORM = {  # by the method, and whether there is a header Idempotency-Key
     ("GET", False): Idempotency.IDEMPOTENT,
     ("POST", True): Idempotency.KEYED,
     ("POST", False): Idempotency.NON_IDEMPOTENT,
 }
 
 
-class _Wording:
-    """Fills in what the protocol asks for and a client's request lacks."""
+class _ProtocolHeaders:
+    """Adds the protocol's headers that a request lacks."""
 
     def __init__(self, balancer: Micadeck, service_class: str | None) -> None:
         classes = balancer.config.settings.classes
         if service_class is not None and all(each.name != service_class for each in classes):
-            raise ValueError(f"service_class: {service_class!r:.60} is none of the configuration's classes")
-        self.balancer = balancer
-        self._fixed = service_class
-        self._deadlines = {each.name: each.deadline_us / 1e6 for each in classes}
-        # Where several classes repeat alike, nobody can tell which is meant.
-        self._only = {
-            repeat: [each.name for each in classes if each.repeat is repeat] for repeat in Idempotency
+            message = f"service_class: {service_class!r:.60} is none of the configuration's classes"
+            raise ValueError(message)
+        self._default_class = service_class
+        self._deadlines_s = {each.name: each.deadline_us / 1e6 for each in classes}
+        self._classes_by_idempotency = {
+            idempotency: [each.name for each in classes if each.repeat is idempotency]
+            for idempotency in Idempotency
         }
 
-    def __call__(self, request: httpx.Request) -> list[tuple[bytes, bytes]]:
+    def add_to(self, request: httpx.Request) -> Headers:
+        """Return the headers of a request with those that it lacks."""
         headers = [(name.lower(), value) for name, value in request.headers.raw]
-        there = {name for name, _ in headers}
-        if b"request-id" not in there:
+        present = {name for name, _ in headers}
+        if b"request-id" not in present:
             headers.append((b"request-id", new_request_id()))
-        if b"request-class" not in there:
-            name = self._fixed or self._by_form(request.method, b"idempotency-key" in there)
-            if name is not None:
-                headers.append((b"request-class", name.encode("latin-1", "replace")))
+        service_class: str | None
+        if b"request-class" in present:
+            service_class = request.headers["request-class"]
         else:
-            name = request.headers["request-class"]
-        if b"request-timeout" not in there:
-            headers.append((b"request-timeout", b"%.6f" % self._time(request, name)))
+            has_key = b"idempotency-key" in present
+            service_class = self._default_class or self._only_class(request.method, has_key=has_key)
+            if service_class is not None:
+                headers.append((b"request-class", service_class.encode("latin-1", "replace")))
+        if b"request-timeout" not in present:
+            headers.append((b"request-timeout", b"%.6f" % self._timeout_s(request, service_class)))
         return headers
 
-    def _by_form(self, method: str, has_key: bool) -> str | None:
-        repeat = _REPEAT_BY_FORM.get((method, has_key))
-        fitting = self._only[repeat] if repeat is not None else []
+    def _only_class(self, method: str, *, has_key: bool) -> str | None:
+        """Return the class that fits a request; None if there are several or none."""
+        idempotency = _IDEMPOTENCY_BY_FORM.get((method, has_key))
+        fitting = self._classes_by_idempotency[idempotency] if idempotency is not None else []
         return fitting[0] if len(fitting) == 1 else None
 
-    def _time(self, request: httpx.Request, name: str | None) -> float:
-        """The client's own read timeout, up to the class's deadline."""
-        longest = self._deadlines.get(name or "", max(self._deadlines.values()))
-        wanted = request.extensions.get("timeout", {}).get("read")
-        return min(wanted, longest) if wanted is not None else longest
-
-
-def _response(answer: Answer) -> httpx.Response:
-    extensions: dict[str, Any] = {"micadeck": answer}
-    stream = httpx.ByteStream(answer.body)
-    return httpx.Response(answer.status, headers=answer.headers, stream=stream, extensions=extensions)
-
-
-def _join(body: bytearray, piece: bytes) -> bool:
-    """Take a piece in; whether more may come.  One byte over the limit is enough to be turned away for it."""
-    body += piece[: MOST_BODY + 1 - len(body)]
-    return len(body) <= MOST_BODY
+    def _timeout_s(self, request: httpx.Request, service_class: str | None) -> float:
+        """Return the client's read timeout, up to the deadline of the class."""
+        deadline_s = self._deadlines_s.get(service_class or "", max(self._deadlines_s.values()))
+        read_timeout_s = request.extensions.get("timeout", {}).get("read")
+        return min(read_timeout_s, deadline_s) if read_timeout_s is not None else deadline_s
 
 
 class AsyncMicadeckTransport(httpx.AsyncBaseTransport):
-    """For `httpx.AsyncClient`.
+    """Transport for `httpx.AsyncClient`.
 
-    A request's class is its header `Request-Class`, else `service_class`, else the only class of the
-    configuration that goes with its method (GET: safe; POST: keyed with `Idempotency-Key`, unsafe without).
-    The balancer is whoever's that made it: it must be started, and is not closed with the client.
+    The class of a request is its header `Request-Class`, else `service_class`, else the only class of the
+    configuration that fits its method (GET: idempotent; POST: keyed with `Idempotency-Key`, else not
+    idempotent).  The caller owns the balancer: it must be started, and is not closed with the client.
     """
 
     def __init__(self, balancer: Micadeck, *, service_class: str | None = None) -> None:
-        self._worded = _Wording(balancer, service_class)
+        """Send by a balancer.
+
+        Args:
+            balancer: A started balancer.
+            service_class: The class of requests without the header `Request-Class`.
+
+        Raises:
+            ValueError: If the configuration has no such class.
+        """
+        self._balancer = balancer
+        self._protocol_headers = _ProtocolHeaders(balancer, service_class)
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
+        """Send a request and return the response."""
         body = bytearray()
         assert isinstance(request.stream, httpx.AsyncByteStream)
-        async for piece in request.stream:
-            if not _join(body, piece):
+        async for chunk in request.stream:
+            if not _append(body, chunk):
                 break
-        answer = await self._worded.balancer.exchange(
-            request.method.encode(), request.url.raw_path, self._worded(request), bytes(body)
+        headers = self._protocol_headers.add_to(request)
+        answer = await self._balancer.exchange(
+            request.method.encode(), request.url.raw_path, headers, bytes(body)
         )
-        return _response(answer)
+        return _to_response(answer)
 
 
 class MicadeckTransport(httpx.BaseTransport):
-    """For `httpx.Client`; the same, on whatever thread calls."""
+    """Transport for `httpx.Client`, on any thread; otherwise the same as `AsyncMicadeckTransport`."""
 
     def __init__(self, balancer: Micadeck, *, service_class: str | None = None) -> None:
-        self._worded = _Wording(balancer, service_class)
+        """Send by a balancer.
+
+        Args:
+            balancer: A started balancer.
+            service_class: The class of requests without the header `Request-Class`.
+
+        Raises:
+            ValueError: If the configuration has no such class.
+        """
+        self._balancer = balancer
+        self._protocol_headers = _ProtocolHeaders(balancer, service_class)
 
     def handle_request(self, request: httpx.Request) -> httpx.Response:
+        """Send a request and return the response."""
         body = bytearray()
         assert isinstance(request.stream, Iterable)
-        for piece in request.stream:
-            if not _join(body, piece):
+        for chunk in request.stream:
+            if not _append(body, chunk):
                 break
-        answer = self._worded.balancer.exchange_blocking(
-            request.method.encode(), request.url.raw_path, self._worded(request), bytes(body)
+        headers = self._protocol_headers.add_to(request)
+        answer = self._balancer.exchange_blocking(
+            request.method.encode(), request.url.raw_path, headers, bytes(body)
         )
-        return _response(answer)
+        return _to_response(answer)
+
+
+def _append(body: bytearray, chunk: bytes) -> bool:
+    """Append a chunk; False once the body is one byte above its limit, which is enough to reject it."""
+    body += chunk[: MOST_BODY + 1 - len(body)]
+    return len(body) <= MOST_BODY
+
+
+def _to_response(answer: Answer) -> httpx.Response:
+    extensions: dict[str, Any] = {"micadeck": answer}
+    stream = httpx.ByteStream(answer.body)
+    return httpx.Response(answer.status, headers=answer.headers, stream=stream, extensions=extensions)
