--- a/micadeck/fleet/authentication.py
+++ b/micadeck/fleet/authentication.py
@@ -123,7 +123,7 @@
         self.start_us = start_us
         self._name = name
         self._sequence = 0
-        self._windows: dict[str, _ReplayWindow] = {}  # by sender, the most recently used last
+        self._windows: dict[str, _ReplayWindow] = {}  # by sender, the last one used at the end
         self.set_keys(keys)
 
     def set_keys(self, keys: Keys) -> None:
--- a/micadeck/fleet/dissemination.py
+++ b/micadeck/fleet/dissemination.py
@@ -88,7 +88,7 @@
         self.broadcasts.enqueue(f"server {hint.endpoint}", hint, expires_at, urgent=True)
 
     def take_recovered_members(self) -> int:
-        """Return how many dead members came back since the last call."""
+        """Return how many dead members recovered since the last call."""
         recovered, self._recovered_members = self._recovered_members, 0
         return recovered
 
--- a/micadeck/fleet/failure_detector.py
+++ b/micadeck/fleet/failure_detector.py
@@ -89,7 +89,7 @@
             self.dissemination.apply(current.observed_as(MemberState.SUSPECT, suspected_by=self.local.name))
 
     def send_indirect_probes(self, timer: ProbeTimeoutTimer) -> None:
-        """Ask some members to probe a target that did not answer in time."""
+        """Request some members to probe a target that did not answer in time."""
         probe = self._probe
         if probe is None or probe.sequence != timer.sequence or probe.is_acknowledged:
             return
--- a/micadeck/fleet/fleet_member.py
+++ b/micadeck/fleet/fleet_member.py
@@ -51,7 +51,7 @@
 
 _REMOVAL_INTERVALS = 8  # expired members are removed once in so many probe intervals
 _LOST_PROBE_INTERVALS = 4  # a lost member is probed once in so many probe intervals
-_MAX_EXTRA_LOST_PROBES = 3  # in an interval after members came back
+_MAX_EXTRA_LOST_PROBES = 3  # in an interval after members recovered
 _DEPARTURE_RECEIVERS = 6  # members that are notified of a departure directly
 
 
@@ -150,7 +150,7 @@
         Args:
             now: The current time.
             wall: Unix time.
-            source: The address it came from.
+            source: The address of its sender.
             datagram: Its bytes, which may be anything.
         """
         self._start_step(now, wall)
@@ -226,7 +226,7 @@
             self._digests.remove(name)
 
     def _probe_lost_members(self, *, has_probed: bool) -> None:
-        """Look for members on the other side of a partition: more of them while some come back."""
+        """Probe members that may be on the other side of a partition, more of them while some recover."""
         is_regular = not has_probed or self._intervals % _LOST_PROBE_INTERVALS == 0
         extra_probes = min(self._dissemination.take_recovered_members(), _MAX_EXTRA_LOST_PROBES)
         for _ in range(extra_probes + is_regular):
--- a/micadeck/fleet/messages.py
+++ b/micadeck/fleet/messages.py
@@ -1,6 +1,6 @@
 """Messages between members, as msgspec encodes them; values out of bounds are rejected in decoding.
 
-Every message is an array that begins with the number of its kind.
+Every message is an array whose first item is the number of its kind.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """Asks the receiver for an ack."""
+    """Requests an ack from the receiver."""
 
     sequence: NonNegativeInt
     digest: NonNegativeInt
@@ -48,7 +48,7 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Asks the receiver to ping a target for the sender (an indirect probe)."""
+    """Requests that the receiver ping a target for the sender (an indirect probe)."""
 
     sequence: NonNegativeInt
     target: MemberName
--- a/micadeck/fleet/settings.py
+++ b/micadeck/fleet/settings.py
@@ -30,7 +30,7 @@
     suspicion_multiplier: float = 1.5  # shortest suspicion: probe intervals for each tenfold of the members
     suspicion_max_factor: float = 3.0  # longest suspicion, as a multiple of the shortest
     suspicion_loss_factor: float = 8.0  # how much the fraction of missed probes prolongs a suspicion
-    max_health_score: int = 8  # Lifeguard's local health: timeouts grow to at most 1 + this many times
+    max_health_score: int = 8  # Lifeguard's local health: timeouts grow up to 1 + this many times
     retransmit_multiplier: float = 3.0  # transmissions of an update for each doubling of the members
     dead_retention_us: int = 60_000_000  # until a dead member is removed from the table
     tombstone_retention_us: int = 600_000_000  # until the last record of a removed member is dropped
--- a/micadeck/library/answer.py
+++ b/micadeck/library/answer.py
@@ -20,7 +20,7 @@
 
 
 class UnservedError(Exception):
-    """A request was not served; raised only for callers that ask for it.
+    """A request was not served; raised only for callers that opt in.
 
     Attributes:
         answer: The final answer.
@@ -48,7 +48,7 @@
         kind: What it guarantees.
         status: The HTTP status.
         headers: Names in lower case, with values.
-        body: The whole body.
+        body: The complete body.
         reason: A short text; empty if it was served.
         retry_after_s: When a retry was advised, in seconds.
         may_have_run: Whether a server may have started the request.
--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -99,7 +99,7 @@
         """Start the engine's thread, and return once requests are accepted; once started, do nothing.
 
         Raises:
-            OSError: If a socket that the configuration asks for can't be opened.
+            OSError: If a socket of the configuration can't be opened.
         """
         with self._start_lock:
             if self._background is None:
@@ -211,7 +211,7 @@
         Args:
             service_class: The name of the class.
             target: Path and query.
-            body: The whole body.
+            body: The complete body.
             timeout_s: The time that the request has, in seconds, up to the class's deadline, the default.
             tenant: The tenant's name, if any.
             idempotency_key: The key, for classes that need one.
@@ -266,7 +266,7 @@
             method: The HTTP method.
             target: Path and query.
             headers: Names in any case, with values.
-            body: The whole body.
+            body: The complete body.
         """
         background = self._require_started()
         request = self._validate(method, target, headers, body)
--- a/micadeck/library/engine.py
+++ b/micadeck/library/engine.py
@@ -23,7 +23,7 @@
         """Make an engine; the arguments are those of `Engine`."""
         super().__init__(*args)
         self._served_at = 0
-        self._requests_have_pauses = False  # whether the last request came after a pause
+        self._requests_have_pauses = False  # whether a pause preceded the last request
         self._deferred: AttemptEnded | None = None
 
     def _post(self, event: Event) -> None:
--- a/micadeck/library/request_validation.py
+++ b/micadeck/library/request_validation.py
@@ -60,7 +60,7 @@
 
     Attributes:
         target: Path and query.
-        body: The whole body.
+        body: The complete body.
         timeout_s: The time that the request has, in seconds; None: the class's deadline.
         tenant: The tenant's name, if any.
         idempotency_key: The key, for classes that need one.
@@ -105,7 +105,7 @@
             method: The HTTP method.
             target: Path and query.
             headers: Names in any case, with values.
-            body: The whole body.
+            body: The complete body.
 
         Raises:
             BadRequestError: If it is invalid, with the status that the daemon would answer.
