--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,4 +1,4 @@
-"""How long the fleet's view takes to settle, and what it costs: `python benchmarks/fleet_view.py [SIZE ...]`.
+"""How long members take to agree, and what it costs: `python benchmarks/fleet_view.py [SIZE ...]`.
 
 Members on a virtual clock with delays of 0.5 to 20 ms, no sockets; what it prints is in docs/design/fleet.md.
 """
@@ -25,8 +25,8 @@
     return f"{ordered[len(ordered) // 2]:5.2f} {ordered[int(len(ordered) * 0.99)]:5.2f} {ordered[-1]:5.2f}"
 
 
-def _apart(half: set[str], source: str, target: str) -> bool:
-    return (source in half) != (target in half)
+def _is_cut(side: set[str], source: str, target: str) -> bool:
+    return (source in side) != (target in side)
 
 
 def settle(count: int, runs: int) -> None:
@@ -43,8 +43,8 @@
         waits["join"].append(stage.until(stage.agree, ALL_S * S))
         stage.leave(name)
         waits["leave"].append(stage.until(stage.agree, ALL_S * S))
-        half = set(list(stage.members)[: count // 2])
-        stage.cut = partial(_apart, half)
+        side = set(list(stage.members)[: count // 2])
+        stage.cut = partial(_is_cut, side)
         stage.run(10 * S)
         stage.cut = lambda source, target: False
         waits["heal"].append(stage.until(stage.agree, ALL_S * S))
@@ -52,8 +52,8 @@
         print(f"{count:5} members, {what:5}: p50 p99 max {spread(each)} s ({runs} runs)")
 
 
-def rest(count: int, seconds: int) -> None:
-    """What a member sends once all agree."""
+def idle_cost(count: int, seconds: int) -> None:
+    """Measure what a member sends once all agree."""
     stage = FleetStage(count, seed=1)
     stage.until(stage.agree, ALL_S * S)
     stage.run(120 * S if count <= 50 else 0)
@@ -70,7 +70,7 @@
 def lossy(loss: float, seconds: int) -> None:
     stage = FleetStage(8, seed=3, loss=loss)
     stage.run(seconds * S)
-    deaths = {(name, at // (10 * S)) for at, _, name in stage.said_dead()}
+    deaths = {(name, at // (10 * S)) for at, _, name in stage.declared_dead()}
     print(f"    8 members, {loss:.0%} lost, {seconds} s: {len(deaths)} false deaths")
 
 
@@ -78,7 +78,7 @@
     sizes = [int(each) for each in sys.argv[1:]] or [8, 50]
     for count in sizes:
         settle(count, RUNS.get(count, 1))
-        rest(count, 60 if count <= 50 else 5)
+        idle_cost(count, 60 if count <= 50 else 5)
     lossy(0.1, 3600)
     lossy(0.3, 3600)
 
--- a/micadeck/fleet/failure_detector.py
+++ b/micadeck/fleet/failure_detector.py
@@ -130,17 +130,17 @@
         if relayed is not None:
             self.outbox.send(relayed.requester, Nack(relayed.requester_sequence, self.table.digest))
 
-    def probe_lost_member(self, seeds: Sequence[Address]) -> None:
+    def probe_lost_member(self, join_addresses: Sequence[Address]) -> None:
         """Ping a dead member, or a configured address without a member: a partition may have healed.
 
         Args:
-            seeds: The configured addresses.
+            join_addresses: The configured addresses of members.
         """
         dead = [name for name, entry in self.table.entries.items() if entry.record.state is MemberState.DEAD]
         candidates = [(self.address_of(name), name) for name in dead]
         known = {self.address_of(name) for name in self.table.live_names(exclude=self.local.name)}
         known |= {address for address, _ in candidates}
-        candidates += [(address, "") for address in seeds if address not in known]
+        candidates += [(address, "") for address in join_addresses if address not in known]
         if candidates:
             address, name = self.rng.choice(candidates)
             self.outbox.send(address, Ping(UNACKNOWLEDGED, self.table.digest), self.records_ahead(name))
--- a/micadeck/fleet/fleet_member.py
+++ b/micadeck/fleet/fleet_member.py
@@ -62,18 +62,18 @@
     """
 
     def __init__(
-        self, identity: MemberRecord, keys: Keys, seed: int, settings: FleetSettings, now: int
+        self, identity: MemberRecord, keys: Keys, random_seed: int, settings: FleetSettings, now: int
     ) -> None:
         """Start a member that knows itself only.
 
         Args:
             identity: The name, start and address of this process.
             keys: The keys in force.
-            seed: Of the random choices of this member.
+            random_seed: The seed of this member's random choices.
             settings: The protocol's settings.
             now: The current time.
         """
-        rng = random.Random(seed)
+        rng = random.Random(random_seed)
         self.name = identity.name
         self.settings = settings
         self.table = MemberTable()
@@ -97,7 +97,7 @@
             self._outbox, self.timers, settings, rng,
         )  # fmt: skip
         self._rng = rng
-        self._seeds: list[Address] = []
+        self._join_addresses: list[Address] = []
         self._intervals = 0
         self._dissemination.publish_self()
         self.timers.schedule(rng.randrange(settings.probe_interval_us), ProbeIntervalTimer())
@@ -131,9 +131,9 @@
         """Return bounds of the number of members, as far as this one knows."""
         return self._digests.count_members()
 
-    def join(self, seeds: Iterable[Address]) -> None:
+    def join(self, addresses: Iterable[Address]) -> None:
         """Contact these addresses while no member is known there; one that answers is enough."""
-        self._seeds = [address for address in seeds if address != self._local.address]
+        self._join_addresses = [address for address in addresses if address != self._local.address]
 
     def tick(self, now: int, wall: int) -> Output:
         """Fire the timers that are due."""
@@ -230,7 +230,7 @@
         is_regular = not has_probed or self._intervals % _LOST_PROBE_INTERVALS == 0
         extra_probes = min(self._dissemination.take_recovered_members(), _MAX_EXTRA_LOST_PROBES)
         for _ in range(extra_probes + is_regular):
-            self._detector.probe_lost_member(self._seeds)
+            self._detector.probe_lost_member(self._join_addresses)
 
     def _recover_from_pause(self) -> None:
         """Discard what was in flight: this process was stopped, so silence means nothing about the others."""
--- a/micadeck/fleet/host.py
+++ b/micadeck/fleet/host.py
@@ -39,8 +39,8 @@
     config: FleetConfig
     name: str
     listen: Address  # where this sidecar receives datagrams
-    seeds: tuple[Address, ...]  # where other members may be
-    seed: int  # of the member's random choices
+    join_addresses: tuple[Address, ...]  # where other members may be
+    random_seed: int
     log: Callable[[str], None]
     suspect_stale: Callable[[], None]  # makes the sidecar query discovery: its endpoint list may be stale
     member: FleetMember = field(init=False)
@@ -54,9 +54,9 @@
         address = self.config.advertise or self.listen
         identity = MemberRecord.of_process(self.name, self.network.now(), address)
         config = self.config
-        self.member = FleetMember(identity, config.keys, self.seed, config.settings, self._now())
+        self.member = FleetMember(identity, config.keys, self.random_seed, config.settings, self._now())
         self.member.set_metadata(self._now(), Metadata(config.region))
-        self.member.join(self.seeds)
+        self.member.join(self.join_addresses)
         self.peers.hear_raw(self._receive)
 
     def start(self) -> None:
--- a/tests/fleet_stage.py
+++ b/tests/fleet_stage.py
@@ -1,4 +1,4 @@
-"""A fleet on one virtual clock: datagrams late, lost, doubled or cut; members killed, stopped, restarted."""
+"""A fleet on a virtual clock: datagrams delayed, lost, duplicated or cut; members killed or stopped."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
         self, count: int, seed: int = 1, settings: FleetSettings | None = None, loss: float = 0.0
     ) -> None:
         self.now = 0
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.settings = settings or FleetSettings()
         self.loss = loss
-        self.doubled = 0.0
+        self.duplicated = 0.0
         self.delay_us = (500, 20_000)
         self.cut: Callable[[str, str], bool] = lambda source, target: False
         self.members: dict[str, FleetMember] = {}
@@ -51,7 +51,7 @@
     def start(self, name: str, known: Iterable[str], keys: Keys = KEYS, ahead_us: int = 0) -> FleetMember:
         member = FleetMember(
             MemberRecord.of_process(name, WALL + self.now + ahead_us, self.address(name)), keys,
-            self.chance.getrandbits(32), self.settings, self.now,
+            self.rng.getrandbits(32), self.settings, self.now,
         )  # fmt: skip
         member.join([self.address(each) for each in known])
         self.members[name] = member
@@ -62,15 +62,15 @@
         del self.members[name]
 
     def leave(self, name: str) -> None:
-        """As SIGTERM: it says so, and ends."""
+        """As SIGTERM: it announces that it leaves, and ends."""
         self.play(name, self.members[name].leave(self.now, WALL + self.now))
         self.kill(name)
 
     def stop(self, name: str) -> None:
-        """As SIGSTOP: what comes waits in its socket."""
+        """As SIGSTOP: datagrams wait in its socket."""
         self.stopped[name] = []
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         waiting = self.stopped.pop(name)
         member = self.members[name]
         for source, data in waiting:
@@ -102,12 +102,12 @@
     def later(self, wait_us: int, call: Callable[[], object]) -> None:
         self._push(self.now + wait_us, call)
 
-    def until(self, done: Callable[[], bool], within_us: int, look_us: int = 50 * MS) -> int:
-        """Run until it holds; say how long that took."""
+    def until(self, done: Callable[[], bool], within_us: int, check_us: int = 50 * MS) -> int:
+        """Run until the condition holds; return how long that took."""
         began = self.now
         while not done():
-            assert self.now - began < within_us, "it never came to hold"
-            self.run(look_us)
+            assert self.now - began < within_us, "the condition never held"
+            self.run(check_us)
         return self.now - began
 
     def play(self, name: str, output: Output) -> None:
@@ -120,10 +120,10 @@
             self.sent[name] += 1
             self.bytes += len(data)
             target = self._name(to)
-            if self.cut(name, target) or self.chance.random() < self.loss:
+            if self.cut(name, target) or self.rng.random() < self.loss:
                 continue
-            for _ in range(1 + (self.chance.random() < self.doubled)):
-                wait = self.chance.randint(*self.delay_us)
+            for _ in range(1 + (self.rng.random() < self.duplicated)):
+                wait = self.rng.randint(*self.delay_us)
                 self._push(self.now + wait, partial(self._arrive, target, self.address(name), data))
 
     @staticmethod
@@ -142,10 +142,10 @@
         self._order += 1
         heapq.heappush(self._queue, (at, self._order, call))
 
-    # What is asked of it
+    # Its state
 
     def agree(self, names: Iterable[str] | None = None) -> bool:
-        """Whether these members hold one view: just themselves."""
+        """Whether the tables of these members have exactly themselves."""
         wanted = set(names or self.members)
         return all(
             {name for name, entry in self.members[each].table.entries.items() if entry.record.is_live}
@@ -154,7 +154,7 @@
             for each in wanted
         )
 
-    def said_dead(self) -> list[tuple[int, str, str]]:
+    def declared_dead(self) -> list[tuple[int, str, str]]:
         return [
             (at, by, each.record.name)
             for at, by, each in self.changes
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's view: who is there, though datagrams are lost, members die, and the fleet is cut."""
+"""Membership of the fleet: agreement despite lost datagrams, failed members and partitions."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 def records(seed: int, count: int) -> list[MemberRecord]:
-    drawn = random.Random(seed)
+    rng = random.Random(seed)
     return [
         MemberRecord(
-            f"n{drawn.randrange(6)}",
-            drawn.randrange(3),
-            drawn.randrange(3),
-            drawn.choice(list(MemberState)),
+            f"n{rng.randrange(6)}",
+            rng.randrange(3),
+            rng.randrange(3),
+            rng.choice(list(MemberState)),
             "h",
             1,
         )
@@ -43,27 +43,27 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_views_that_heard_the_same_in_any_order_and_number_hold_the_same(seed: int) -> None:
-    drawn, heard = random.Random(seed), records(seed, 40)
+def test_tables_with_the_same_records_are_equal_whatever_their_order_and_number(seed: int) -> None:
+    rng, received = random.Random(seed), records(seed, 40)
     tables = []
     for _ in range(3):
         table = MemberTable()
-        for at, record in enumerate(drawn.sample(heard, len(heard)) + drawn.choices(heard, k=30)):
+        for at, record in enumerate(rng.sample(received, len(received)) + rng.choices(received, k=30)):
             table.apply(at, record)
         tables.append(table)
-    there = [
+    live = [
         {n: (h.record.start_us, h.record.incarnation) for n, h in t.entries.items() if h.record.is_live}
         for t in tables
     ]
-    assert there[0] == there[1] == there[2]
+    assert live[0] == live[1] == live[2]
     assert tables[0].digest == tables[1].digest == tables[2].digest
     for table in tables:
-        held = [each.record.state for each in table.entries.values()]
-        assert table.state_counts == [held.count(state) for state in MemberState]
+        states = [each.record.state for each in table.entries.values()]
+        assert table.state_counts == [states.count(state) for state in MemberState]
         assert sum(sum(table.branch_digests((at,))) for at in range(16)) % 2**32 == table.digest % 2**32
 
 
-def test_one_that_was_forgotten_is_not_brought_back_by_slow_gossip() -> None:
+def test_a_removed_member_is_not_brought_back_by_a_late_update() -> None:
     table = MemberTable()
     alive = MemberRecord("n1", 5, 1, MemberState.ALIVE, "h", 1)
     assert table.apply(0, alive)
@@ -73,7 +73,7 @@
     assert table.apply(62 * S, msgspec.structs.replace(alive, start_us=6, incarnation=0))  # a new process
 
 
-def test_word_of_a_death_that_comes_before_the_birth_is_kept() -> None:
+def test_a_death_that_arrives_before_its_member_is_kept_as_a_tombstone() -> None:
     table = MemberTable()
     assert not table.apply(0, MemberRecord("n1", 5, 3, MemberState.DEAD))
     assert not table.apply(1, MemberRecord("n1", 5, 2, MemberState.ALIVE, "h", 1))
@@ -84,28 +84,34 @@
     return EndpointHint(server, "x" * 14, 1)
 
 
-def picked(queue: BroadcastQueue, now: int, room: int, times: int, but: tuple[str, ...] = ()) -> list[str]:
-    return [each.endpoint for each in queue.select(now, room, times, but) if isinstance(each, EndpointHint)]
+def selected(
+    queue: BroadcastQueue, now: int, max_bytes: int, limit: int, exclude: tuple[str, ...] = ()
+) -> list[str]:
+    return [
+        each.endpoint
+        for each in queue.select(now, max_bytes, limit, exclude)
+        if isinstance(each, EndpointHint)
+    ]
 
 
-def test_news_told_least_goes_first_and_ends_after_so_many_times() -> None:
+def test_updates_sent_fewest_times_go_first_and_leave_at_the_transmit_limit() -> None:
     queue = BroadcastQueue()
     for subject in "abc":
         queue.enqueue(subject, hint(subject), expires_at=100)
-    told = [picked(queue, 0, 50, 2) for _ in range(4)]
-    assert sorted(each for some in told for each in some) == ["a", "a", "b", "b", "c", "c"] and not queue
+    batches = [selected(queue, 0, 50, 2) for _ in range(4)]
+    assert sorted(each for batch in batches for each in batch) == ["a", "a", "b", "b", "c", "c"] and not queue
     queue.enqueue("a", hint("a"), expires_at=100)
     queue.enqueue("b", hint("b"), expires_at=5)
-    assert picked(queue, 10, 50, 9, ("c",)) == ["a"]
+    assert selected(queue, 10, 50, 9, ("c",)) == ["a"]
 
 
-def test_news_of_a_death_goes_ahead_of_a_flood_of_births() -> None:
+def test_a_death_goes_ahead_of_many_joins() -> None:
     queue = BroadcastQueue()
     for number in range(200):
         queue.enqueue(f"n{number}", hint(f"n{number}"), expires_at=100)
     queue.enqueue("dead", hint("dead"), expires_at=100, urgent=True)
-    told = [picked(queue, 0, 90, 5) for _ in range(6)]
-    assert [each[0] for each in told] == ["dead"] * 5 + [told[5][0]] and told[5][0] != "dead"
+    batches = [selected(queue, 0, 90, 5) for _ in range(6)]
+    assert [each[0] for each in batches] == ["dead"] * 5 + [batches[5][0]] and batches[5][0] != "dead"
 
 
 # Datagrams
@@ -115,7 +121,7 @@
     return DatagramAuthenticator(name, start, keys)
 
 
-def test_each_fault_of_a_datagram_is_counted_by_its_reason_and_changes_nothing() -> None:
+def test_each_invalid_datagram_is_counted_by_its_reason_and_changes_nothing() -> None:
     old, new = (1, b"o" * 16), (2, b"n" * 16)
     reader, writer = authenticator("n0"), authenticator()
     good = writer.encode(WALL, ["x"])
@@ -176,10 +182,10 @@
     sent = sum(stage.sent.values())
     stage.run(60 * S)
     assert (sum(stage.sent.values()) - sent) / 60 / 12 < 4.2  # a second and member, whatever the size
-    assert stage.said_dead() == []
+    assert stage.declared_dead() == []
 
 
-def test_one_killed_is_gone_from_all_views_and_back_under_its_name_at_once() -> None:
+def test_a_killed_member_is_removed_everywhere_and_back_under_its_name_at_once() -> None:
     stage = FleetStage(8)
     stage.until(stage.agree, 20 * S)
     stage.run(5 * S)
@@ -207,13 +213,13 @@
     assert set(starts.values()) == {stage.members["n1"].authenticator.start_us}
 
 
-def test_one_that_leaves_is_gone_at_once_and_nobody_calls_it_dead() -> None:
+def test_a_member_that_leaves_is_removed_at_once_and_never_declared_dead() -> None:
     stage = FleetStage(8)
     stage.until(stage.agree, 20 * S)
     stage.leave("n3")
     assert stage.until(lambda: all("n3" not in _there(stage, each) for each in stage.members), 9 * S) < 3 * S
     stage.run(10 * S)
-    assert stage.said_dead() == []
+    assert stage.declared_dead() == []
     assert stage.members["n0"].count_members().max_members == 7
 
 
@@ -232,68 +238,68 @@
     old = stage.members["n2"]
     stage.start("n2", ["n0"])
     stage.until(stage.agree, 20 * S)
-    # What reaches the old one, which is still there, tells it so.
+    # An update reaches the old one, which still runs.
     ping = stage.members["n0"].authenticator.encode(
-        WALL + stage.now, Ping(0, 0, (news_of(stage, "n0", "n2"),))
+        WALL + stage.now, Ping(0, 0, (record_of(stage, "n0", "n2"),))
     )
     old.receive(stage.now, WALL + stage.now, stage.address("n0"), ping)
     assert old.is_superseded
     assert old.tick(old.next_due, WALL + old.next_due).datagrams == []
 
 
-def news_of(stage: FleetStage, by: str, name: str) -> MemberRecord:
+def record_of(stage: FleetStage, by: str, name: str) -> MemberRecord:
     return stage.members[by].table.entries[name].record
 
 
 @pytest.mark.parametrize("span_s", [4, 20])
-def test_each_half_of_a_cut_goes_on_and_on_healing_all_are_there(span_s: int) -> None:
+def test_each_side_of_a_partition_settles_and_all_agree_once_it_heals(span_s: int) -> None:
     stage = FleetStage(10, seed=5)
     stage.until(stage.agree, 20 * S)
-    half = {f"n{number}" for number in range(5)}
-    stage.cut = lambda source, target: (source in half) != (target in half)
+    side = {f"n{number}" for number in range(5)}
+    stage.cut = lambda source, target: (source in side) != (target in side)
     stage.run(span_s * S)
     if span_s > 10:
-        assert stage.agree(half) and stage.agree(set(stage.members) - half)
+        assert stage.agree(side) and stage.agree(set(stage.members) - side)
         count = stage.members["n0"].count_members()
         assert (count.min_members, count.max_members) == (5, 5)
     stage.cut = lambda source, target: False
     assert stage.until(stage.agree, 60 * S) < 20 * S
 
 
-def test_what_one_way_loses_is_heard_through_helpers() -> None:
+def test_indirect_probes_cover_a_path_that_loses_one_way() -> None:
     stage = FleetStage(8, seed=2)
     stage.until(stage.agree, 20 * S)
     stage.cut = lambda source, target: (source, target) == ("n1", "n2")
     stage.run(120 * S)
-    assert stage.said_dead() == []
+    assert stage.declared_dead() == []
 
 
-@pytest.mark.parametrize(("loss", "most"), [(0.1, 0), (0.3, 0)])
-def test_lost_datagrams_make_nobody_dead(loss: float, most: int) -> None:
+@pytest.mark.parametrize(("loss", "max_deaths"), [(0.1, 0), (0.3, 0)])
+def test_lost_datagrams_cause_no_false_death(loss: float, max_deaths: int) -> None:
     stage = FleetStage(8, seed=4, loss=loss)
     stage.run(240 * S)
-    assert len(stage.said_dead()) <= most
+    assert len(stage.declared_dead()) <= max_deaths
     assert all(len(_there(stage, each)) == 8 for each in stage.members)
 
 
-def test_a_member_that_stood_still_calls_nobody_dead_and_is_back_soon() -> None:
+def test_a_stopped_member_declares_nobody_dead_and_recovers_soon() -> None:
     stage = FleetStage(8, seed=6)
     stage.until(stage.agree, 20 * S)
     stage.stop("n5")
     stage.run(2 * S)
-    stage.go_on("n5")
+    stage.resume("n5")
     woke = stage.now
     stage.until(stage.agree, 30 * S)
-    assert [each for each in stage.said_dead() if each[0] >= woke and each[1] == "n5"] == []
+    assert [each for each in stage.declared_dead() if each[0] >= woke and each[1] == "n5"] == []
 
 
 @pytest.mark.parametrize("ahead_ms", [10, 400, 900])  # of its end: before the member's next period, and after
-def test_a_member_that_stood_still_gives_a_suspect_all_its_time_once_more(ahead_ms: int) -> None:
+def test_a_stopped_member_gives_a_suspect_its_full_time_again(ahead_ms: int) -> None:
     stage = FleetStage(8, seed=6)
     stage.until(stage.agree, 20 * S)
     stage.run(5 * S)
     member = stage.members["n5"]
-    suspect = news_of(stage, "n5", "n6").observed_as(MemberState.SUSPECT, suspected_by="n1")
+    suspect = record_of(stage, "n5", "n6").observed_as(MemberState.SUSPECT, suspected_by="n1")
     ping = stage.members["n1"].authenticator.encode(WALL + stage.now, Ping(0, 0, (suspect,)))
     member.receive(stage.now, WALL + stage.now, stage.address("n1"), ping)
     ends = next(
@@ -309,7 +315,7 @@
     assert member.health.score == member.settings.max_health_score
 
 
-def test_a_view_settles_even_if_all_news_is_lost(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tables_converge_even_if_all_updates_are_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     stage = FleetStage(8, seed=7)
     stage.until(stage.agree, 20 * S)
     monkeypatch.setattr(BroadcastQueue, "select", lambda *given, **how: [])
@@ -318,20 +324,20 @@
     stage.until(stage.agree, 60 * S)
 
 
-def test_word_of_a_drain_reaches_all_and_each_hears_it_once() -> None:
+def test_a_hint_of_a_drain_reaches_all_members_once() -> None:
     stage = FleetStage(10, seed=8)
     stage.until(stage.agree, 20 * S)
     stage.members["n3"].broadcast_hint(stage.now, EndpointHint("s-17", "draining", 41))
 
-    def heard() -> set[str]:
+    def receivers() -> set[str]:
         return {name for _, name, event in stage.events if isinstance(event, EndpointHint)}
 
-    assert stage.until(lambda: len(heard()) == 9, 20 * S) < 5 * S
+    assert stage.until(lambda: len(receivers()) == 9, 20 * S) < 5 * S
     stage.run(20 * S)
     assert sum(isinstance(event, EndpointHint) for _, _, event in stage.events) == 9
 
 
-def test_facts_reach_all_a_few_seconds_apart_at_most() -> None:
+def test_metadata_reaches_all_members_at_limited_intervals() -> None:
     stage = FleetStage(6, seed=9)
     stage.until(stage.agree, 20 * S)
     stage.run(10 * S)
@@ -344,20 +350,18 @@
     assert stage.members["n1"].record.incarnation < 6
 
 
-def test_any_bytes_and_any_sealed_nonsense_change_nothing() -> None:
+def test_random_bytes_and_malformed_messages_with_a_valid_mac_change_nothing() -> None:
     stage = FleetStage(4, seed=10)
     stage.until(stage.agree, 20 * S)
-    member, drawn = stage.members["n0"], random.Random(11)
+    member, rng = stage.members["n0"], random.Random(11)
     liar = DatagramAuthenticator("liar", WALL, KEYS)
     before = {name: entry.record for name, entry in member.table.entries.items()}
     for _ in range(300):
-        member.receive(
-            stage.now, WALL + stage.now, stage.address("n1"), drawn.randbytes(drawn.randrange(260))
-        )
-        body: list[object] = drawn.choice(
+        member.receive(stage.now, WALL + stage.now, stage.address("n1"), rng.randbytes(rng.randrange(260)))
+        body: list[object] = rng.choice(
             [[], [1], [1, 2, 3], [0, 0, [[]]], [0, 0, [["n1"]]], [[9, 9, 9], [0] * 16], ["x"]]
         )
-        data = liar.encode(WALL + stage.now, [drawn.randrange(8), *body])
+        data = liar.encode(WALL + stage.now, [rng.randrange(8), *body])
         member.receive(stage.now, WALL + stage.now, stage.address("n1"), data)
     assert {name: entry.record for name, entry in member.table.entries.items()} == before
     assert member.malformed_messages > 100
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -1,4 +1,4 @@
-"""A member on its sockets, on the virtual network; and what its file may say."""
+"""A member with its sockets on the virtual network, and its configuration file."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
     return VirtualNetwork(wire.machine(Host(f"sidecar-{number}"), f"10.0.0.{number + 1}"))
 
 
-class Fleetful:
-    """Some hosts, each with what it logged and how often it doubted its list."""
+class FleetHosts:
+    """Some hosts, each with its log and how often it suspected its endpoint list."""
 
     def __init__(self, count: int) -> None:
         self.wire = virtual()
         self.loop = self.wire.loop
         self.logs: list[list[str]] = [[] for _ in range(count)]
-        self.doubts = [0] * count
+        self.suspicions = [0] * count
         self.hosts: list[FleetHost] = []
         self.places = tuple((f"10.0.0.{number + 1}", 9100) for number in range(count))
 
@@ -53,11 +53,13 @@
             network = host_of(self.wire, number)
             peers = PeerDatagrams(network, self.places, None, number)
 
-            def doubt(number: int = number) -> None:
-                self.doubts[number] += 1
+            def suspect_stale(number: int = number) -> None:
+                self.suspicions[number] += 1
 
             config, log = FleetConfig(KEYS, "north", None, FleetSettings()), self.logs[number].append
-            host = FleetHost(network, peers, config, f"n{number}", place, self.places, number, log, doubt)
+            host = FleetHost(
+                network, peers, config, f"n{number}", place, self.places, number, log, suspect_stale
+            )
             await peers.listen(place, lambda sender, data: None)
             host.start()
             self.hosts.append(host)
@@ -65,7 +67,7 @@
     def play(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
         """Start all, do this once they agree, and end all."""
 
-        async def whole() -> None:
+        async def run_all() -> None:
             await self.start()
             await asyncio.sleep(12.0)
             assert all(host.member.is_settled for host in self.hosts)
@@ -73,7 +75,7 @@
             for host in self.hosts:
                 host.close()
 
-        self.loop.run_until_complete(whole())
+        self.loop.run_until_complete(run_all())
 
 
 def entry(name: str, state: ServerState) -> EndpointEntry:
@@ -81,15 +83,17 @@
     return EndpointEntry(ListedServer(name, state=state), address)
 
 
-def test_word_of_a_drain_makes_the_others_ask_discovery_and_nothing_else() -> None:
-    fleet = Fleetful(4)
+def test_a_hint_of_a_drain_makes_the_others_query_discovery_and_nothing_else() -> None:
+    fleet = FleetHosts(4)
 
     async def work() -> None:
-        told = EndpointUpdate(7, False, (entry("s-1", ServerState.DRAINING), entry("s-2", ServerState.READY)))
-        fleet.hosts[3].listed(told)
-        fleet.hosts[1].listed(told)  # it was told by its own discovery as well
+        update = EndpointUpdate(
+            7, False, (entry("s-1", ServerState.DRAINING), entry("s-2", ServerState.READY))
+        )
+        fleet.hosts[3].listed(update)
+        fleet.hosts[1].listed(update)  # its own discovery sent it as well
         await asyncio.sleep(5.0)
-        assert [count > 0 for count in fleet.doubts] == [True, False, True, False]
+        assert [count > 0 for count in fleet.suspicions] == [True, False, True, False]
 
     fleet.play(work)
     assert all("fleet: 4 members, settled" in log for log in fleet.logs)
@@ -98,8 +102,8 @@
     )  # they left, nobody took over
 
 
-def test_a_list_that_is_all_news_says_nothing_of_single_servers() -> None:
-    fleet = Fleetful(3)
+def test_a_full_list_causes_no_hints() -> None:
+    fleet = FleetHosts(3)
 
     async def work() -> None:
         many = tuple(entry(f"s-{number}", ServerState.DRAINING) for number in range(200))
@@ -108,14 +112,14 @@
         await asyncio.sleep(5.0)
 
     fleet.play(work)
-    assert fleet.doubts == [0, 0, 0]
+    assert fleet.suspicions == [0, 0, 0]
 
 
 class Stranger(asyncio.DatagramProtocol):
-    """Has the key, and says what it likes."""
+    """A holder of the key that sends arbitrary messages."""
 
-    def __init__(self, fleet: Fleetful) -> None:
-        self.heard: list[tuple[float, int]] = []
+    def __init__(self, fleet: FleetHosts) -> None:
+        self.received: list[tuple[float, int]] = []
         self.authenticator = DatagramAuthenticator("stranger", 1, KEYS)
         self.network = host_of(fleet.wire, 9)
         self._fleet = fleet
@@ -126,33 +130,33 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         read = DatagramAuthenticator("any", 1, KEYS).decode(self.network.wall(), data)
         assert read is not None
-        self.heard.append((self._fleet.loop.time(), read[1][0]))
+        self.received.append((self._fleet.loop.time(), read[1][0]))
 
-    def say(self, message: Any) -> None:
+    def send(self, message: Any) -> None:
         self._transport.sendto(self.authenticator.encode(self.network.wall(), message), self._fleet.places[0])
 
 
-def test_a_helper_tells_in_time_that_it_got_no_answer_either() -> None:
-    fleet = Fleetful(3)
+def test_a_helper_sends_its_nack_in_time() -> None:
+    fleet = FleetHosts(3)
 
     async def work() -> None:
         stranger = Stranger(fleet)
         await stranger.network.datagrams(lambda: stranger, ("10.0.0.10", 9100))
         for number in range(8):  # wherever the helper's own period stands
-            asked_at = fleet.loop.time()
-            stranger.say(PingRequest(number, "n8", "10.0.0.9", 9100, 0))
+            sent_at = fleet.loop.time()
+            stranger.send(PingRequest(number, "n8", "10.0.0.9", 9100, 0))
             await asyncio.sleep(0.41)
-            told = [at - asked_at for at, kind in stranger.heard if kind == 3]
-            assert len(told) == 1 and told[0] < 0.205
-            stranger.heard.clear()
+            nack_delays = [at - sent_at for at, kind in stranger.received if kind == 3]
+            assert len(nack_delays) == 1 and nack_delays[0] < 0.205
+            stranger.received.clear()
 
     fleet.play(work)
 
 
-GOOD_CLAIM = [0, "n7", 5, 0, 0, "10.0.0.7", 9100, None, None]
-# Of a claim: which part can't be, and what stands there.
-LIES = [
-    (1, "n" * 150),  # a name that leaves no room in a datagram
+GOOD_RECORD = [0, "n7", 5, 0, 0, "10.0.0.7", 9100, None, None]
+# Of a record: the index of an invalid value, and the value.
+INVALID_VALUES = [
+    (1, "n" * 150),  # a name that fills a datagram
     (1, ""),
     (2, -1),
     (3, 2**64 - 1),  # an incarnation that nobody can refute
@@ -164,18 +168,18 @@
 ]
 
 
-@pytest.mark.parametrize(("part", "lie"), LIES)
-def test_a_member_that_tells_what_cannot_be_stops_nobody(part: int, lie: Any) -> None:
-    fleet = Fleetful(3)
-    claim = [*GOOD_CLAIM[:part], lie, *GOOD_CLAIM[part + 1 :]]
+@pytest.mark.parametrize(("part", "value"), INVALID_VALUES)
+def test_records_out_of_bounds_are_rejected_and_stop_nobody(part: int, value: Any) -> None:
+    fleet = FleetHosts(3)
+    record = [*GOOD_RECORD[:part], value, *GOOD_RECORD[part + 1 :]]
 
     async def work() -> None:
         stranger = Stranger(fleet)
         await stranger.network.datagrams(lambda: stranger, ("10.0.0.10", 9100))
-        stranger.say([0, 1, 0, [claim]])
-        stranger.say([5, [0, 0], False, [claim]])
+        stranger.send([0, 1, 0, [record]])
+        stranger.send([5, [0, 0], False, [record]])
         if part in (1, 5, 6):
-            stranger.say([2, 1, claim[1], claim[5], claim[6], 0, []])
+            stranger.send([2, 1, record[1], record[5], record[6], 0, []])
         await asyncio.sleep(10.0)
         assert all(host.member.is_settled for host in fleet.hosts)
         assert fleet.hosts[0].member.malformed_messages == (3 if part in (1, 5, 6) else 2)
@@ -184,7 +188,7 @@
     assert fleet.loop.faults == []
 
 
-def test_who_uses_the_core_without_the_daemon_leaves_in_good_order_too(tmp_path: Path) -> None:
+def test_a_core_without_the_daemon_leaves_the_fleet_too(tmp_path: Path) -> None:
     (tmp_path / "k").write_text("ab" * 32)
     (tmp_path / "fleet.toml").write_text(GOOD)
     wire = virtual()
@@ -272,7 +276,7 @@
         parse({**of_fleet(tmp_path), **change})
 
 
-def test_each_error_of_its_own_says_what_an_operator_can_do() -> None:
+def test_each_error_has_its_own_advice_for_operators() -> None:
     kinds = [errors.MicadeckError]
     for kind in kinds:
         kinds += kind.__subclasses__()
@@ -280,7 +284,7 @@
     assert len(kinds) > 1 and {kind.advice for kind in kinds[1:]}.isdisjoint({errors.MicadeckError.advice})
 
 
-def test_the_longest_name_and_place_fit_a_datagram_with_room_for_a_claim() -> None:
+def test_the_longest_name_and_place_fit_a_datagram_with_capacity_for_a_record() -> None:
     from micadeck.fleet import FleetMember, MemberRecord
 
     identity = MemberRecord.of_process("n" * 40, 2 * 10**15, ("255.255.255.255", 65_535))
