--- a/micadeck/fleet/fleet_member.py
+++ b/micadeck/fleet/fleet_member.py
@@ -89,13 +89,29 @@
         self._suspicions = SuspicionTracker(self.table, self.timers, self.health, settings)
         probe_round = ProbeRound(self.table, self.name, rng)
         self._dissemination = Dissemination(
-            self._local, self.table, broadcasts, self._suspicions, probe_round, self.health, self._outbox,
-            self.timers, settings, rng,
-        )  # fmt: skip
+            local=self._local,
+            table=self.table,
+            broadcasts=broadcasts,
+            suspicions=self._suspicions,
+            probe_round=probe_round,
+            health=self.health,
+            outbox=self._outbox,
+            timers=self.timers,
+            settings=settings,
+            rng=rng,
+        )
         self._detector = FailureDetector(
-            self._local, self.table, probe_round, self._digests, self._dissemination, self.health,
-            self._outbox, self.timers, settings, rng,
-        )  # fmt: skip
+            local=self._local,
+            table=self.table,
+            probe_round=probe_round,
+            digests=self._digests,
+            dissemination=self._dissemination,
+            health=self.health,
+            outbox=self._outbox,
+            timers=self.timers,
+            settings=settings,
+            rng=rng,
+        )
         self._rng = rng
         self._join_addresses: list[Address] = []
         self._intervals = 0
--- a/micadeck/fleet/member_table.py
+++ b/micadeck/fleet/member_table.py
@@ -16,7 +16,7 @@
 
 BRANCHES = 16
 LEVELS = 2  # of branches below the root: 256 leaves
-_LEAVES = 256
+_LEAVES: int = BRANCHES**LEVELS
 _DIGEST_MASK = (1 << 63) - 1
 _BRANCH_DIGEST_MASK = 0xFFFFFFFF
 
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -8,6 +8,7 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 from helpers import S
 
@@ -241,6 +242,26 @@
     assert load(str(path)).keys.by_number == ((1, bytes.fromhex("ab" * 32)),)
 
 
+def test_the_settings_are_read_by_the_keys_of_the_file() -> None:
+    keys = [field.encode_name for field in msgspec.structs.fields(FleetSettings)]
+    assert keys == [
+        "period_us",
+        "answer_within_us",
+        "helpers",
+        "suspicion_periods",
+        "suspicion_most",
+        "suspicion_lossy",
+        "slow_most",
+        "spread",
+        "forget_us",
+        "remember_us",
+        "rumours_us",
+    ]
+    text = "\n".join(f"{key} = {number}" for number, key in enumerate(keys, 1))
+    settings = msgspec.toml.decode(text, type=FleetSettings, strict=False)
+    assert list(msgspec.structs.astuple(settings)) == list(range(1, 12))
+
+
 def of_fleet(folder: Path) -> dict[str, Any]:
     """A configuration with the fleet that stands in this folder."""
     return {
