--- a/tests/processes/several.py
+++ b/tests/processes/fleet_daemons.py
@@ -1,4 +1,4 @@
-"""Several daemons as processes of their own, and a relay for the datagrams between each two of them."""
+"""Daemons of one fleet as separate processes, and a relay for the datagrams between them."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 
 
 class Relay(threading.Thread):
-    """What members send one another passes here; `passes(source, target)` says how many copies arrive."""
+    """Relays datagrams between members; `passes(source, target)` returns how many copies arrive."""
 
     def __init__(self, count: int) -> None:
         super().__init__(daemon=True)
         self.passes: Callable[[int, int], int] = lambda source, target: 1
         self.ports = [free_port(socket.SOCK_DGRAM) for _ in range(count)]  # of the daemons
-        self.kept: list[tuple[int, bytes]] = []  # what passed lately, by whom it was for
+        self.recorded: list[tuple[int, bytes]] = []  # the latest datagrams, with their receivers
         self._sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
         for each in self._sockets:
             each.bind((HOST, 0))
-        self.places = [f"{HOST}:{each.getsockname()[1]}" for each in self._sockets]
-        self._ends = threading.Event()
+        self.addresses = [f"{HOST}:{each.getsockname()[1]}" for each in self._sockets]
+        self._is_closed = threading.Event()
 
     def run(self) -> None:
-        looks = selectors.DefaultSelector()
+        selector = selectors.DefaultSelector()
         for number, each in enumerate(self._sockets):
-            looks.register(each, selectors.EVENT_READ, number)
-        while not self._ends.is_set():
-            for key, _ in looks.select(0.05):
+            selector.register(each, selectors.EVENT_READ, number)
+        while not self._is_closed.is_set():
+            for key, _ in selector.select(0.05):
                 data, (_, port) = self._sockets[key.data].recvfrom(2_048)
                 source = self.ports.index(port) if port in self.ports else -1
-                self.kept = [*self.kept[-199:], (key.data, data)]
+                self.recorded = [*self.recorded[-199:], (key.data, data)]
                 for _ in range(self.passes(source, key.data)):
                     self.send(key.data, data)
 
@@ -57,24 +57,24 @@
         self._sockets[target].sendto(data, (HOST, self.ports[target]))
 
     def close(self) -> None:
-        self._ends.set()
+        self._is_closed.set()
         self.join()
         for each in self._sockets:
             each.close()
 
-    def lossy(self, part: float, seed: int) -> None:
-        drawn = random.Random(seed)
-        self.passes = lambda source, target: int(drawn.random() >= part) + int(drawn.random() < part / 4)
+    def lossy(self, fraction: float, seed: int) -> None:
+        rng = random.Random(seed)
+        self.passes = lambda source, target: int(rng.random() >= fraction) + int(rng.random() < fraction / 4)
 
-    def cut(self, *half: int) -> None:
-        self.passes = lambda source, target: int((source in half) == (target in half))
+    def cut(self, *side: int) -> None:
+        self.passes = lambda source, target: int((source in side) == (target in side))
 
     def heal(self) -> None:
         self.passes = lambda source, target: 1
 
 
 class Daemons:
-    """Members n0, n1, ... that know each other's places by the relay."""
+    """Members n0, n1, ... that reach each other through the relay."""
 
     def __init__(self, folder: Path, count: int, known: Callable[[int], list[int]] | None = None) -> None:
         self.folder = folder
@@ -89,18 +89,18 @@
             self.start(number)
 
     def keys(self, *numbers: int, of: int | None = None) -> None:
-        """Write the keys that members, or one of them, take; the first is used."""
+        """Write the keys that members, or one of them, accept; the first one signs."""
         for number in numbers:
             (self.folder / f"key-{number}").write_text(f"{number:02x}" * 32)
         for member in range(self.count) if of is None else [of]:
             lines = "".join(f'[[keys]]\nnumber = {n}\nfile = "key-{n}"\n' for n in numbers)
-            place = self.relay.places[member]
+            address = self.relay.addresses[member]
             (self.folder / f"fleet-{member}.toml").write_text(
-                f'region = "r{member % 2}"\nadvertise = "{place}"\n{lines}'
+                f'region = "r{member % 2}"\nadvertise = "{address}"\n{lines}'
             )
 
     def config(self, number: int) -> dict[str, Any]:
-        wanted = self._known(number)
+        known = self._known(number)
         nobody = f"{HOST}:9"
         return {
             "name": f"n{number}",
@@ -108,7 +108,7 @@
             "discovery": nobody,
             "seed": f"{number + 1:x}",
             "peer_listen": f"{HOST}:{self.relay.ports[number]}",
-            "peers": [each if at in wanted else nobody for at, each in enumerate(self.relay.places)],
+            "peers": [each if at in known else nobody for at, each in enumerate(self.relay.addresses)],
             "fleet": str(self.folder / f"fleet-{number}.toml"),
             "settings": {"lanes": CLASSES, "me": number, "bounds": {"sendCap": 3, "mayTell": True}},
         }
@@ -140,29 +140,31 @@
         self.running.pop(number).wait()
 
     def mark(self, *numbers: int) -> None:
-        """Look only at what members say from here on."""
+        """Ignore the log lines that members wrote before."""
         for number in numbers or range(self.count):
             log = self.log(number)
             self._read_from[number] = log.stat().st_size if log.exists() else 0
 
-    def said(self, number: int) -> list[str]:
-        """What a member said of the fleet since the mark."""
+    def fleet_lines(self, number: int) -> list[str]:
+        """The lines of a member's log on the fleet since the mark."""
         text = self.log(number).read_bytes()[self._read_from[number] :].decode()
         return re.findall(r"fleet: (.*)", text)
 
     def until(self, done: Callable[[], bool], within_s: float = 30.0) -> None:
-        by = time.monotonic() + within_s
+        deadline = time.monotonic() + within_s
         while not done():
-            assert time.monotonic() < by, {number: self.said(number)[-5:] for number in range(self.count)}
+            assert time.monotonic() < deadline, {
+                number: self.fleet_lines(number)[-5:] for number in range(self.count)
+            }
             time.sleep(0.05)
 
     def until_settled(self, count: int, *numbers: int) -> None:
-        """Until the last word of these members, or all that run, is that so many agree."""
+        """Wait until the last count that these members, or all that run, logged is this one, settled."""
         wanted = f"{count} members, settled"
 
         def agree() -> bool:
             return all(
-                [each for each in self.said(number) if "members" in each][-1:] == [wanted]
+                [each for each in self.fleet_lines(number) if "members" in each][-1:] == [wanted]
                 for number in numbers or self.running
             )
 
--- a/tests/processes/test_fleet_processes.py
+++ b/tests/processes/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""The fleet's view among several real processes, with faults between them."""
+"""Membership among real processes, with faults between them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from several import ROOT, Daemons
+from fleet_daemons import ROOT, Daemons
 
 Make = Callable[..., Daemons]
 
@@ -28,20 +28,20 @@
         each.close()
 
 
-def test_all_join_through_one_and_one_that_is_killed_is_missed_and_back_under_its_name(make: Make) -> None:
+def test_all_join_through_one_and_a_killed_member_is_removed_and_back_under_its_name(make: Make) -> None:
     daemons = make(4, known=lambda number: [0, 1] if number < 2 else [0])
     daemons.until_settled(4)
     daemons.mark()
     daemons.kill(2)
     daemons.until_settled(3)
-    assert any("n2 is taken for dead" in each for each in daemons.said(0))
+    assert any("n2 is taken for dead" in each for each in daemons.fleet_lines(0))
     daemons.mark()
     daemons.start(2)
     daemons.until_settled(4)
-    assert not any("dead" in each for number in range(4) for each in daemons.said(number))
+    assert not any("dead" in each for number in range(4) for each in daemons.fleet_lines(number))
 
 
-def test_one_that_gets_sigterm_has_left_and_is_called_dead_by_nobody(make: Make) -> None:
+def test_a_member_that_gets_sigterm_leaves_and_is_never_declared_dead(make: Make) -> None:
     daemons = make(3)
     daemons.until_settled(3)
     daemons.mark()
@@ -49,11 +49,11 @@
     assert daemons.running.pop(1).wait(10) == 0
     daemons.until_settled(2)
     for number in (0, 2):
-        assert "n1 has left" in daemons.said(number)
-        assert not any("dead" in each for each in daemons.said(number))
+        assert "n1 has left" in daemons.fleet_lines(number)
+        assert not any("dead" in each for each in daemons.fleet_lines(number))
 
 
-def test_each_half_of_a_cut_goes_on_and_on_healing_all_four_agree(make: Make) -> None:
+def test_each_side_of_a_partition_settles_and_all_agree_once_it_heals(make: Make) -> None:
     daemons = make(4)
     daemons.until_settled(4)
     daemons.mark()
@@ -64,15 +64,15 @@
     daemons.until_settled(4)
 
 
-def test_a_member_that_was_stopped_calls_nobody_dead_when_it_goes_on(make: Make) -> None:
+def test_a_stopped_member_declares_nobody_dead_when_it_resumes(make: Make) -> None:
     daemons = make(4)
     daemons.until_settled(4)
     daemons.signal(3, signal.SIGSTOP)
-    time.sleep(2.0)  # that is how long it stands still
+    time.sleep(2.0)  # how long it is stopped
     daemons.signal(3, signal.SIGCONT)
     time.sleep(1.0)
-    daemons.until_settled(4)  # by the last word of each, whether or not it noticed anything
-    assert not any("dead" in each for each in daemons.said(3))
+    daemons.until_settled(4)  # by the last line of each, whether or not it noticed
+    assert not any("dead" in each for each in daemons.fleet_lines(3))
 
 
 def test_a_fleet_settles_while_three_in_ten_datagrams_are_lost(make: Make) -> None:
@@ -81,7 +81,7 @@
     daemons.until_settled(4)
 
 
-def test_keys_change_under_way_and_who_has_another_key_is_nobody(make: Make) -> None:
+def test_keys_are_rotated_by_reloads_and_other_keys_are_rejected(make: Make) -> None:
     daemons = make(3)
     daemons.until_settled(3)
     daemons.kill(2)
@@ -101,20 +101,22 @@
     assert "02" * 32 not in "".join(daemons.log(number).read_text() for number in range(3))
 
 
-def test_what_was_recorded_and_is_sent_again_changes_nothing(make: Make) -> None:
+def test_replayed_datagrams_change_nothing(make: Make) -> None:
     daemons = make(3)
     daemons.until_settled(3)
-    old = list(daemons.relay.kept)
+    old = list(daemons.relay.recorded)
     daemons.kill(2)
     daemons.until_settled(2)
     daemons.mark()
     for target, data in old * 3:
         daemons.relay.send(target, data)
     time.sleep(1.0)
-    assert not any("n2" in each for number in (0, 1) for each in daemons.said(number))
+    assert not any("n2" in each for number in (0, 1) for each in daemons.fleet_lines(number))
 
 
 def test_without_the_key_nothing_of_the_fleet_is_loaded() -> None:
     probe = "import sys, micadeck.daemon; print([each for each in sys.modules if 'micadeck.fleet' in each])"
-    told = subprocess.run([sys.executable, "-c", probe], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert told.stdout.strip() == "[]"
+    result = subprocess.run(
+        [sys.executable, "-c", probe], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert result.stdout.strip() == "[]"
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -27,7 +27,7 @@
 
 
 async def _quote(request: Request) -> PlainTextResponse:
-    """A handler of the application's that asks a server by itself."""
+    """A handler of the application that sends a request by itself."""
     answer = await request.state.micadeck.request("check", "/api/from-a-handler")
     assert isinstance(answer.body, bytes)
     return PlainTextResponse(answer.body)
@@ -63,7 +63,7 @@
     play(lambda: _hosted(make, play_it, script))
 
 
-async def _ask(host: Host, raw: bytes) -> Answer:
+async def _send(host: Host, raw: bytes) -> Answer:
     client = await host.client()
     client.send(raw)
     try:
@@ -74,13 +74,13 @@
 
 def test_what_carries_the_headers_under_the_prefix_is_balanced_and_all_else_is_the_applications() -> None:
     async def play_it(host: Host, server: ScriptedServer) -> None:
-        assert (await _ask(host, request(target="/api/1"))).body == b"served"
-        assert (await _ask(host, request("lodge", target="/api/2", body=b"x"))).body == b"served"
+        assert (await _send(host, request(target="/api/1"))).body == b"served"
+        assert (await _send(host, request("lodge", target="/api/2", body=b"x"))).body == b"served"
         plain = b"GET /api/3 HTTP/1.1\r\nHost: x\r\n\r\n"
-        assert (await _ask(host, plain)).body == b"page /api/3"
-        assert (await _ask(host, request(target="/elsewhere"))).body == b"page /elsewhere"
-        # One that is meant for the servers but lacks a header is not passed by in silence.
-        assert (await _ask(host, request(target="/api/4", Request_Class=""))).status == 400
+        assert (await _send(host, plain)).body == b"page /api/3"
+        assert (await _send(host, request(target="/elsewhere"))).body == b"page /elsewhere"
+        # One that is meant for the servers but lacks a header is not passed to the application.
+        assert (await _send(host, request(target="/api/4", Request_Class=""))).status == 400
         assert [each.target for each in server.heard] == ["/api/1", "/api/2"]
 
     hosted(lambda balancer: MicadeckMiddleware(application(), balancer), play_it)
@@ -88,7 +88,7 @@
 
 def test_handlers_reach_the_balancer_from_the_requests_state() -> None:
     async def play_it(host: Host, server: ScriptedServer) -> None:
-        assert (await _ask(host, b"GET /quote HTTP/1.1\r\nHost: x\r\n\r\n")).body == b"served"
+        assert (await _send(host, b"GET /quote HTTP/1.1\r\nHost: x\r\n\r\n")).body == b"served"
         assert [each.target for each in server.heard] == ["/api/from-a-handler"]
 
     def made(balancer: Micadeck) -> Starlette:
@@ -108,7 +108,7 @@
 
 def test_an_application_without_lifespan_gets_a_balancer_all_the_same() -> None:
     async def play_it(host: Host, server: ScriptedServer) -> None:
-        assert (await _ask(host, request(target="/api/1"))).body == b"served"
+        assert (await _send(host, request(target="/api/1"))).body == b"served"
 
     hosted(lambda balancer: MicadeckMiddleware(_knows_no_lifespan, balancer), play_it)
 
@@ -119,17 +119,17 @@
         await send({"type": "lifespan.startup.failed", "message": "no"})
 
     async def work() -> None:
-        said: list[str] = []
+        sent: list[str] = []
 
         async def receive() -> dict[str, str]:
             return {"type": "lifespan.startup"}
 
         async def send(message: Any) -> None:
-            said.append(message["type"])
+            sent.append(message["type"])
 
         middleware = MicadeckMiddleware(failing, Micadeck(GOOD, log=print))
         await middleware({"type": "lifespan"}, receive, send)
-        assert said == ["lifespan.startup.failed"]
+        assert sent == ["lifespan.startup.failed"]
         assert "micadeck-engine" not in {each.name for each in threading.enumerate()}
 
     play(work)
@@ -147,7 +147,7 @@
 
 
 def test_shutdown_mid_request_answers_what_was_taken() -> None:
-    async def slow(heard: Heard) -> bytes:
+    async def slow(_request: Heard) -> bytes:
         await asyncio.sleep(0.4)
         return OK
 
@@ -161,13 +161,13 @@
     hosted(lambda balancer: MicadeckMiddleware(application(), balancer), play_it, slow)
 
 
-def test_a_client_that_leaves_before_its_body_is_whole_is_no_request() -> None:
+def test_a_client_that_disconnects_before_its_body_is_complete_sends_no_request() -> None:
     async def play_it(host: Host, server: ScriptedServer) -> None:
         client: Client = await host.client()
         client.send(request("lodge", target="/api/1", body=b"x" * 10)[:-1])
         await asyncio.sleep(0.05)
         client.close()
-        assert (await _ask(host, request(target="/api/2"))).status == 200
+        assert (await _send(host, request(target="/api/2"))).status == 200
         assert [each.target for each in server.heard] == ["/api/2"]
 
     hosted(lambda balancer: MicadeckMiddleware(application(), balancer), play_it)
--- a/tests/test_httpx.py
+++ b/tests/test_httpx.py
@@ -1,4 +1,4 @@
-"""The httpx transports: what a client asks goes to a server as it would through the daemon."""
+"""The httpx transports: a client's requests reach a server as through the daemon."""
 
 from __future__ import annotations
 
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -22,7 +22,7 @@
 from micadeck.http.reuse_delay import LEAST_REST_US
 from micadeck.library import NotStartedError
 
-GRACE_S = 0.5  # after word of a drain
+GRACE_S = 0.5  # after a drain was notified
 
 
 def _quiet(text: str) -> None:
@@ -47,7 +47,7 @@
 # Ordinary use
 
 
-def test_each_class_is_served_and_worded_as_the_protocol_asks() -> None:
+def test_each_class_is_served_with_the_headers_of_the_protocol() -> None:
     async def work() -> None:
         with world(2) as there:
             async with _balancer(there) as balancer:
@@ -106,7 +106,7 @@
         assert there.heard() == []
 
 
-def test_refused_and_failed_raise_only_when_asked_to() -> None:
+def test_refused_and_failed_raise_only_with_raise_unserved() -> None:
     with world(1) as there, _balancer(there) as balancer:
         there.do("mode", "s-0", mode="turns away")
         refused = balancer.call("lodge", "/api/1")
@@ -120,7 +120,7 @@
         assert failure.value.answer.may_have_run
 
 
-def test_a_bad_configuration_names_its_key_and_one_not_started_says_so(tmp_path: Path) -> None:
+def test_a_bad_configuration_names_its_key_and_one_not_started_raises(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=r"^discovery"):
         Micadeck({"seed": "1", "settings": {"lanes": []}, "discovery": "x"} | {"settings": _settings()})
     path = tmp_path / "config.json"
@@ -141,21 +141,21 @@
 
 
 class Callers:
-    """Threads that ask and ask, each answer kept with the moments it was asked and given."""
+    """Threads that send one request after another, and record each answer with its start and end."""
 
     def __init__(self, balancer: Micadeck, count: int) -> None:
         self._balancer = balancer
         self._is_over = threading.Event()
         self.answers: list[tuple[float, float, Answer]] = []
-        self._threads = [threading.Thread(target=self._ask) for _ in range(count)]
+        self._threads = [threading.Thread(target=self._send_requests) for _ in range(count)]
         for each in self._threads:
             each.start()
 
-    def _ask(self) -> None:
+    def _send_requests(self) -> None:
         while not self._is_over.is_set():
-            asked = time.monotonic()
+            sent_at = time.monotonic()
             answer = self._balancer.call("check", "/api/1", timeout_s=2.0)
-            self.answers.append((asked, time.monotonic(), answer))
+            self.answers.append((sent_at, time.monotonic(), answer))
 
     def stop(self) -> None:
         self._is_over.set()
@@ -164,10 +164,10 @@
 
 
 def _after_drain(there: WorldProcess, server: str) -> tuple[list[float], list[float]]:
-    """How long after word of its drain requests began there, and how long after it elsewhere."""
-    told = there.do("heard")
-    (at,) = [each["at"] for each in told["told"] if each["do"] == "list"]
-    spans = [(each["server"] == server, each["at"] - at) for each in told["heard"]]
+    """Delays after the notification of a drain at which requests started there, and elsewhere."""
+    events = there.do("heard")
+    (at,) = [each["at"] for each in events["told"] if each["do"] == "list"]
+    spans = [(each["server"] == server, each["at"] - at) for each in events["heard"]]
     return [span for there_, span in spans if there_], [span for there_, span in spans if not there_]
 
 
@@ -178,7 +178,7 @@
                 await balancer.request("check", "/api/0")
                 for name in ("s-0", "s-1"):
                     there.do("mode", name, mode="serves", takes_s=0.2)
-                asked = [
+                pending = [
                     asyncio.ensure_future(balancer.request("check", "/api/late", timeout_s=1.0)),
                     asyncio.ensure_future(balancer.request("lodge", "/api/late", timeout_s=1.0)),
                     asyncio.ensure_future(balancer.request("lodge", "/api/in-time", timeout_s=4.0)),
@@ -188,8 +188,8 @@
                 callers = Callers(balancer, 2)  # the engine works on for others
                 time.sleep(3.0)
                 callers.stop()
-                late, late_unsafe, good = await asyncio.gather(*asked)
-                # What came in time, but is taken up after its time, is not served as if in time.
+                late, late_unsafe, good = await asyncio.gather(*pending)
+                # An answer that arrived in time but is received after the deadline is not served.
                 for answer in (late, late_unsafe):
                     assert (answer.kind, answer.status, answer.may_have_run) == (Kind.FAILED, 504, True)
                 assert (good.kind, good.body) == (Kind.SERVED, b"served")
@@ -212,14 +212,14 @@
         with world(1) as there:
             async with _balancer(there) as balancer:
                 there.do("mode", "s-0", mode="hangs")
-                began = time.monotonic()
-                asked = asyncio.ensure_future(balancer.request("lodge", "/api/1", timeout_s=0.8))
+                started_at = time.monotonic()
+                pending = asyncio.ensure_future(balancer.request("lodge", "/api/1", timeout_s=0.8))
                 await until(lambda: len(there.heard()) == 1)
                 time.sleep(2.5)
-                answer = await asked
+                answer = await pending
                 assert (answer.kind, answer.status, answer.may_have_run) == (Kind.FAILED, 504, True)
                 (abandoned,) = there.do("heard")["abandoned"]["s-0"]
-                assert 0.7 < abandoned - began < 2.0  # by the engine, while the host stood still
+                assert 0.7 < abandoned - started_at < 2.0  # by the engine, while the host was blocked
                 assert len(there.heard()) == 1
 
     play(work)
@@ -265,11 +265,11 @@
         assert {answer.kind for _, _, answer in callers.answers} <= {Kind.SERVED, Kind.REFUSED}
         for name in ("s-0", "s-1", "s-2", "s-new"):
             there.do("mode", name, mode="hangs")
-        began = time.monotonic()
+        started_at = time.monotonic()
         answer = balancer.call("lodge", "/api/1", timeout_s=0.8)
         assert (answer.kind, answer.may_have_run) == (Kind.FAILED, True)
         abandoned = [at for each in there.do("heard")["abandoned"].values() for at in each]
-        assert 0.7 < max(abandoned) - began < 1.8
+        assert 0.7 < max(abandoned) - started_at < 1.8
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -282,11 +282,11 @@
             for name in ("s-0", "s-1"):
                 there.do("mode", name, mode="hangs")
             async with _balancer(there) as balancer:
-                asked = asyncio.ensure_future(balancer.request("check", "/api/1"))
+                pending = asyncio.ensure_future(balancer.request("check", "/api/1"))
                 await until(lambda: len(there.heard()) == 1)
-                asked.cancel()
+                pending.cancel()
                 with pytest.raises(asyncio.CancelledError):
-                    await asked
+                    await pending
                 await until(lambda: sum(map(len, there.do("heard")["abandoned"].values())) == 1)
                 await until(lambda: balancer.open_requests == 0)
                 assert len(there.heard()) == 1
@@ -302,11 +302,11 @@
                 background = balancer._background
                 assert background is not None and background._inbox is not None
                 background._inbox.post(hold.wait)  # the engine's thread is busy
-                asked = asyncio.ensure_future(balancer.request("lodge", "/api/1"))
+                pending = asyncio.ensure_future(balancer.request("lodge", "/api/1"))
                 await asyncio.sleep(0)
-                asked.cancel()
+                pending.cancel()
                 with pytest.raises(asyncio.CancelledError):
-                    await asked
+                    await pending
                 hold.set()
                 assert (await balancer.request("check", "/api/2")).kind is Kind.SERVED
                 assert [each["target"] for each in there.heard()] == ["/api/2"]
@@ -320,7 +320,7 @@
         with world(1) as there:
             there.do("mode", "s-0", mode="hangs")
             async with _balancer(there) as balancer:
-                began = time.monotonic()
+                started_at = time.monotonic()
                 if how == "timeout_s":
                     answer = await balancer.request("lodge", "/api/1", timeout_s=0.2)
                     assert (answer.kind, answer.status) == (Kind.FAILED, 504)
@@ -328,7 +328,7 @@
                     with pytest.raises(TimeoutError):
                         async with asyncio.timeout(0.2):
                             await balancer.request("lodge", "/api/1")
-                assert time.monotonic() - began < 2.0
+                assert time.monotonic() - started_at < 2.0
                 await until(lambda: len(there.do("heard")["abandoned"]["s-0"]) == 1)
                 assert len(there.heard()) == 1 and balancer.open_requests == 0
 
@@ -347,7 +347,7 @@
             before, threads = _descriptors(), threading.active_count()
             balancer = _balancer(there)
             balancer.start()
-            asked = [asyncio.ensure_future(balancer.request("lodge", "/api/1")) for _ in range(6)]
+            pending = [asyncio.ensure_future(balancer.request("lodge", "/api/1")) for _ in range(6)]
             await until(lambda: len(there.heard()) == 6)
             closing = asyncio.ensure_future(balancer.aclose())
             await asyncio.sleep(0)
@@ -355,7 +355,7 @@
             assert (refused.kind, refused.status, refused.may_have_run) == (Kind.REFUSED, 503, False)
             assert not closing.done()
             await closing
-            assert [each.result().kind for each in asked] == [Kind.SERVED] * 6
+            assert [each.result().kind for each in pending] == [Kind.SERVED] * 6
             assert len(there.heard()) == 6
             assert threading.active_count() == threads
             assert _descriptors() <= before | {each for each in _descriptors() if "eventpoll" in each}
@@ -365,18 +365,18 @@
     play(work)
 
 
-def test_unsafe_work_that_is_cut_by_the_end_says_that_it_may_have_run() -> None:
+def test_non_idempotent_requests_cut_off_by_close_may_have_run() -> None:
     with world(1) as there, _balancer(there) as balancer:
         there.do("mode", "s-0", mode="hangs")
         got: list[Answer] = []
-        asking = threading.Thread(target=lambda: got.append(balancer.call("lodge", "/api/1", timeout_s=1.0)))
-        asking.start()
+        caller = threading.Thread(target=lambda: got.append(balancer.call("lodge", "/api/1", timeout_s=1.0)))
+        caller.start()
         while not there.heard():
             time.sleep(0.01)
-        began = time.monotonic()
+        started_at = time.monotonic()
         balancer.close()
-        asking.join()
-        assert time.monotonic() - began < 3.0
+        caller.join()
+        assert time.monotonic() - started_at < 3.0
         assert (got[0].kind, got[0].may_have_run) == (Kind.FAILED, True)
 
 
@@ -386,22 +386,22 @@
             there.do("mode", "s-0", mode="hangs")
             async with _balancer(there) as balancer:
                 got: list[Answer] = []
-                asking = threading.Thread(target=lambda: got.append(balancer.call("lodge", "/api/1")))
-                asking.start()
-                asked = asyncio.ensure_future(balancer.request("lodge", "/api/2"))
+                caller = threading.Thread(target=lambda: got.append(balancer.call("lodge", "/api/1")))
+                caller.start()
+                pending = asyncio.ensure_future(balancer.request("lodge", "/api/2"))
                 await until(lambda: len(there.heard()) == 2)
                 background = balancer._background
                 assert background is not None and background._inbox is not None
-                began = time.monotonic()
+                started_at = time.monotonic()
 
                 def defect() -> None:
                     raise SystemExit("a defect")
 
                 background._inbox.post(defect)
-                answers = [await asked]
-                asking.join()
+                answers = [await pending]
+                caller.join()
                 answers += [*got, await balancer.request("lodge", "/api/3"), balancer.call("lodge", "/api/4")]
-                assert time.monotonic() - began < 2.0  # the deadline of a lodge is 4 s
+                assert time.monotonic() - started_at < 2.0  # the deadline of a lodge is 4 s
                 assert [(each.kind, each.status) for each in answers] == [(Kind.FAILED, 500)] * 4
                 assert [each.may_have_run for each in answers] == [True, True, False, False]
                 assert all("a defect" in each.reason for each in answers)
@@ -419,12 +419,12 @@
                 assert background is not None and background._inbox is not None
                 background._inbox.post(hold.wait)
                 got: list[Answer] = []
-                ask = threading.Thread(
+                caller = threading.Thread(
                     target=lambda: got.append(balancer.call("lodge", "/api/1", timeout_s=0.1))
                 )
-                ask.start()
+                caller.start()
                 answer = await balancer.request("lodge", "/api/2", timeout_s=0.1)
-                ask.join()
+                caller.join()
                 assert [(each.status, each.may_have_run) for each in (answer, *got)] == [(500, False)] * 2
                 hold.set()
                 assert (await balancer.request("check", "/api/3")).kind is Kind.SERVED
@@ -464,12 +464,12 @@
         for each in threads:
             each.join()
         # On a machine that stalls some of so large a burst are not served; each that ran is accounted for.
-        told = Counter((each.kind.value, each.reason, each.may_have_run) for each in answers)
+        outcomes = Counter((each.kind.value, each.reason, each.may_have_run) for each in answers)
         idents = [each["ident"] for there in (first, second) for each in there.heard()]
         served = sum(each.kind is Kind.SERVED for each in answers)
         may_have_run = sum(each.may_have_run for each in answers)
-        assert len(answers) == 200, told
-        assert len(idents) == len(set(idents)) and 50 < served <= len(idents) <= may_have_run, told
+        assert len(answers) == 200, outcomes
+        assert len(idents) == len(set(idents)) and 50 < served <= len(idents) <= may_have_run, outcomes
         assert first.heard() and second.heard()
 
 
--- a/tests/test_library_process.py
+++ b/tests/test_library_process.py
@@ -1,4 +1,4 @@
-"""The library in a host process that forks, ends or is told to end: each host is a script of its own."""
+"""The library in a host process that forks, exits or gets a signal; each host is a script of its own."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 balancer = Micadeck(json.loads(sys.argv[1]))
 
-def say(**what):
+def report(**what):
     # Not by print: a daemon thread that holds its lock when the interpreter ends makes CPython abort.
     os.write(1, json.dumps(what).encode() + b"\\n")
 
-def ask(target, **how):
+def send(target, **how):
     answer = balancer.call("lodge", target, **how)
-    say(target=target, kind=answer.kind.value, may_have_run=answer.may_have_run)
+    report(target=target, kind=answer.kind.value, may_have_run=answer.may_have_run)
 """
 
 
@@ -42,7 +42,7 @@
 
 
 def run(body: str, there: WorldProcess, tmp_path: Path) -> tuple[list[dict[str, Any]], float]:
-    """What a host says, and the seconds from its last word to its end; it must end well."""
+    """Return the reports of a host and the time of its exit, which must be clean."""
     env = {"PYTHONPATH": str(ROOT), "PATH": "/usr/bin:/bin"}
     with subprocess.Popen(
         host(body, there, tmp_path), env=env, text=True, stdout=subprocess.PIPE, stderr=subprocess.PIPE
@@ -58,18 +58,18 @@
 ) -> None:
     with world(1) as there:
         there.do("mode", "s-0", mode="serves", takes_s=0.7)
-        said, _ = run(
+        reports, _ = run(
             f"""
             balancer.start()
-            threading.Thread(target=ask, args=("/api/1",), daemon={daemon}).start()
+            threading.Thread(target=send, args=("/api/1",), daemon={daemon}).start()
             while not balancer.open_requests:
                 time.sleep(0.01)
             """,
             there,
             tmp_path,
         )
-        # A daemon thread may be stopped by the interpreter before it can say what it got.
-        assert daemon or said == [{"target": "/api/1", "kind": "served", "may_have_run": True}]
+        # A daemon thread may be stopped by the interpreter before it can report its answer.
+        assert daemon or reports == [{"target": "/api/1", "kind": "served", "may_have_run": True}]
         assert len(there.heard()) == 1
         assert there.do("heard")["abandoned"] == {"s-0": []}  # it ran to its end
 
@@ -77,54 +77,54 @@
 def test_the_end_of_an_interpreter_is_held_up_no_longer_than_the_longest_deadline(tmp_path: Path) -> None:
     with world(1) as there:
         there.do("mode", "s-0", mode="hangs")
-        said, ended = run(
+        reports, ended = run(
             """
             balancer.start()
-            threading.Thread(target=ask, args=("/api/1",), daemon=True).start()
+            threading.Thread(target=send, args=("/api/1",), daemon=True).start()
             while not balancer.open_requests:
                 time.sleep(0.01)
-            say(at=time.monotonic())
+            report(at=time.monotonic())
             """,
             there,
             tmp_path,
         )
-        assert 3.0 < ended - said[0]["at"] < 4.0 + 2.0  # a lodge has 4 s
+        assert 3.0 < ended - reports[0]["at"] < 4.0 + 2.0  # a lodge has 4 s
         assert len(there.do("heard")["abandoned"]["s-0"]) == 1
 
 
 def test_one_that_is_closed_or_never_used_holds_nothing_up(tmp_path: Path) -> None:
     with world(1) as there:
-        said, ended = run("balancer.start()\nsay(at=time.monotonic())\n", there, tmp_path)
-        assert ended - said[0]["at"] < 2.0
+        reports, ended = run("balancer.start()\nreport(at=time.monotonic())\n", there, tmp_path)
+        assert ended - reports[0]["at"] < 2.0
 
 
 def test_a_forked_child_gets_a_clear_error_and_harms_neither_the_parent_nor_its_connections(
     tmp_path: Path,
 ) -> None:
     with world(1) as there:
-        said, _ = run(
+        reports, _ = run(
             """
             balancer.start()
-            ask("/api/before")
+            send("/api/before")
             child = os.fork()
             if child == 0:
                 try:
-                    ask("/api/child")
+                    send("/api/child")
                 except ForkedError as fault:
-                    say(fault=str(fault), parent=os.getppid())
+                    report(fault=str(fault), parent=os.getppid())
                 balancer.close()  # does nothing here
                 with Micadeck(json.loads(sys.argv[1])) as own:
-                    say(own=own.call("lodge", "/api/own").kind.value)
-                sys.exit(0)  # through the whole end of an interpreter
+                    report(own=own.call("lodge", "/api/own").kind.value)
+                sys.exit(0)  # through the complete shutdown of an interpreter
             _, status = os.waitpid(child, 0)
-            say(status=status)
-            ask("/api/after")
+            report(status=status)
+            send("/api/after")
             balancer.close()
             """,
             there,
             tmp_path,
         )
-        before, fault, own, status, after = said
+        before, fault, own, status, after = reports
         assert before["kind"] == after["kind"] == "served"
         assert f"started in process {fault['parent']}" in fault["fault"]
         assert own == {"own": "served"} and status == {"status": 0}
@@ -143,7 +143,7 @@
 class Server(uvicorn.Server):
     async def startup(self, sockets=None):
         await super().startup(sockets)
-        say(port=self.servers[0].sockets[0].getsockname()[1])
+        report(port=self.servers[0].sockets[0].getsockname()[1])
 
 config = uvicorn.Config(MicadeckMiddleware(app, balancer), port=0, http="httptools", log_level="critical")
 Server(config).run()
--- a/tests/test_library_request_validation.py
+++ b/tests/test_library_request_validation.py
@@ -39,30 +39,30 @@
 
 @given(options, st.sampled_from(SETTINGS.classes))
 def test_the_fast_path_gives_what_the_full_validation_gives(
-    asked: RequestOptions, kind: ServiceClass
+    request: RequestOptions, kind: ServiceClass
 ) -> None:
-    method, target, headers = to_http(kind, asked)
-    if not _is_on_fast_path(kind, asked):
+    method, target, headers = to_http(kind, request)
+    if not _is_on_fast_path(kind, request):
         return
-    fast = _build_directly(kind, asked, VALIDATOR.tenants)
-    assert fast == VALIDATOR.validate(method, target, headers, asked.body)
+    fast = _build_directly(kind, request, VALIDATOR.tenants)
+    assert fast == VALIDATOR.validate(method, target, headers, request.body)
 
 
 @pytest.mark.parametrize("kind", SETTINGS.classes, ids=lambda kind: str(kind.name))
 def test_an_ordinary_request_is_on_the_fast_path(kind: ServiceClass) -> None:
     key = "5c0f" if kind.name == "amend" else None
-    asked = RequestOptions("/api/7", b"", 1.5, "acme", key)
-    assert _is_on_fast_path(kind, asked)
+    request = RequestOptions("/api/7", b"", 1.5, "acme", key)
+    assert _is_on_fast_path(kind, request)
 
 
 @given(options, st.sampled_from(SETTINGS.classes))
 def test_any_request_is_validated_or_rejected_with_a_status(
-    asked: RequestOptions, kind: ServiceClass
+    request: RequestOptions, kind: ServiceClass
 ) -> None:
     try:
-        incoming = VALIDATOR.validate_options(kind, asked)
+        validated = VALIDATOR.validate_options(kind, request)
     except BadRequestError as error:
         assert 400 <= error.status < 500
     else:
-        assert all(b"\r" not in value and b"\n" not in value for _, value in incoming.headers)
-        assert b"\n" not in incoming.target and 0 < incoming.remaining_us
+        assert all(b"\r" not in value and b"\n" not in value for _, value in validated.headers)
+        assert b"\n" not in validated.target and 0 < validated.remaining_us
