--- a/micadeck/daemon.py
+++ b/micadeck/daemon.py
@@ -124,8 +124,8 @@
 
 def _wait(wait: StartupRetry, fault: OSError, text: str, signals: ProcessSignals) -> bool:
     """Wait before the next try, and say so once; False: it can't pass.  Raises StartCalledOff."""
-    is_first = wait.is_first
-    retry_s = wait.retry_in_s(fault, time.monotonic())
+    is_first = not wait.has_failed
+    retry_s = wait.next_delay_s(fault, time.monotonic())
     if retry_s is None:
         return False
     if is_first:
--- a/micadeck/library/background_loop.py
+++ b/micadeck/library/background_loop.py
@@ -207,7 +207,7 @@
         core = Core(self._config, LoopNetwork(), self._log, HandlerFirstEngine)
         await core.start()
         self._inbox, self._drain, self._core = LoopInbox(loop), asyncio.Event(), core
-        self._life.started(0.0)
+        self._life.mark_started(0.0)
         self._is_up.set()
         try:
             await self._drain.wait()
--- a/micadeck/network/interfaces.py
+++ b/micadeck/network/interfaces.py
@@ -90,13 +90,13 @@
     def run(self, work: Callable[[], T]) -> T:
         """Have the thread do this, and wait for what comes of it; raises what it raises."""
 
-    def end(self) -> None: ...
+    def stop(self) -> None: ...
 
 
 class Network(Protocol):
     """A clock, timers, tasks, streams and datagrams.
 
-    Everything but `call_from_apart` is called on one thread.
+    Everything but `call_soon_threadsafe` is called on one thread.
     """
 
     def now(self) -> int:
@@ -112,10 +112,10 @@
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> object: ...
 
-    def call_from_apart(self, callback: Callable[..., object]) -> object:
+    def call_soon_threadsafe(self, callback: Callable[..., object]) -> object:
         """As `call_soon`, by another thread; in order."""
 
-    def apart(self, name: str) -> ThreadNetwork:
+    def start_thread(self, name: str) -> ThreadNetwork:
         """A thread of this name for what must not wait for its turn on this one."""
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]: ...
--- a/micadeck/network/loop.py
+++ b/micadeck/network/loop.py
@@ -211,7 +211,7 @@
         self.time = loop.time
         self.call_later = loop.call_later
         self.call_soon = loop.call_soon
-        self.call_from_apart = loop.call_soon_threadsafe
+        self.call_soon_threadsafe = loop.call_soon_threadsafe
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
         return self._loop.create_task(work)
@@ -232,7 +232,7 @@
         self.wall = wall
         self.stream = _stream
 
-    def apart(self, name: str) -> ThreadNetwork:
+    def start_thread(self, name: str) -> ThreadNetwork:
         from micadeck.network.thread_loop import (
             ThreadLoop,  # nothing of it is loaded where it is not asked for
         )
--- a/micadeck/network/thread_loop.py
+++ b/micadeck/network/thread_loop.py
@@ -18,7 +18,7 @@
 
 
 class ThreadLoop:
-    """Runs until `end`; a process that ends without it does not wait for it."""
+    """Runs until `stop`; a process that ends without it does not wait for it."""
 
     def __init__(self, name: str) -> None:
         self._up: Future[None] = Future()
@@ -42,7 +42,7 @@
         self._loop.call_soon_threadsafe(do)
         return done.result(_ANSWER_WITHIN_S)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Let the thread end; nothing is run on it any more."""
         if self._loop is not None and self._stopping is not None and self._thread.is_alive():
             self._loop.call_soon_threadsafe(self._stopping.set)
--- a/micadeck/operations/__init__.py
+++ b/micadeck/operations/__init__.py
@@ -1,15 +1,16 @@
-"""What staff ask of a running sidecar: the operators' door, the figures, and the life of the process.
+"""Operating a running sidecar: the admin server, its statistics, the lifecycle and hot restarts.
 
-`life` (ready, draining, stopping), `calls` (the lines of the door) and `figures` (the report) do no input or
-output; `door` is the socket, `apart` its thread, `beside` the files that tell of a second process of the same
-sidecar, `ids` what is open there.
+`lifecycle`, `admin_protocol`, `statsd_report`, `shutdown_budget` and `startup_retry` do no I/O.
+`admin_server` is the listener for admin clients and `admin_thread` runs it on a thread of its own.
+`hot_restart` finds other processes of the same sidecar, and `request_id_registry` shares the ids of open
+requests with them.
 """
 
 from micadeck.operations.admin_thread import AdminThread
-from micadeck.operations.hot_restart import HotRestart, share_of
+from micadeck.operations.hot_restart import HotRestart, divide_limit
 from micadeck.operations.lifecycle import ConnectionsToClose, Lifecycle, Phase
 from micadeck.operations.request_id_registry import RequestIdRegistry
-from micadeck.operations.statsd_report import RuntimeStatistics, report
+from micadeck.operations.statsd_report import RuntimeStatistics, format_report
 
 __all__ = [
     "AdminThread",
@@ -19,6 +20,6 @@
     "Phase",
     "RequestIdRegistry",
     "RuntimeStatistics",
-    "report",
-    "share_of",
+    "divide_limit",
+    "format_report",
 ]
--- a/micadeck/operations/admin_protocol.py
+++ b/micadeck/operations/admin_protocol.py
@@ -1,72 +1,119 @@
-"""The lines that callers of the operators' door send, and what is answered.  No input or output."""
+"""The admin protocol: one command line per connection, one reply.  No I/O.
+
+Commands are `READY`, `STATS`, `DRAIN` and `UNDRAIN`, each ended by LF or CRLF.  Replies begin with `200` or
+`400`, but for the one to `STATS`: lines in statsd's format, then `EOF`.
+"""
 
 from __future__ import annotations
 
+from enum import Enum, unique
 from typing import Protocol
 
-MOST_LINE = 64  # bytes, its end not counted
+from micadeck.errors import MicadeckError
+
+MAX_COMMAND_BYTES = 64  # without the line ending
+_STOPPING_REPLY = b"400 stopping\n"
+
+
+@unique
+class Command(Enum):
+    """The commands, by the line that stands for them on the wire."""
+
+    READY = b"READY"
+    STATS = b"STATS"
+    DRAIN = b"DRAIN"
+    UNDRAIN = b"UNDRAIN"
 
 
 class AdminTarget(Protocol):
-    """What the door asks of the sidecar."""
+    """The operations of the sidecar that admin commands use."""
 
-    def is_ready(self) -> str | None:
-        """None once it can serve, else why it can't."""
+    def unready_reason(self) -> str | None:
+        """Return why the sidecar can't serve yet, or None if it can."""
 
-    def figures(self) -> bytes:
-        """The report, each line with its end."""
+    def statistics_report(self) -> bytes:
+        """Return the statistics in statsd's format, each line with its ending."""
 
     def drain(self) -> bool:
-        """Send clients away; false if the process is stopping."""
+        """Start draining clients; return False if the process is stopping."""
 
     def undrain(self) -> bool:
-        """Take clients again; false if the process is stopping."""
+        """Accept clients again; return False if the process is stopping."""
 
 
-class BadCommandError(Exception):
-    """What came is no call; the text says why."""
+class BadCommandError(MicadeckError):
+    """The bytes received can't become a command."""
+
+    advice = "Send one of READY, STATS, DRAIN and UNDRAIN on a line of its own."
+
+    @property
+    def reason(self) -> str:
+        """The text of the reply, without the advice."""
+        return str(self.args[0])
+
+
+class CommandTooLongError(BadCommandError):
+    """The line is longer than any command."""
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("the line is too long")
+
+
+class ExtraCommandError(BadCommandError):
+    """Bytes follow the first line."""
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("one line to a connection")
 
 
 class CommandReader:
-    """Reads the one line of a connection."""
+    """Reassembles the one line of a connection; it never buffers more than a line."""
 
     def __init__(self) -> None:
-        self._part = b""
+        """Start with an empty buffer."""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> bytes | None:
-        """The line once it is whole; raise BadCall on what can't become one.
+        """Add received bytes; return the line without its ending once it is complete.
 
-        Guards against a caller that sends on and on: no more than a line is ever held.
+        Raises:
+            BadCommandError: The bytes can't become a command.
         """
-        line, end, behind = (self._part + data).partition(b"\n")
-        line = line.removesuffix(b"\r") if end else line
-        if len(line) > MOST_LINE:
-            raise BadCommandError("the line is too long")
-        if behind:
-            raise BadCommandError("one line to a connection")
-        if end:
+        line, ending, rest = (self._buffer + data).partition(b"\n")
+        if ending:
+            line = line.removesuffix(b"\r")
+        if len(line) > MAX_COMMAND_BYTES:
+            raise CommandTooLongError
+        if rest:
+            raise ExtraCommandError
+        if ending:
             return line
-        self._part = line
+        self._buffer = line
         return None
 
-    def end(self) -> bytes:
-        """What came when the caller ended its sending: a last line may lack its end."""
-        return self._part
-
-
-def answer(line: bytes, staffed: AdminTarget) -> bytes:
-    """What is answered to a whole line; the call is carried out."""
-    if line == b"READY":
-        why = staffed.is_ready()
-        return b"200 ready\n" if why is None else f"400 not ready: {why}\n".encode()
-    if line == b"STATS":
-        return staffed.figures() + b"EOF\n"
-    if line == b"DRAIN":
-        return b"200 draining\n" if staffed.drain() else b"400 stopping\n"
-    if line == b"UNDRAIN":
-        return b"200 taking clients\n" if staffed.undrain() else b"400 stopping\n"
-    return refusal("READY, STATS, DRAIN or UNDRAIN is needed")
-
-
-def refusal(text: str) -> bytes:
+    def finish(self) -> bytes:
+        """Return what was received when the client closed its side: the last line may lack its ending."""
+        return self._buffer
+
+
+def execute(line: bytes, target: AdminTarget) -> bytes:
+    """Carry out the command of a complete line and return the reply."""
+    try:
+        command = Command(line)
+    except ValueError:
+        return error_reply("READY, STATS, DRAIN or UNDRAIN is needed")
+    if command is Command.READY:
+        reason = target.unready_reason()
+        return b"200 ready\n" if reason is None else error_reply(f"not ready: {reason}")
+    if command is Command.STATS:
+        return target.statistics_report() + b"EOF\n"
+    if command is Command.DRAIN:
+        return b"200 draining\n" if target.drain() else _STOPPING_REPLY
+    return b"200 taking clients\n" if target.undrain() else _STOPPING_REPLY
+
+
+def error_reply(text: str) -> bytes:
+    """Return the reply to a command that was not carried out."""
     return f"400 {text}\n".encode()
--- a/micadeck/operations/admin_server.py
+++ b/micadeck/operations/admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' door: a listener of its own, and callers bounded in number and time."""
+"""The admin server: a listener of its own, with clients bounded in number and time."""
 
 from __future__ import annotations
 
@@ -6,91 +6,116 @@
 from typing import cast
 
 from micadeck.network import Address, Listener, Network, Timer
-from micadeck.operations.admin_protocol import AdminTarget, BadCommandError, CommandReader, answer, refusal
+from micadeck.operations.admin_protocol import (
+    AdminTarget,
+    BadCommandError,
+    CommandReader,
+    error_reply,
+    execute,
+)
 
-MOST_CALLERS = 16  # descriptors that the sidecar sets aside for them
-_CALL_WITHIN_S = 3.0  # a caller that has not finished its line by then is cut off
-_READ_WITHIN_S = 2.0  # and one that has not read its answer
+MAX_CLIENTS = 16  # descriptors that the sidecar reserves for them
+_COMMAND_TIMEOUT_S = 3.0  # for a client to send its command
+_REPLY_TIMEOUT_S = 2.0  # for a client to read its reply
 
 
 class AdminServer:
-    """Answers calls, one line to a connection.  No limit of clients binds it."""
+    """Executes commands, one per connection.  The client limits of the data plane don't apply.
 
-    def __init__(self, network: Network, staffed: AdminTarget) -> None:
+    It owns the set of admin connections.
+    """
+
+    def __init__(self, network: Network, target: AdminTarget) -> None:
+        """Create a server that does not listen yet.
+
+        Args:
+            network: The network of the thread on which the server runs.
+            target: What the commands act on.
+        """
         self.network = network
-        self.staffed = staffed
+        self.target = target
         self._listener: Listener | None = None
-        self._callers: dict[_Caller, None] = {}  # the one that came first stands first
+        self._connections: dict[_AdminConnection, None] = {}  # oldest first
 
     def listen(self, address: Address) -> None:
-        """Raises OSError if the address is taken, or not this machine's."""
-        self._listener = self.network.listen(lambda: _Caller(self), address, MOST_CALLERS)
+        """Start to listen.
+
+        Raises:
+            OSError: The address is in use, or not this machine's.
+        """
+        self._listener = self.network.listen(lambda: _AdminConnection(self), address, MAX_CLIENTS)
 
     @property
     def port(self) -> int:
+        """The port that the server listens on."""
         assert self._listener is not None
         return self._listener.port
 
     def close(self) -> None:
+        """Stop listening and abort all connections."""
         if self._listener is not None:
             self._listener.close()
-        for each in list(self._callers):
-            each.cut()
+        for connection in list(self._connections):
+            connection.abort()
+
+    def register(self, connection: _AdminConnection) -> None:
+        """Add a connection; at the limit, the oldest is aborted, so that silent clients block nobody."""
+        if len(self._connections) >= MAX_CLIENTS:
+            next(iter(self._connections)).abort()
+        self._connections[connection] = None
 
-    def opened(self, caller: _Caller) -> None:
-        """Guards against callers that connect and say nothing: they hold back nobody, the oldest goes."""
-        if len(self._callers) >= MOST_CALLERS:
-            next(iter(self._callers)).cut()
-        self._callers[caller] = None
+    def unregister(self, connection: _AdminConnection) -> None:
+        """Remove a connection that is closed."""
+        self._connections.pop(connection, None)
 
-    def closed(self, caller: _Caller) -> None:
-        self._callers.pop(caller, None)
 
+class _AdminConnection(asyncio.Protocol):
+    """One client: a command, its reply, and a timeout for each."""
 
-class _Caller(asyncio.Protocol):
-    def __init__(self, door: AdminServer) -> None:
-        self._door = door
+    def __init__(self, server: AdminServer) -> None:
+        self._server = server
         self._reader = CommandReader()
         self._transport: asyncio.Transport | None = None
         self._timer: Timer | None = None
-        self._is_answered = False
+        self._has_replied = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # uvloop's class is none of asyncio's, so there is nothing to check.
+        # uvloop's transports don't derive from asyncio's, so there is nothing to check at run time.
         self._transport = cast(asyncio.Transport, transport)
-        self._door.opened(self)
-        self._timer = self._door.network.call_later(_CALL_WITHIN_S, self.cut)
+        self._server.register(self)
+        self._timer = self._server.network.call_later(_COMMAND_TIMEOUT_S, self.abort)
 
     def data_received(self, data: bytes) -> None:
-        if self._is_answered:
+        if self._has_replied:
             return
         try:
             line = self._reader.feed(data)
-        except BadCommandError as fault:
-            self._say(refusal(str(fault)))
+        except BadCommandError as error:
+            self._reply(error_reply(error.reason))
         else:
             if line is not None:
-                self._say(answer(line, self._door.staffed))
+                self._reply(execute(line, self._server.target))
 
     def eof_received(self) -> bool:
-        if not self._is_answered:
-            self._say(answer(self._reader.end(), self._door.staffed))
-        return True  # the answer still goes out
+        if not self._has_replied:
+            self._reply(execute(self._reader.finish(), self._server.target))
+        return True  # keep the transport open: the reply is still to be sent
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _error: Exception | None) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._door.closed(self)
+        self._server.unregister(self)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         if self._transport is not None:
             self._transport.abort()
-        self._door.closed(self)
+        self._server.unregister(self)
 
-    def _say(self, text: bytes) -> None:
-        assert self._transport is not None and self._timer is not None
-        self._is_answered = True
+    def _reply(self, text: bytes) -> None:
+        assert self._transport is not None
+        assert self._timer is not None
+        self._has_replied = True
         self._timer.cancel()
-        self._timer = self._door.network.call_later(_READ_WITHIN_S, self.cut)
+        self._timer = self._server.network.call_later(_REPLY_TIMEOUT_S, self.abort)
         self._transport.write(text)
         self._transport.close()
--- a/micadeck/operations/admin_thread.py
+++ b/micadeck/operations/admin_thread.py
@@ -1,11 +1,10 @@
-"""The operators' door on a thread of its own.
+"""Runs the admin server on a thread of its own.
 
-Guards against a sidecar that is short of its processor: its loop comes round as often as all connections that
-have something to say got their turn, which takes over a second there, and a caller needs two rounds.  The
-thread waits for no round; the interpreter gives it its turn within milliseconds.
+On a sidecar that is short of CPU, one iteration of its event loop takes over a second, and an admin client
+needs two.  The thread waits for no iteration; the interpreter schedules it within milliseconds.
 
-What it reads off the sidecar are numbers and copies made in one step, so that a report never sees half of a
-change.  What it asks of the sidecar's state is done on the sidecar's own thread.
+The thread reads only numbers and copies made in one step, so that a report never shows half of a change.
+Changes of the sidecar's state are carried out on the sidecar's own thread.
 """
 
 from __future__ import annotations
@@ -17,61 +16,77 @@
 from micadeck.operations.admin_server import AdminServer
 from micadeck.operations.lifecycle import Phase
 
+_THREAD_NAME = "micadeck-admin"
+
 
 class Sidecar(AdminTarget, Protocol):
-    """What is asked of the sidecar, which has a life that is told by other threads too."""
+    """The sidecar, whose lifecycle phase may be read from any thread."""
 
     @property
-    def phase(self) -> Phase: ...
+    def phase(self) -> Phase:
+        """The current phase of the lifecycle."""
 
 
 class AdminThread:
-    """A door from its first listening to its end."""
+    """Owns the thread of the admin server, from its first `listen` to `close`."""
 
     def __init__(self, network: Network, sidecar: Sidecar) -> None:
+        """Prepare a server for this sidecar; the thread starts with `listen`.
+
+        Args:
+            network: The network of the sidecar's own thread.
+            sidecar: What the commands act on.
+        """
         self._network = network
         self._sidecar = sidecar
-        self._apart: ThreadNetwork | None = None
-        self._door: AdminServer | None = None
+        self._thread: ThreadNetwork | None = None
+        self._server: AdminServer | None = None
 
     def listen(self, address: Address) -> None:
-        """Raises OSError if the address is taken, or not this machine's."""
-        if self._apart is None or self._door is None:  # else listening is tried again
-            self._apart = self._network.apart("micadeck-door")
-            self._door = AdminServer(self._apart.network, _Across(self._network, self._sidecar))
-        door = self._door
-        self._apart.run(lambda: door.listen(address))
+        """Start to listen; it may be called again after a failure.
+
+        Raises:
+            OSError: The address is in use, or not this machine's.
+        """
+        if self._thread is None or self._server is None:
+            self._thread = self._network.start_thread(_THREAD_NAME)
+            target = _CrossThreadTarget(self._network, self._sidecar)
+            self._server = AdminServer(self._thread.network, target)
+        server = self._server
+        self._thread.run(lambda: server.listen(address))
 
     @property
     def port(self) -> int:
-        assert self._door is not None
-        return self._door.port
+        """The port that the server listens on."""
+        assert self._server is not None
+        return self._server.port
 
     def close(self) -> None:
-        if self._apart is not None and self._door is not None:
-            self._apart.run(self._door.close)
-            self._apart.end()
-            self._apart = None
+        """Stop the server and end its thread."""
+        if self._thread is not None and self._server is not None:
+            self._thread.run(self._server.close)
+            self._thread.stop()
+            self._thread = None
 
 
-class _Across:
-    """The sidecar as the door's thread may touch it."""
+class _CrossThreadTarget:
+    """The sidecar, as the admin thread may use it."""
 
     def __init__(self, network: Network, sidecar: Sidecar) -> None:
         self._network = network
         self._sidecar = sidecar
 
-    def is_ready(self) -> str | None:
-        return self._sidecar.is_ready()
+    def unready_reason(self) -> str | None:
+        return self._sidecar.unready_reason()
 
-    def figures(self) -> bytes:
-        return self._sidecar.figures()
+    def statistics_report(self) -> bytes:
+        return self._sidecar.statistics_report()
 
     def drain(self) -> bool:
-        """Done in order, and before whatever comes to the sidecar after the answer."""
-        self._network.call_from_apart(self._sidecar.drain)
+        """Schedule the drain ahead of all that reaches the sidecar after the reply."""
+        self._network.call_soon_threadsafe(self._sidecar.drain)
         return self._sidecar.phase is not Phase.STOPPING
 
     def undrain(self) -> bool:
-        self._network.call_from_apart(self._sidecar.undrain)
+        self._network.call_soon_threadsafe(self._sidecar.undrain)
         return self._sidecar.phase is not Phase.STOPPING
--- a/micadeck/operations/hot_restart.py
+++ b/micadeck/operations/hot_restart.py
@@ -1,8 +1,8 @@
-"""Other processes of the same sidecar on this machine, as while a new version takes over.
+"""Discovery of sibling processes: others of the same sidecar on this machine, as during a hot restart.
 
-Platforms count the limits over all of them.  Each process holds a lock on a file of its own in a folder that
-all of them see; the kernel lets go of it with the process, whatever ended it.  The lock alone tells that a
-process is there, whatever the file holds; what it holds while there are others is in `ids`.
+Platforms count limits over all of them.  Each process holds a lock on a file of its own in a shared folder;
+the kernel releases it with the process, however that ended.  The lock alone shows that a process is running;
+the content of the file is defined in `request_id_registry`.
 """
 
 from __future__ import annotations
@@ -14,98 +14,117 @@
 
 from micadeck.operations.request_id_registry import RequestIdRegistry
 
-_TRIES = 5
-_SAFE = re.compile(r"[^A-Za-z0-9_-]")
+_REGISTER_ATTEMPTS = 5
+_UNSAFE_IN_FILE_NAME = re.compile(r"[^A-Za-z0-9_-]")
+_NEVER_SCANNED = (-1, -1)
 
 
-def share_of(limit: int, others: int) -> int:
-    """A process's part of a limit that so many others share."""
-    return limit // (1 + others)
+def divide_limit(limit: int, sibling_count: int) -> int:
+    """Return this process's part of a limit that it shares with so many siblings."""
+    return limit // (1 + sibling_count)
 
 
 class HotRestart:
-    """Counts the processes that are there beside this one; without a folder there are none."""
+    """Registers this process and counts its siblings.  It owns this process's lock file.
+
+    Without a folder, or where it can't be written, there are no siblings.
+    """
 
     def __init__(self, folder: str | None, name: str) -> None:
+        """Prepare registration; nothing is written before `register`.
+
+        Args:
+            folder: A folder that all processes of this sidecar share, or None.
+            name: The name of the sidecar.
+        """
         self._folder = Path(folder) if folder else None
-        self._stem = f"micadeck-{_SAFE.sub('_', name)}-"
-        self._own: Path | None = None
+        self._file_prefix = f"micadeck-{_UNSAFE_IN_FILE_NAME.sub('_', name)}-"
+        self._own_path: Path | None = None
         self._fd = -1
-        self._seen = (-1, -1)  # the folder, as it was looked at last
-        self._alive: list[Path] = []
+        self._scanned_state = _NEVER_SCANNED  # mtime and inode of the folder at the last scan
+        self._siblings: list[Path] = []
 
     @property
-    def others(self) -> int:
-        """How many processes are there beside this one."""
-        return len(self._alive)
+    def sibling_count(self) -> int:
+        """How many other processes of this sidecar were running at the last refresh."""
+        return len(self._siblings)
 
-    def ids(self) -> RequestIdRegistry | None:
-        """Where ids of open requests are held so that the others see them; None if it can't be done."""
+    def open_registry(self) -> RequestIdRegistry | None:
+        """Return a registry of open requests that is shared with the siblings; None if that fails."""
         try:
-            return RequestIdRegistry(self._fd, self._alive)
+            return RequestIdRegistry(self._fd, self._siblings)
         except OSError:
             return None
 
-    def enter(self) -> None:
-        """Say that this process is there.  Where that can't be said, it runs all the same."""
+    def register(self) -> None:
+        """Make this process visible to its siblings; it runs on where that fails."""
         if self._folder is None:
             return
-        own = self._folder / f"{self._stem}{os.getpid()}"
-        for _ in range(_TRIES):
-            try:
-                self._fd = os.open(own, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-                fcntl.flock(self._fd, fcntl.LOCK_EX)
-                if os.fstat(self._fd).st_nlink:
-                    self._own = own
-                    break
-            except OSError:
-                pass
-            # Guards against another process that looked between the two, and took the file for a dead one's.
-            self.leave()
-        self.look()
-
-    def look(self) -> bool:
-        """Look for them anew; say whether they changed.
-
-        While the folder is as it was, that is one `stat`.
+        own_path = self._folder / f"{self._file_prefix}{os.getpid()}"
+        for _ in range(_REGISTER_ATTEMPTS):
+            if self._lock(own_path):
+                self._own_path = own_path
+                break
+            self.unregister()
+        self.refresh()
+
+    def _lock(self, path: Path) -> bool:
+        """Create and lock the file.
+
+        Returns:
+            False on an error, or if a sibling took the file for a dead process's between the two steps and
+            removed it.
+        """
+        try:
+            self._fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            fcntl.flock(self._fd, fcntl.LOCK_EX)
+            return os.fstat(self._fd).st_nlink > 0
+        except OSError:
+            return False
+
+    def refresh(self) -> bool:
+        """Scan for siblings; return whether they changed.
+
+        While the folder is unchanged and there are no siblings, this is one `stat`.
         """
-        if self._own is None or self._folder is None:
+        if self._own_path is None or self._folder is None:
             return False
-        before = self._alive
+        before = self._siblings
         try:
-            state = os.stat(self._folder)
-            now = (state.st_mtime_ns, state.st_ino)
-            if now != self._seen or before:
-                self._seen = now
-                files = sorted(self._folder.glob(f"{self._stem}*"))
-                self._alive = [each for each in files if self._is_alive(each)]
+            stat = self._folder.stat()
+            state = (stat.st_mtime_ns, stat.st_ino)
+            if state != self._scanned_state or before:
+                self._scanned_state = state
+                paths = sorted(self._folder.glob(f"{self._file_prefix}*"))
+                self._siblings = [path for path in paths if self._is_running(path)]
         except OSError:
-            self._alive = []  # the folder is gone, and with it whoever could be told
-        return self._alive != before
+            self._siblings = []  # the folder was removed, and no sibling can be seen any more
+        return self._siblings != before
 
-    def _is_alive(self, path: Path) -> bool:
-        if path == self._own:
+    def _is_running(self, path: Path) -> bool:
+        """Return whether a sibling holds the lock on this file; remove the file of a dead one."""
+        if path == self._own_path:
             return False
         try:
             fd = os.open(path, os.O_RDWR | os.O_CLOEXEC)
         except OSError:
-            return False  # it left meanwhile
+            return False  # it was removed meanwhile
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             return True
         else:
-            path.unlink(missing_ok=True)  # nobody holds it: that process is dead
+            path.unlink(missing_ok=True)
             return False
         finally:
             os.close(fd)
 
-    def leave(self) -> None:
-        """This process is there no more."""
-        if self._own is not None:
-            self._own.unlink(missing_ok=True)
-            self._own = None
+    def unregister(self) -> None:
+        """Remove this process's file and release its lock."""
+        if self._own_path is not None:
+            self._own_path.unlink(missing_ok=True)
+            self._own_path = None
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
-        self._alive = []
+        self._siblings = []
--- a/micadeck/operations/lifecycle.py
+++ b/micadeck/operations/lifecycle.py
@@ -1,8 +1,8 @@
-"""The life of one sidecar, a process or a library's: starting, ready, draining, ready again, stopping, ended.
+"""The lifecycle of a sidecar, as a daemon or in a library: starting, ready, draining, stopping, ended.
 
-No input or output.  All that depends on the phase is asked here: what `/_health` says, whether a request is
-taken, whether an answer closes its connection, and which connections are let go.  Times are seconds on one
-clock that never steps back.
+No I/O.  Everything that depends on the phase is decided here: the health that `/_health` reports, whether a
+request is accepted, whether an answer closes its connection, and which connections are closed.  Times are
+seconds on one monotonic clock.
 
     from       | started | drain    | undrain | stop     | end
     STARTING   | READY   | DRAINING | -       | STOPPING | ENDED
@@ -11,103 +11,123 @@
     STOPPING   | -       | -        | -       | -        | ENDED
     ENDED      | -       | -        | -       | -        | -
 
-A dash keeps the phase; whether that is an error is the caller's to say.  A drain asked for while the process
-starts holds once it has started, so that it never says yes in between.
+A dash keeps the phase; whether that is an error is for the caller to decide.  A drain during the start
+persists after it, so that the sidecar never reports itself healthy in between.
 """
 
 from __future__ import annotations
 
 from enum import Enum, unique
 
-_SPARED_S = 0.4  # from the drain on: connections at rest are left alone, most end with their next answer
-_ALL_GO_S = 3.4  # after that, what rests goes whatever it looks like: 4 s is when clients have to be gone
+_IDLE_GRACE_S = 0.4  # idle connections stay open so long: the next answer closes them without loss
+# From then on every idle connection is closed: clients have to have moved within 4 s.
+_SAFE_IDLE_ONLY_S = 3.4
 
 
 @unique
 class Phase(Enum):
-    """What the process is about."""
+    """The phases; their values stand in admin replies and in records."""
 
     STARTING = "starting"
     READY = "ready"
-    DRAINING = "draining"  # by an operator's word; it can be taken back
-    STOPPING = "stopping"  # by a signal; it can't
-    ENDED = "ended"  # nothing runs any more, whatever ended it
+    DRAINING = "draining"  # by an operator; can be undone
+    STOPPING = "stopping"  # by a signal; can't be undone
+    ENDED = "ended"
 
 
 @unique
 class ConnectionsToClose(Enum):
-    """Which of the clients' connections are closed now."""
+    """Which of the clients' connections are to be closed now."""
 
     NONE = "none"
-    IDLE = "idle"  # those whose end loses nothing, not even a request on its way
-    RESTING = "resting"  # every one on which no answer is owed and no request has begun
-
-
-_NEXT: dict[tuple[Phase, str], Phase] = {
-    (Phase.STARTING, "started"): Phase.READY,
-    (Phase.STARTING, "drain"): Phase.DRAINING,
-    (Phase.STARTING, "stop"): Phase.STOPPING,
-    (Phase.READY, "drain"): Phase.DRAINING,
-    (Phase.READY, "stop"): Phase.STOPPING,
-    (Phase.DRAINING, "undrain"): Phase.READY,
-    (Phase.DRAINING, "stop"): Phase.STOPPING,
-    **{(phase, "end"): Phase.ENDED for phase in Phase if phase is not Phase.ENDED},
+    SAFE_IDLE = "safe idle"  # idle ones that can be closed without losing a request that is on its way
+    ALL_IDLE = "all idle"  # all without an unanswered or partly received request
+
+
+@unique
+class _Event(Enum):
+    """What moves a sidecar from one phase to another."""
+
+    STARTED = "started"
+    DRAIN = "drain"
+    UNDRAIN = "undrain"
+    STOP = "stop"
+    END = "end"
+
+
+_TRANSITIONS: dict[tuple[Phase, _Event], Phase] = {
+    (Phase.STARTING, _Event.STARTED): Phase.READY,
+    (Phase.STARTING, _Event.DRAIN): Phase.DRAINING,
+    (Phase.STARTING, _Event.STOP): Phase.STOPPING,
+    (Phase.READY, _Event.DRAIN): Phase.DRAINING,
+    (Phase.READY, _Event.STOP): Phase.STOPPING,
+    (Phase.DRAINING, _Event.UNDRAIN): Phase.READY,
+    (Phase.DRAINING, _Event.STOP): Phase.STOPPING,
+    **{(phase, _Event.END): Phase.ENDED for phase in Phase if phase is not Phase.ENDED},
 }
 
 
 class Lifecycle:
-    """The phase of one process, and since when it is leaving."""
+    """Owns the phase of one sidecar.
+
+    Each transition takes the current time and returns whether the phase changed.
+    """
 
     def __init__(self) -> None:
+        """Begin in the phase STARTING."""
         self.phase = Phase.STARTING
         self.has_started = False
-        self._leaving_since = 0.0
+        self._draining_since = 0.0
 
-    def started(self, now: float) -> bool:
-        """Take note that it can serve; say whether the phase changed, as all of these do."""
+    def mark_started(self, now: float) -> bool:
+        """Record that the sidecar can serve."""
         self.has_started = True
-        return self._go("started", now)
+        return self._apply(_Event.STARTED, now)
 
     def drain(self, now: float) -> bool:
-        return self._go("drain", now)
+        """Ask clients to go elsewhere, until `undrain` or `stop`."""
+        return self._apply(_Event.DRAIN, now)
 
     def undrain(self, now: float) -> bool:
-        return self._go("undrain", now)
+        """Accept clients again after a drain."""
+        return self._apply(_Event.UNDRAIN, now)
 
     def stop(self, now: float) -> bool:
-        return self._go("stop", now)
+        """Begin the shutdown."""
+        return self._apply(_Event.STOP, now)
 
     def end(self, now: float) -> bool:
-        return self._go("end", now)
+        """Record that nothing runs any more, whatever the cause."""
+        return self._apply(_Event.END, now)
 
-    def _go(self, event: str, now: float) -> bool:
-        after = _NEXT.get((self.phase, event))
+    def _apply(self, event: _Event, now: float) -> bool:
+        after = _TRANSITIONS.get((self.phase, event))
         if after is None:
             return False
         if after in (Phase.DRAINING, Phase.STOPPING) and self.phase is not Phase.DRAINING:
-            self._leaving_since = now  # a stop within a drain does not begin the time again
+            self._draining_since = now  # a stop during a drain does not restart its time
         self.phase = after
         return True
 
     @property
     def can_serve(self) -> bool:
-        """Whether this process serves what reaches it; a drain only asks clients to go elsewhere."""
+        """Whether requests that arrive are served; a drain only asks clients to go elsewhere."""
         return self.has_started and self.phase not in (Phase.STOPPING, Phase.ENDED)
 
     @property
     def is_healthy(self) -> bool:
-        """Whether clients should come here."""
+        """Whether clients should connect to this process."""
         return self.phase is Phase.READY
 
     @property
-    def is_leaving(self) -> bool:
-        """Whether every answer closes its connection."""
+    def is_draining(self) -> bool:
+        """Whether every answer closes its connection: while draining and while stopping."""
         return self.phase in (Phase.DRAINING, Phase.STOPPING)
 
-    def lets_go(self, now: float) -> ConnectionsToClose:
-        """Which connections are to be closed at this time."""
-        if not self.is_leaving or now < self._leaving_since + _SPARED_S:
+    def connections_to_close(self, now: float) -> ConnectionsToClose:
+        """Return which connections are to be closed at this time."""
+        if not self.is_draining or now < self._draining_since + _IDLE_GRACE_S:
             return ConnectionsToClose.NONE
-        return (
-            ConnectionsToClose.IDLE if now < self._leaving_since + _ALL_GO_S else ConnectionsToClose.RESTING
-        )
+        if now < self._draining_since + _SAFE_IDLE_ONLY_S:
+            return ConnectionsToClose.SAFE_IDLE
+        return ConnectionsToClose.ALL_IDLE
--- a/micadeck/operations/request_id_registry.py
+++ b/micadeck/operations/request_id_registry.py
@@ -1,107 +1,127 @@
-"""Ids of open requests, held where another process of the same sidecar can look them up.
+"""Ids of open requests, shared with sibling processes through files.
 
-While one process takes over from another, a client may send a request again to the one that does not have
-it.  Each process keeps a table of its own in the file that says that it is there, and reads the others'.  It
-is the only one to write there, one slot at a time; a slot holds eight bytes, so no half of one is ever seen.
+During a hot restart, a client may resend a request to the process that does not have it.  Each process keeps
+a hash table in the file that it holds a lock on (`hot_restart`) and reads its siblings'.  Only the owner
+writes to a table, one slot at a time; a slot is eight bytes, so no reader sees half of one.
 
-A table is buckets of a few slots, and an id's slot is any of its bucket's: a look reads one bucket.  What
-can't be read (a file cut off, of another form, gone) holds nothing.  An id whose bucket is full is known
-only to its own process.
+The table is made of buckets of a few slots, and an id may be in any slot of its bucket: a lookup reads one
+bucket.  A file that can't be read (truncated, of another format, removed) holds nothing.  An id whose bucket
+is full is known to its own process only.
 
-Two like requests that reach both processes within the same few microseconds pass, as nothing is locked; a
-client that sends again waits longer than that.
+There are no locks on the tables: two equal requests that reach both processes within the same few
+microseconds both pass.  Clients wait longer than that before they resend.
 """
 
 from __future__ import annotations
 
+import contextlib
 import os
 from collections.abc import Sequence
 from hashlib import blake2b
 from pathlib import Path
 
-FORM = b"micadeck ids 1\n\0"  # the begin of the file; another form has another
+_FILE_HEADER = b"micadeck ids 1\n\0"  # another format has another header
 _BUCKETS = 1024
-_SLOTS = 8
-_MARK = 8  # bytes that stand for an id
-_BUCKET = _SLOTS * _MARK
-_EMPTY = bytes(_MARK)
+_SLOTS_PER_BUCKET = 8
+_SLOT_BYTES = 8
+_BUCKET_BYTES = _SLOTS_PER_BUCKET * _SLOT_BYTES
+_EMPTY_SLOT = bytes(_SLOT_BYTES)
+_BUCKET_DIGEST_BYTES = 2
 
 
-def _spot(ident: bytes) -> tuple[int, bytes]:
-    """Where an id's bucket lies in the file, and what stands for it there."""
-    digest = blake2b(ident, digest_size=_MARK + 2).digest()
-    bucket = int.from_bytes(digest[_MARK:]) % _BUCKETS
-    mark = digest[:_MARK]
-    return len(FORM) + bucket * _BUCKET, mark if mark != _EMPTY else b"\1" + mark[1:]
+class RequestIdRegistry(set[bytes]):
+    """A set of request ids: additions are visible to siblings, and siblings' ids count as members.
 
+    Iteration and length cover this process's ids only.  It owns the content of this process's file.
+    """
 
-class RequestIdRegistry(set[bytes]):
-    """A set of ids: what is added is shown to others, and what others show counts as a member."""
+    def __init__(self, own_fd: int, sibling_paths: Sequence[Path]) -> None:
+        """Write an empty table and open the siblings' files.
+
+        Args:
+            own_fd: A descriptor of this process's file; its owner closes it.
+            sibling_paths: The files of the siblings.
 
-    def __init__(self, own: int, others: Sequence[Path]) -> None:
-        """`own` is the descriptor of this process's file; raises OSError if it can't be written."""
+        Raises:
+            OSError: This process's file can't be written.
+        """
         super().__init__()
-        self._own = own
-        self._at: dict[bytes, int] = {}  # by id, where it stands in the file
-        self._table = bytearray(_BUCKETS * _BUCKET)  # what the file holds behind its begin
-        os.pwrite(own, FORM + self._table, 0)
-        self._others: list[int] = []
-        for each in others:
-            try:
-                self._others.append(os.open(each, os.O_RDONLY | os.O_CLOEXEC))
-            except OSError:
-                pass  # it ended meanwhile
-
-    def add(self, ident: bytes) -> None:
-        super().add(ident)
-        if ident in self._at:
+        self._own_fd = own_fd
+        self._offsets: dict[bytes, int] = {}  # by id, the file offset of its slot
+        self._table = bytearray(_BUCKETS * _BUCKET_BYTES)  # the file's content after the header
+        os.pwrite(own_fd, _FILE_HEADER + self._table, 0)
+        self._sibling_fds: list[int] = []
+        for path in sibling_paths:
+            with contextlib.suppress(OSError):  # it ended meanwhile
+                self._sibling_fds.append(os.open(path, os.O_RDONLY | os.O_CLOEXEC))
+
+    def add(self, request_id: bytes) -> None:
+        """Add an id and show it to siblings, if its bucket has a free slot."""
+        super().add(request_id)
+        if request_id in self._offsets:
             return
-        offset, mark = _spot(ident)
-        for at in range(offset, offset + _BUCKET, _MARK):
-            behind = at - len(FORM)
-            if self._table[behind : behind + _MARK] == _EMPTY:
-                self._write(at, mark)
-                self._at[ident] = at
+        bucket_offset, fingerprint = _locate(request_id)
+        for offset in range(bucket_offset, bucket_offset + _BUCKET_BYTES, _SLOT_BYTES):
+            if self._read_slot(offset) == _EMPTY_SLOT:
+                self._write_slot(offset, fingerprint)
+                self._offsets[request_id] = offset
                 return
 
-    def discard(self, ident: object) -> None:
-        super().discard(ident)
-        at = self._at.pop(ident, None) if isinstance(ident, bytes) else None
-        if at is not None:
-            self._write(at, _EMPTY)
+    def discard(self, request_id: object) -> None:
+        """Remove an id of this process; siblings' ids are not affected."""
+        super().discard(request_id)
+        offset = self._offsets.pop(request_id, None) if isinstance(request_id, bytes) else None
+        if offset is not None:
+            self._write_slot(offset, _EMPTY_SLOT)
 
-    def __contains__(self, ident: object) -> bool:
-        if super().__contains__(ident):
+    def __contains__(self, request_id: object) -> bool:
+        """Return whether this process or a sibling has this request open."""
+        if super().__contains__(request_id):
             return True
-        return isinstance(ident, bytes) and any(_holds(each, ident) for each in self._others)
-
-    def close(self, *, keeps_file: bool) -> None:
-        """Look at nobody any more; unless another table took its place in the file, show nothing."""
-        while self._others:
-            os.close(self._others.pop())
-        if keeps_file:
+        return isinstance(request_id, bytes) and any(_holds(fd, request_id) for fd in self._sibling_fds)
+
+    def close(self, *, keep_file: bool) -> None:
+        """Close the siblings' files.
+
+        Args:
+            keep_file: Whether to leave this process's file as it is, because another registry has replaced
+                the content; else it is truncated.
+        """
+        while self._sibling_fds:
+            os.close(self._sibling_fds.pop())
+        if keep_file:
             return
-        try:
-            os.ftruncate(self._own, 0)
-        except OSError:
-            pass  # nobody can read it either
-
-    def _write(self, at: int, mark: bytes) -> None:
-        behind = at - len(FORM)
-        self._table[behind : behind + _MARK] = mark
-        try:
-            os.pwrite(self._own, mark, at)
-        except OSError:
-            pass  # a full disk: the others don't know of it, this process does
-
-
-def _holds(fd: int, ident: bytes) -> bool:
-    """Whether another process shows this id."""
-    offset, mark = _spot(ident)
+        with contextlib.suppress(OSError):  # siblings can't read it either
+            os.ftruncate(self._own_fd, 0)
+
+    def _read_slot(self, offset: int) -> bytearray:
+        start = offset - len(_FILE_HEADER)
+        return self._table[start : start + _SLOT_BYTES]
+
+    def _write_slot(self, offset: int, fingerprint: bytes) -> None:
+        start = offset - len(_FILE_HEADER)
+        self._table[start : start + _SLOT_BYTES] = fingerprint
+        with contextlib.suppress(OSError):  # a full disk: siblings don't see the id, this process does
+            os.pwrite(self._own_fd, fingerprint, offset)
+
+
+def _locate(request_id: bytes) -> tuple[int, bytes]:
+    """Return the file offset of an id's bucket, and the fingerprint that a slot holds for the id."""
+    digest = blake2b(request_id, digest_size=_SLOT_BYTES + _BUCKET_DIGEST_BYTES).digest()
+    bucket = int.from_bytes(digest[_SLOT_BYTES:]) % _BUCKETS
+    fingerprint = digest[:_SLOT_BYTES]
+    if fingerprint == _EMPTY_SLOT:
+        fingerprint = b"\1" + fingerprint[1:]
+    return len(_FILE_HEADER) + bucket * _BUCKET_BYTES, fingerprint
+
+
+def _holds(fd: int, request_id: bytes) -> bool:
+    """Return whether the file of a sibling holds this id."""
+    offset, fingerprint = _locate(request_id)
     try:
-        if os.pread(fd, len(FORM), 0) != FORM:
+        if os.pread(fd, len(_FILE_HEADER), 0) != _FILE_HEADER:
             return False
-        bucket = os.pread(fd, _BUCKET, offset)
+        bucket = os.pread(fd, _BUCKET_BYTES, offset)
     except OSError:
         return False
-    return any(bucket[at : at + _MARK] == mark for at in range(0, len(bucket), _MARK))
+    return any(bucket[at : at + _SLOT_BYTES] == fingerprint for at in range(0, len(bucket), _SLOT_BYTES))
--- a/micadeck/operations/shutdown_budget.py
+++ b/micadeck/operations/shutdown_budget.py
@@ -1,22 +1,27 @@
-"""The time from SIGTERM to SIGKILL, and what of it is kept for hold-ups and for the last answers.
+"""How the time between SIGTERM and SIGKILL is divided.
 
-SIGKILL comes no sooner than the longest deadline (counted as 3 s at most) and 0.7 s after SIGTERM.  A process
-may be held up for 0.15 s at any moment, also when its last answers are due.
+SIGKILL follows SIGTERM after the longest request deadline (counted up to `MAX_COUNTED_DEADLINE_S`) and
+`KILL_GRACE_S`.  `RESERVED_S` at the end of that time is kept free: nothing is waited for in it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-KILLED_AFTER_S = 0.7  # and the longest deadline
-LONGEST_DEADLINE_S = 3.0  # as far as that is counted
-HOLD_UP_S = 0.15  # the process stands still, whatever it was about to do
-FLUSH_S = 0.06  # for clients to take their last answers and end their side
-WORK_S = 0.04  # writing the last answers, with a loop that is late by a few milliseconds
-SPARE_S = HOLD_UP_S + FLUSH_S + WORK_S  # of the time up to SIGKILL, in which nothing is waited for
+KILL_GRACE_S = 0.7
+MAX_COUNTED_DEADLINE_S = 3.0
+STALL_S = 0.15  # the process may be descheduled for this long at any moment, also at the end
+CLIENT_FLUSH_S = 0.06  # for clients to read their last answers and close their side
+FINAL_WRITES_S = 0.04  # writing the last answers on an event loop that is some milliseconds late
+RESERVED_S = STALL_S + CLIENT_FLUSH_S + FINAL_WRITES_S
 
 
-def answered_by(asked_at: float, deadlines_s: Iterable[float]) -> float:
-    """When all that is open has to be answered by the sidecar itself, if its end was asked for then."""
-    longest_s = min(max(deadlines_s), LONGEST_DEADLINE_S)
-    return asked_at + longest_s + KILLED_AFTER_S - SPARE_S
+def answer_deadline(stop_requested_at: float, deadlines_s: Iterable[float]) -> float:
+    """Return when every open request has to be answered by the sidecar itself.
+
+    Args:
+        stop_requested_at: When the stop was requested, in seconds on the caller's clock.
+        deadlines_s: The deadlines of all request classes, in seconds; at least one.
+    """
+    longest_s = min(max(deadlines_s), MAX_COUNTED_DEADLINE_S)
+    return stop_requested_at + longest_s + KILL_GRACE_S - RESERVED_S
--- a/micadeck/operations/startup_retry.py
+++ b/micadeck/operations/startup_retry.py
@@ -1,21 +1,23 @@
-"""Which failures of a start are waited out, for how long, and which end it.  No input or output.
+"""Which failures at startup are retried, for how long, and which are permanent.  No I/O.
 
-What the machine lacks for a moment (descriptors, buffers, memory) comes back; an address that another process
-holds may be that of one that is ending.  An address that this machine does not have never comes.
+Resources that the machine lacks for a moment (descriptors, buffers, memory) become available again, and an
+address in use may belong to a process that is shutting down.  An address that this machine does not have
+never appears.
 """
 
 from __future__ import annotations
 
 import errno
 
-from micadeck.operations.shutdown_budget import KILLED_AFTER_S, LONGEST_DEADLINE_S
+from micadeck.errors import MicadeckError
+from micadeck.operations.shutdown_budget import KILL_GRACE_S, MAX_COUNTED_DEADLINE_S
 
-WAITED_FOR_S = 30.0
-# A process of before holds its address no longer than that after it was told to end.
-TAKEN_FOR_S = LONGEST_DEADLINE_S + KILLED_AFTER_S + 1.3
-_FIRST_RETRY_S = 0.02
-_LONGEST_RETRY_S = 0.25
-_CANNOT_PASS = frozenset(
+MAX_WAIT_S = 30.0
+# The previous process releases its address within its shutdown budget; the rest is margin.
+MAX_ADDRESS_IN_USE_WAIT_S = MAX_COUNTED_DEADLINE_S + KILL_GRACE_S + 1.3
+_FIRST_DELAY_S = 0.02
+_MAX_DELAY_S = 0.25
+_PERMANENT_ERRNOS = frozenset(
     (
         errno.EADDRNOTAVAIL,
         errno.EAFNOSUPPORT,
@@ -29,24 +31,35 @@
 )
 
 
-class StartCancelledError(Exception):
-    """The process was told to end while its start waited: nothing was taken."""
+class StartCancelledError(MicadeckError):
+    """The process was asked to stop while its startup was waiting; it had accepted nothing."""
+
+    advice = "Start it again if the stop was not intended."
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("The process was asked to stop before it had started.")
 
 
 class StartupRetry:
-    """The wait for one thing that a start needs; times in seconds, on one clock."""
+    """Backoff schedule for one resource that startup needs.  Times are in seconds, on one clock."""
 
     def __init__(self, now: float) -> None:
-        self._began = now
-        self._retry_s = _FIRST_RETRY_S
-        self.is_first = True  # whether nothing has failed yet
-
-    def retry_in_s(self, fault: OSError, now: float) -> float | None:
-        """How long to wait after this failure; None: it can't pass, or was waited for long enough."""
-        self.is_first = False
-        most_s = TAKEN_FOR_S if fault.errno == errno.EADDRINUSE else WAITED_FOR_S
-        if fault.errno in _CANNOT_PASS or now - self._began >= most_s:
+        """Start counting the time that may be spent on retries at `now`."""
+        self._started_at = now
+        self._delay_s = _FIRST_DELAY_S
+        self.has_failed = False
+
+    def next_delay_s(self, error: OSError, now: float) -> float | None:
+        """Record a failure and return how long to wait before the next attempt, in seconds.
+
+        Returns:
+            None if the failure is permanent or the time for retries is spent.
+        """
+        self.has_failed = True
+        max_wait_s = MAX_ADDRESS_IN_USE_WAIT_S if error.errno == errno.EADDRINUSE else MAX_WAIT_S
+        if error.errno in _PERMANENT_ERRNOS or now - self._started_at >= max_wait_s:
             return None
-        retry_s = self._retry_s
-        self._retry_s = min(retry_s * 2.0, _LONGEST_RETRY_S)
-        return retry_s
+        delay_s = self._delay_s
+        self._delay_s = min(delay_s * 2.0, _MAX_DELAY_S)
+        return delay_s
--- a/micadeck/operations/statsd_report.py
+++ b/micadeck/operations/statsd_report.py
@@ -1,4 +1,4 @@
-"""The report of figures, in statsd's form.  No input or output."""
+"""The statistics report, in statsd's line format.  No I/O."""
 
 from __future__ import annotations
 
@@ -9,51 +9,64 @@
 from micadeck.engine import OutcomeCounters
 
 _PREFIX = "edge_balancer"
-_NOT_OF_A_NAME = re.compile(r"[^A-Za-z0-9_-]")  # dots part a name, colons and bars end it
+# Dots separate the parts of a metric's name; colons and bars end it.
+_UNSAFE_IN_METRIC_NAME = re.compile(r"[^A-Za-z0-9_-]")
+_COUNTER = "c"
+_GAUGE = "g"
 
 
 @dataclass(frozen=True, slots=True)
 class RuntimeStatistics:
-    """What is read off the state itself at the time of the report."""
-
-    in_progress: int  # requests taken and not ended
-    known_servers: int  # on the list
-    skipped_servers: int  # of these, those that are avoided
-    tries: int  # attempts written whole
-    loads: int  # configurations taken at SIGHUP
-    load_errors: int  # and turned down
+    """The statistics that are read from the running state at the time of the report."""
+
+    in_progress: int  # requests accepted and not finished
+    known_servers: int
+    skipped_servers: int  # known servers that are avoided
+    attempts: int  # attempts that were written completely
+    config_loads: int  # configurations accepted at SIGHUP
+    config_load_errors: int  # configurations rejected at SIGHUP
     resident_bytes: int  # anonymous memory of the process
-    resident_most_bytes: int  # the most that was seen
-    memory_stage: int  # 0 where there is enough; docs/on-call.md
-    memory_shed: int  # requests refused for memory
-    booked_bytes: Mapping[str, int]  # what is kept of what others send, by kind
-    loop_lag_ms: int  # how late the event loop came round last
+    peak_resident_bytes: int
+    memory_pressure: int  # 0 where there is enough memory; see docs/on-call.md
+    memory_shed: int  # requests rejected for lack of memory
+    buffered_bytes: Mapping[str, int]  # memory held for others' data, by kind
+    loop_lag_ms: int  # how late the event loop was at the last measurement
     descriptors: int  # open in the process
 
 
-def report(account: OutcomeCounters, classes: Iterable[str], counts: RuntimeStatistics) -> bytes:
-    """Lines `name:figure|type`; a class that is in force or was asked for has all three of its own."""
+def format_report(counters: OutcomeCounters, classes: Iterable[str], statistics: RuntimeStatistics) -> bytes:
+    """Return lines `name:value|type`.
+
+    Args:
+        counters: The outcomes of requests, by class.
+        classes: The classes in force; each is listed, also without requests.
+        statistics: The statistics of the running process.
+    """
     lines: list[str] = []
-    for name in dict.fromkeys([*classes, *account]):
-        ends = account[name]
-        path = f"{_PREFIX}.handled.{_NOT_OF_A_NAME.sub('_', name)}"
-        lines.append(f"{path}.passed:{ends.served}|c")
-        lines.append(f"{path}.dropped:{ends.refused}|c")
-        lines.append(f"{path}.bad_gateway:{ends.failed}|c")
-    for name, figure, kind in (
-        ("upstream_tries", counts.tries, "c"),
-        ("in_progress", counts.in_progress, "g"),
-        ("known_servers", counts.known_servers, "g"),
-        ("skipped_servers", counts.skipped_servers, "g"),
-        ("loads", counts.loads, "c"),
-        ("load_errors", counts.load_errors, "c"),
-        ("memory_resident", counts.resident_bytes, "g"),
-        ("memory_resident_most", counts.resident_most_bytes, "g"),
-        ("memory_stage", counts.memory_stage, "g"),
-        ("memory_shed", counts.memory_shed, "c"),
-        *((f"memory_booked.{kind}", booked, "g") for kind, booked in counts.booked_bytes.items()),
-        ("loop_lag_ms", counts.loop_lag_ms, "g"),
-        ("descriptors", counts.descriptors, "g"),
+    for name in dict.fromkeys([*classes, *counters]):
+        outcomes = counters[name]
+        path = f"handled.{_UNSAFE_IN_METRIC_NAME.sub('_', name)}"
+        lines.append(_format_metric(f"{path}.passed", outcomes.served, _COUNTER))
+        lines.append(_format_metric(f"{path}.dropped", outcomes.refused, _COUNTER))
+        lines.append(_format_metric(f"{path}.bad_gateway", outcomes.failed, _COUNTER))
+    for name, value, kind in (
+        ("upstream_tries", statistics.attempts, _COUNTER),
+        ("in_progress", statistics.in_progress, _GAUGE),
+        ("known_servers", statistics.known_servers, _GAUGE),
+        ("skipped_servers", statistics.skipped_servers, _GAUGE),
+        ("loads", statistics.config_loads, _COUNTER),
+        ("load_errors", statistics.config_load_errors, _COUNTER),
+        ("memory_resident", statistics.resident_bytes, _GAUGE),
+        ("memory_resident_most", statistics.peak_resident_bytes, _GAUGE),
+        ("memory_stage", statistics.memory_pressure, _GAUGE),
+        ("memory_shed", statistics.memory_shed, _COUNTER),
+        *((f"memory_booked.{use}", held, _GAUGE) for use, held in statistics.buffered_bytes.items()),
+        ("loop_lag_ms", statistics.loop_lag_ms, _GAUGE),
+        ("descriptors", statistics.descriptors, _GAUGE),
     ):
-        lines.append(f"{_PREFIX}.{name}:{figure}|{kind}")
-    return "".join(f"{each}\n" for each in lines).encode()
+        lines.append(_format_metric(name, value, kind))
+    return "".join(lines).encode()
+
+
+def _format_metric(name: str, value: int, kind: str) -> str:
+    return f"{_PREFIX}.{name}:{value}|{kind}\n"
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -26,10 +26,10 @@
     Phase,
     RequestIdRegistry,
     RuntimeStatistics,
-    report,
-    share_of,
+    divide_limit,
+    format_report,
 )
-from micadeck.operations.shutdown_budget import FLUSH_S, KILLED_AFTER_S, answered_by
+from micadeck.operations.shutdown_budget import CLIENT_FLUSH_S, KILL_GRACE_S, answer_deadline
 from micadeck.operations.startup_retry import StartCancelledError, StartupRetry
 from micadeck.peer_datagrams import PeerDatagrams
 from micadeck.policy import IS_COMPILED
@@ -232,10 +232,10 @@
         self._log(f"reloaded: discovery at {' and '.join(places)}{waits}")
 
     def _divide_descriptors(self) -> None:
-        room = max(share_of(self.config.sockets, self.others) - _RESERVED, _LEAST_ROOM)
+        room = max(divide_limit(self.config.sockets, self.others) - _RESERVED, _LEAST_ROOM)
         self.for_clients = int(room * _FOR_CLIENTS)
         self.upstream.most = room - self.for_clients
-        memory_mb = share_of(self.config.memory_mb, self.others)
+        memory_mb = divide_limit(self.config.memory_mb, self.others)
         self.budget.most = memory_mb * _PASSED_ON_OF_MEMORY
         self.memory.limit(memory_mb * MB)
 
@@ -313,9 +313,9 @@
         """
         await self._core.start()
         if self._beside is not None:
-            self._beside.enter()
+            self._beside.register()
             self._share()
-            if self._beside.others:
+            if self._beside.sibling_count:
                 # Guards rule 2: by then the others show which requests they have open.
                 await self._network.sleep(_LOOK_BESIDE_S + _SHOWN_BESIDE_S)
             self._watching = self._network.spawn(self._watch_beside(self._beside))
@@ -326,7 +326,7 @@
         if self.mysql is not None:
             self.mysql.start()
         self._started_at = self._network.time()
-        self.life.started(self._started_at)
+        self.life.mark_started(self._started_at)
         self._live_on()
 
     async def _listen(
@@ -339,8 +339,8 @@
                 listen(address)
                 return
             except OSError as fault:
-                is_first = wait.is_first
-                retry_s = wait.retry_in_s(fault, self._network.time())
+                is_first = not wait.has_failed
+                retry_s = wait.next_delay_s(fault, self._network.time())
                 told = f"{key}: {place(address)}: {fault}"
             if retry_s is None:
                 raise ListenError(told)
@@ -366,18 +366,18 @@
     async def _watch_beside(self, beside: HotRestart) -> None:
         while True:
             await self._network.sleep(_LOOK_BESIDE_S)
-            if beside.look():
+            if beside.refresh():
                 self._share()
 
     def _share(self) -> None:
         """Share with the other processes: the limits, and which requests are open."""
         assert self._beside is not None
-        ids = self._beside.ids() if self._beside.others else None
+        ids = self._beside.open_registry() if self._beside.sibling_count else None
         self._engine.hold_ids(set() if ids is None else ids)
         if self._ids is not None:
-            self._ids.close(keeps_file=ids is not None)
+            self._ids.close(keep_file=ids is not None)
         self._ids = ids
-        self._core.beside(self._beside.others)
+        self._core.beside(self._beside.sibling_count)
         self.frontend.most = self._core.for_clients
         self.frontend.trim()
 
@@ -425,30 +425,30 @@
     def phase(self) -> Phase:
         return self.life.phase
 
-    def is_ready(self) -> str | None:
+    def unready_reason(self) -> str | None:
         if not self.life.can_serve:
             return self.life.phase.value
         waited = self._network.time() >= self._started_at + _LIST_WITHIN_S
         return None if self._engine.has_list or waited else "no list of servers yet"
 
-    def figures(self) -> bytes:
+    def statistics_report(self) -> bytes:
         engine = self._engine
         counts = RuntimeStatistics(
             in_progress=engine.in_progress + self.frontend.tails,
             known_servers=engine.known_servers,
             skipped_servers=engine.skipped_servers,
-            tries=self._core.upstream.tries,
-            loads=self._loads,
-            load_errors=self._load_errors,
+            attempts=self._core.upstream.tries,
+            config_loads=self._loads,
+            config_load_errors=self._load_errors,
             resident_bytes=self.memory.resident,
-            resident_most_bytes=self.memory.resident_most,
-            memory_stage=int(self.memory.stage),
+            peak_resident_bytes=self.memory.resident_most,
+            memory_pressure=int(self.memory.stage),
             memory_shed=engine.shed,
-            booked_bytes={str(kind): booked for kind, booked in self.memory.booked.items()},
+            buffered_bytes={str(kind): booked for kind, booked in self.memory.booked.items()},
             loop_lag_ms=int(self.memory.loop_lag_s * 1e3),
             descriptors=open_descriptors(),
         )
-        return report(engine.account, (each.name for each in self._core.config.settings.classes), counts)
+        return format_report(engine.account, (c.name for c in self._core.config.settings.classes), counts)
 
     def drain(self) -> bool:
         """Send clients away; the process runs on."""
@@ -467,19 +467,19 @@
     def _live_on(self) -> None:
         """Do as the phase of life says."""
         self.frontend.is_healthy = self.life.is_healthy
-        self.frontend.is_draining = self.life.is_leaving
+        self.frontend.is_draining = self.life.is_draining
         if self._core.recording is not None:
             self._core.recording.phase(self.life.phase.value)
-        if self.life.is_leaving and (self._leaving is None or self._leaving.done()):
+        if self.life.is_draining and (self._leaving is None or self._leaving.done()):
             self._leaving = self._network.spawn(self._let_go())
 
     async def _let_go(self) -> None:
         """Close clients' connections for as long as they are to leave."""
-        while self.life.is_leaving:
-            what = self.life.lets_go(self._network.time())
-            if what is ConnectionsToClose.IDLE:
+        while self.life.is_draining:
+            what = self.life.connections_to_close(self._network.time())
+            if what is ConnectionsToClose.SAFE_IDLE:
                 self.frontend.close_idle()
-            elif what is ConnectionsToClose.RESTING:
+            elif what is ConnectionsToClose.ALL_IDLE:
                 self.frontend.close_resting()
             await self._network.sleep(_LOOK_AGAIN_S)
 
@@ -494,14 +494,14 @@
         network, engine, frontend = self._network, self._engine, self.frontend
         began = network.time() if asked_at is None else asked_at
         classes = self._core.config.settings.classes
-        until = answered_by(began, (each.deadline_us / 1e6 for each in classes))
+        until = answer_deadline(began, (each.deadline_us / 1e6 for each in classes))
         left_s = max(until - network.time(), 0.0)
         engine.stop_by(network.now() + int(left_s * 1e6))
         self.life.stop(began)
         self._live_on()
         second = network.spawn(self.mysql.drain(left_s)) if self.mysql is not None else None
         await network.sleep(max(began + _NEW_FOR_S - network.time(), 0.0))
-        closes_by = min(began + KILLED_AFTER_S, until)
+        closes_by = min(began + KILL_GRACE_S, until)
         while network.time() < min(frontend.last_opened + _QUIET_S, closes_by):
             await network.sleep(_QUIET_S / 2)
         frontend.stop_listening()
@@ -511,7 +511,7 @@
         if second is not None:
             await second
         frontend.close_all()
-        while frontend.open_connections and network.time() < until + FLUSH_S:
+        while frontend.open_connections and network.time() < until + CLIENT_FLUSH_S:
             await network.sleep(_LOOK_AGAIN_S)  # until clients have their last answers, and ended their side
         self.close()
 
@@ -525,9 +525,9 @@
             if task is not None:
                 task.cancel()
         if self._ids is not None:
-            self._ids.close(keeps_file=False)
+            self._ids.close(keep_file=False)
         if self._beside is not None:
-            self._beside.leave()
+            self._beside.unregister()
         if self.door is not None:
             self.door.close()
         self._core.close()
--- a/micadeck/simulation/network.py
+++ b/micadeck/simulation/network.py
@@ -35,7 +35,7 @@
     def wall(self) -> int:
         return self.now()
 
-    def apart(self, name: str) -> SameThread:
+    def start_thread(self, name: str) -> SameThread:
         return SameThread(self)
 
     async def dial(self, make: Callable[[], P], address: Address) -> P:
@@ -71,5 +71,5 @@
     def run(self, work: Callable[[], T]) -> T:
         return work()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         pass
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -327,7 +327,7 @@
         assert server.whole == [hashlib.sha256(body).digest()] * 2
         assert server.connections == 1  # it is used again
         await until(lambda: scene.sidecar.open_requests == 0)
-        assert b"handled.lodge.passed:2|c" in scene.sidecar.figures()
+        assert b"handled.lodge.passed:2|c" in scene.sidecar.statistics_report()
 
 
 @pytest.mark.parametrize("stop_after", [0, 1_000, 100_000, LARGE])
@@ -386,7 +386,7 @@
                 await soon(read_body(client.reader, headers))
         await until(lambda: scene.sidecar.open_requests == 0)
         assert server.connections == 2  # begun answers are not asked for again
-        assert b"handled.check.bad_gateway:2|c" in scene.sidecar.figures()
+        assert b"handled.check.bad_gateway:2|c" in scene.sidecar.statistics_report()
 
 
 @played
--- a/tests/test_held_up_end.py
+++ b/tests/test_held_up_end.py
@@ -12,10 +12,16 @@
 from loopback import Heard, play, request, soon
 from test_program import GOOD, program
 
-from micadeck.operations.shutdown_budget import FLUSH_S, HOLD_UP_S, KILLED_AFTER_S, SPARE_S, answered_by
+from micadeck.operations.shutdown_budget import (
+    CLIENT_FLUSH_S,
+    KILL_GRACE_S,
+    RESERVED_S,
+    STALL_S,
+    answer_deadline,
+)
 
 DEADLINE_S = 0.4
-KILL_S = DEADLINE_S + KILLED_AFTER_S
+KILL_S = DEADLINE_S + KILL_GRACE_S
 LANES = [{"name": "lodge", "giveUpUs": 400_000, "promiseUs": 200_000, "repeat": "non_idempotent"}]
 
 
@@ -51,7 +57,7 @@
             await at(held_up_at_s)
             with contextlib.suppress(ProcessLookupError):
                 running.process.send_signal(signal.SIGSTOP)
-                await asyncio.sleep(HOLD_UP_S)
+                await asyncio.sleep(STALL_S)
                 running.process.send_signal(signal.SIGCONT)
             for client in (clients[0], clients[1], late):
                 assert (await client.answer()).status in (502, 503, 504)
@@ -61,6 +67,6 @@
 
 
 def test_the_margins_cover_a_hold_up_and_the_last_answers() -> None:
-    assert HOLD_UP_S + FLUSH_S < SPARE_S < KILLED_AFTER_S
-    assert answered_by(10.0, [0.1, 0.4]) == pytest.approx(10.0 + 0.4 + KILLED_AFTER_S - SPARE_S)
-    assert answered_by(10.0, [0.1, 60.0]) == pytest.approx(10.0 + 3.0 + KILLED_AFTER_S - SPARE_S)
+    assert STALL_S + CLIENT_FLUSH_S < RESERVED_S < KILL_GRACE_S
+    assert answer_deadline(10.0, [0.1, 0.4]) == pytest.approx(10.0 + 0.4 + KILL_GRACE_S - RESERVED_S)
+    assert answer_deadline(10.0, [0.1, 60.0]) == pytest.approx(10.0 + 3.0 + KILL_GRACE_S - RESERVED_S)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -16,18 +16,18 @@
 from loopback import HOST, OK, Client, Heard, play, played, request, soon, stage, until
 from test_program import program, started
 
-from micadeck.operations import HotRestart, RequestIdRegistry, share_of
+from micadeck.operations import HotRestart, RequestIdRegistry, divide_limit
 from micadeck.sidecar import _LEAST_ROOM, _RESERVED
 
 ROOT = Path(__file__).parent.parent
 _OTHER = """
 import sys
-from micadeck.operations import Beside
-beside = Beside(sys.argv[1], sys.argv[2])
-beside.enter()
+from micadeck.operations import HotRestart
+beside = HotRestart(sys.argv[1], sys.argv[2])
+beside.register()
 print("there", flush=True)
 sys.stdin.read()
-beside.leave()
+beside.unregister()
 """
 
 
@@ -51,19 +51,19 @@
 
 def test_a_process_sees_another_of_its_name_and_its_end_however_it_ended(tmp_path: Path) -> None:
     beside = HotRestart(str(tmp_path), "n0")
-    beside.enter()
-    assert beside.others == 0 and not beside.look()
+    beside.register()
+    assert beside.sibling_count == 0 and not beside.refresh()
     with other(tmp_path) as second, other(tmp_path, "n1"):
-        assert beside.look() and beside.others == 1
-        assert not beside.look()
+        assert beside.refresh() and beside.sibling_count == 1
+        assert not beside.refresh()
         second.kill()
         second.wait()
-        assert beside.look() and beside.others == 0
+        assert beside.refresh() and beside.sibling_count == 0
     with other(tmp_path) as third:
-        assert beside.look() and beside.others == 1
+        assert beside.refresh() and beside.sibling_count == 1
         third.communicate()  # it ends in order
-        assert beside.look() and beside.others == 0
-    beside.leave()
+        assert beside.refresh() and beside.sibling_count == 0
+    beside.unregister()
     assert [each.name for each in tmp_path.glob("micadeck-n0-*")] == []
 
 
@@ -71,29 +71,29 @@
     (tmp_path / "micadeck-n0-1").write_bytes(b"cut o")
     (tmp_path / "micadeck-n0-2").mkdir()
     beside = HotRestart(str(tmp_path), "n0")
-    beside.enter()
-    assert beside.others == 0
-    beside.leave()
+    beside.register()
+    assert beside.sibling_count == 0
+    beside.unregister()
 
 
 def test_without_a_folder_nothing_is_said_and_nobody_is_seen(tmp_path: Path) -> None:
     for folder in (None, "", str(tmp_path / "not there")):
         beside = HotRestart(folder, "n0")
-        beside.enter()
-        assert beside.others == 0 and not beside.look()
-        beside.leave()
+        beside.register()
+        assert beside.sibling_count == 0 and not beside.refresh()
+        beside.unregister()
 
 
 def test_a_folder_that_vanishes_ends_nothing(tmp_path: Path) -> None:
     folder = tmp_path / "common"
     folder.mkdir()
     beside = HotRestart(str(folder), "n0")
-    beside.enter()
+    beside.register()
     for each in folder.iterdir():
         each.unlink()
     folder.rmdir()
-    assert not beside.look()
-    beside.leave()
+    assert not beside.refresh()
+    beside.unregister()
 
 
 @played
@@ -108,20 +108,20 @@
         for each in resting:
             assert (await each.ask()).status == 200
         beside = sidecar._beside = HotRestart(str(tmp_path), "n0")
-        beside.enter()
+        beside.register()
         with other(tmp_path):
-            assert beside.look()
+            assert beside.refresh()
             sidecar._share()
             assert core.for_clients + core.upstream.most == 256 // 2 - _RESERVED
             assert core.budget.most == 32 * (1 << 20) // 8
             await until(lambda: sidecar.frontend.open_connections <= core.for_clients)
-        assert beside.look()
+        assert beside.refresh()
         sidecar._share()
         assert core.for_clients + core.upstream.most == whole
 
 
 def test_a_limit_is_shared_in_whole_numbers() -> None:
-    assert [share_of(385, others) for others in (0, 1, 2)] == [385, 192, 128]
+    assert [divide_limit(385, siblings) for siblings in (0, 1, 2)] == [385, 192, 128]
     assert _LEAST_ROOM > 0
 
 
@@ -169,7 +169,7 @@
             holder.add(ident)
             open_ids.add(ident)
     assert len(one) + len(two) == len(open_ids) > 100
-    two.close(keeps_file=False)
+    two.close(keep_file=False)
     assert all((ident in one) == (ident in set(one)) for ident in open_ids)
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,7 +11,7 @@
 import pytest
 from loopback import ERROR, FULL, HOST, OK, Client, Heard, Stage, played, request, soon, stage, until
 
-from micadeck.operations.admin_protocol import MOST_LINE, BadCommandError, CommandReader, answer
+from micadeck.operations.admin_protocol import MAX_COMMAND_BYTES, BadCommandError, CommandReader, execute
 from micadeck.operations.lifecycle import ConnectionsToClose, Lifecycle, Phase
 
 DOOR = {"operator": f"{HOST}:0"}
@@ -22,17 +22,17 @@
 
 def test_a_drain_can_be_taken_back_and_a_stop_can_not() -> None:
     life = Lifecycle()
-    assert not life.can_serve and not life.is_healthy and not life.is_leaving
+    assert not life.can_serve and not life.is_healthy and not life.is_draining
     assert not life.undrain(0.0)
-    assert life.started(0.0) and life.is_healthy and life.can_serve
-    assert life.drain(1.0) and not life.is_healthy and life.is_leaving and life.can_serve
+    assert life.mark_started(0.0) and life.is_healthy and life.can_serve
+    assert life.drain(1.0) and not life.is_healthy and life.is_draining and life.can_serve
     assert not life.drain(2.0)  # a second call changes nothing, nor does its time begin again
-    assert life.lets_go(1.1) is ConnectionsToClose.NONE
-    assert life.lets_go(1.5) is ConnectionsToClose.IDLE
-    assert life.lets_go(4.5) is ConnectionsToClose.RESTING
-    assert life.undrain(5.0) and life.is_healthy and life.lets_go(9.0) is ConnectionsToClose.NONE
+    assert life.connections_to_close(1.1) is ConnectionsToClose.NONE
+    assert life.connections_to_close(1.5) is ConnectionsToClose.SAFE_IDLE
+    assert life.connections_to_close(4.5) is ConnectionsToClose.ALL_IDLE
+    assert life.undrain(5.0) and life.is_healthy and life.connections_to_close(9.0) is ConnectionsToClose.NONE
     assert not life.undrain(5.5)
-    assert life.stop(6.0) and life.is_leaving and not life.can_serve
+    assert life.stop(6.0) and life.is_draining and not life.can_serve
     assert not life.undrain(6.1) and not life.drain(6.2) and not life.stop(6.3)
     assert life.phase is Phase.STOPPING
     assert life.end(7.0) and not life.end(8.0) and not life.can_serve and not life.stop(9.0)
@@ -41,9 +41,9 @@
 
 def test_a_drain_before_the_start_holds_and_a_stop_within_it_keeps_its_time() -> None:
     life = Lifecycle()
-    assert life.drain(0.0) and not life.started(0.1)
+    assert life.drain(0.0) and not life.mark_started(0.1)
     assert not life.is_healthy and life.can_serve
-    assert life.stop(3.0) and life.lets_go(3.5) is ConnectionsToClose.RESTING
+    assert life.stop(3.0) and life.connections_to_close(3.5) is ConnectionsToClose.ALL_IDLE
 
 
 # The lines of the door
@@ -55,10 +55,10 @@
         self.why: str | None = None
         self.obeys = True
 
-    def is_ready(self) -> str | None:
+    def unready_reason(self) -> str | None:
         return self.why
 
-    def figures(self) -> bytes:
+    def statistics_report(self) -> bytes:
         return b"a:1|c\n"
 
     def drain(self) -> bool:
@@ -72,17 +72,17 @@
 
 def test_each_call_has_its_answer() -> None:
     staff = Staff()
-    assert answer(b"READY", staff) == b"200 ready\n"
-    assert answer(b"STATS", staff) == b"a:1|c\nEOF\n"
-    assert answer(b"DRAIN", staff).startswith(b"200 ")
-    assert answer(b"UNDRAIN", staff).startswith(b"200 ")
+    assert execute(b"READY", staff) == b"200 ready\n"
+    assert execute(b"STATS", staff) == b"a:1|c\nEOF\n"
+    assert execute(b"DRAIN", staff).startswith(b"200 ")
+    assert execute(b"UNDRAIN", staff).startswith(b"200 ")
     assert staff.calls == ["drain", "undrain"]
     staff.why, staff.obeys = "starting", False
-    assert answer(b"READY", staff) == b"400 not ready: starting\n"
-    assert answer(b"DRAIN", staff).startswith(b"400 ")
-    assert answer(b"UNDRAIN", staff).startswith(b"400 ")
+    assert execute(b"READY", staff) == b"400 not ready: starting\n"
+    assert execute(b"DRAIN", staff).startswith(b"400 ")
+    assert execute(b"UNDRAIN", staff).startswith(b"400 ")
     for nonsense in (b"", b"ready", b"READY ", b"STATS x", b"\xff\x00", b"GET / HTTP/1.1"):
-        assert answer(nonsense, staff).startswith(b"400 ")
+        assert execute(nonsense, staff).startswith(b"400 ")
 
 
 def test_a_line_may_come_in_any_pieces_and_only_one_may_come() -> None:
@@ -92,11 +92,11 @@
             first = reader.feed(whole[:cut])
             assert first is None
             assert reader.feed(whole[cut:]) == b"READY"
-    for bad in (b"READY\nSTATS\n", b"x" * (MOST_LINE + 1), b"x" * 4_000 + b"\n"):
+    for bad in (b"READY\nSTATS\n", b"x" * (MAX_COMMAND_BYTES + 1), b"x" * 4_000 + b"\n"):
         with pytest.raises(BadCommandError):
             CommandReader().feed(bad)
     reader = CommandReader()
-    for _ in range(MOST_LINE):
+    for _ in range(MAX_COMMAND_BYTES):
         assert reader.feed(b"x") is None
     with pytest.raises(BadCommandError):
         reader.feed(b"x")
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -234,7 +234,7 @@
         with pytest.raises(ConfigError):
             sidecar.reload(replace(changed, keys=frozenset()))
         sidecar.turned_down()
-        told = sidecar.figures().decode()
+        told = sidecar.statistics_report().decode()
         assert "edge_balancer.loads:1|c" in told and "edge_balancer.load_errors:1|c" in told
         assert "edge_balancer.handled.track.passed:1|c" in told
         await asyncio.sleep(0.35)
