--- a/micadeck/daemon.py
+++ b/micadeck/daemon.py
@@ -86,7 +86,7 @@
 
     signals.attach(loop.call_soon_threadsafe, end.set, read_anew)
     keeper = MemoryMonitor(network, sidecar.memory, log, sidecar.count_memory)
-    sidecar.on_memory_stage = keeper.told_stage
+    sidecar.on_memory_stage = keeper.log_level_change
     try:
         await sidecar.start(end.is_set)
     except StartCancelledError:
--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -205,7 +205,7 @@
             self.account[request.service_class].refused += 1
             waiter.refused(0)
             return None
-        if self.memory is not None and self.memory.stage >= PressureLevel.SHED:
+        if self.memory is not None and self.memory.level >= PressureLevel.SHED:
             self.account[request.service_class].refused += 1
             self.shed += 1
             limits = self._settings.limits
--- a/micadeck/http/body_stream.py
+++ b/micadeck/http/body_stream.py
@@ -30,7 +30,7 @@
 
         No more than a pipe may hold, since what was kept becomes the first that its pipe holds.
         """
-        is_short = self.memory is not None and self.memory.stage >= PressureLevel.PASS_ON
+        is_short = self.memory is not None and self.memory.level >= PressureLevel.PASS_ON
         return _MOST_KEPT_WHEN_SHORT if is_short else self.share()
 
     def share(self) -> int:
--- a/micadeck/http/client.py
+++ b/micadeck/http/client.py
@@ -252,7 +252,7 @@
     def _book(self, cost: int) -> None:
         """Count what is kept of the answer now, in bytes."""
         if self._memory is not None and cost != self._booked:
-            self._memory.book(MemoryUse.ANSWERS, cost - self._booked)
+            self._memory.charge(MemoryUse.ANSWERS, cost - self._booked)
             self._booked = cost
 
     def _stall_s(self) -> float:
--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -704,7 +704,7 @@
         connection.held = cost
         self._held += more
         if self.budget.memory is not None:
-            self.budget.memory.book(MemoryUse.REQUESTS, more)
+            self.budget.memory.charge(MemoryUse.REQUESTS, more)
 
     def give_up_oldest(self) -> bool:
         """Turn away the request that has been half sent for longest; say whether there was one."""
--- a/micadeck/memory/__init__.py
+++ b/micadeck/memory/__init__.py
@@ -1,4 +1,4 @@
-"""What the process takes of its machine: its memory as one account, held to the limit of the configuration.
+"""The process's memory: what is buffered for others, what is resident, and the pressure level that follows.
 
-`resident` reads what the system says; what chooses does no input or output.
+`budget` does no I/O, `resident` reads what the operating system reports, and `monitor` samples it on a timer.
 """
--- a/micadeck/memory/monitor.py
+++ b/micadeck/memory/monitor.py
@@ -1,7 +1,8 @@
-"""Looks at the process's memory a few times a second, gives back what is free, and says how it stands."""
+"""Samples the process's memory a few times a second, trims the heap, and logs how memory is used."""
 
 from __future__ import annotations
 
+import contextlib
 import ctypes
 import gc
 from collections.abc import Callable
@@ -10,104 +11,112 @@
 from micadeck.memory.resident import MB, anonymous_bytes
 from micadeck.network import Network, Timer
 
-LOOK_EVERY_S = 0.25
-_TRIM_AT_MB = 4  # resident beyond what is booked and the idle process, before it is given back
-_TRIM_EVERY_S = 1.0
-_TRIM_LEAST_EVERY_S = 8.0  # where trims give back little: what is resident may be in use for now
-_WORTH_MB = 1  # of a trim
-_YOUNG = 1  # the generations that a collection looks at: the rest was frozen at the start
+SAMPLE_INTERVAL_S = 0.25
+_TRIM_THRESHOLD_BYTES = 4 * MB  # unaccounted memory from which the heap is trimmed
+_TRIM_INTERVAL_S = 1.0
+_MAX_TRIM_INTERVAL_S = 8.0  # where trims release little: the memory may be in use
+_EFFECTIVE_TRIM_BYTES = 1 * MB
+_YOUNG_GENERATIONS = 1  # the objects of the start were frozen and need no collection
 _TENTHS = 10
 
 
 class MemoryMonitor:
-    """Feeds an account with the resident memory, from `start` to `close`."""
+    """Feeds a budget with samples of the resident memory, from `start` to `close`.
+
+    It owns the sampling timer and the schedule of heap trims.
+    """
 
     def __init__(
         self,
         network: Network,
-        account: MemoryBudget,
+        budget: MemoryBudget,
         log: Callable[[str], None],
-        count: Callable[[], None] = lambda: None,
+        refresh_charges: Callable[[], None] = lambda: None,
     ) -> None:
-        """`count` books in the account what is only counted now and then."""
+        """Prepare a monitor; nothing is sampled before `start`.
+
+        Args:
+            network: For the clock and timers.
+            budget: What the samples are recorded in.
+            log: Called with each log line.
+            refresh_charges: Called before each sample to set the charges that don't follow each message.
+        """
         self._network = network
-        self._account = account
+        self._budget = budget
         self._log = log
-        self._count = count
+        self._refresh_charges = refresh_charges
         self._timer: Timer | None = None
         self._trimmed_at = 0.0
-        self._trim_every_s = _TRIM_EVERY_S
-        self._due = 0.0
-        self._tenth = 0  # of the limit, the highest that was told
+        self._trim_interval_s = _TRIM_INTERVAL_S
+        self._sample_due_at = 0.0
+        self._logged_tenth = 0  # the highest tenth of the limit that was logged
 
     def start(self) -> None:
-        """Take the memory of now for that of the idle process."""
-        self._account.starts_at(anonymous_bytes())
-        self._tenth = self._tenth_of(self._account.resident)
-        self._later()
+        """Record the current memory as that of the idle process, and begin to sample."""
+        self._budget.set_idle_baseline(anonymous_bytes())
+        self._logged_tenth = self._tenth_of_limit(self._budget.resident_bytes)
+        self._schedule_sample()
 
     def close(self) -> None:
+        """Stop sampling."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def told_stage(self, stage: PressureLevel) -> None:
-        """Log a stage that is entered."""
-        self._log(f"memory: {stage.name.lower().replace('_', ' ')}: {self._words()}")
-
-    def _later(self) -> None:
-        self._due = self._network.time() + LOOK_EVERY_S
-        self._timer = self._network.call_later(LOOK_EVERY_S, self._look)
-
-    def _look(self) -> None:
-        self._account.loop_lag_s = max(self._network.time() - self._due, 0.0)
-        self._count()
-        resident = anonymous_bytes()
-        self._account.saw_resident(resident)
-        if self._is_worth_a_trim():
-            resident = self._give_back()
-        self._tell_tenth(resident)
-        self._later()
-
-    def _is_worth_a_trim(self) -> bool:
-        is_due = self._network.time() - self._trimmed_at >= self._trim_every_s
-        return is_due and self._account.unaccounted > _TRIM_AT_MB * MB
-
-    def _give_back(self) -> int:
-        """Have the allocator give free memory back to the system; give the resident memory after.
-
-        Guards against trimming over and over what is in use, though nobody books it: each trim that gives
-        back little is followed by a longer pause.
+    def log_level_change(self, level: PressureLevel) -> None:
+        """Log a level that was entered."""
+        self._log(f"memory: {level.name.lower().replace('_', ' ')}: {self._describe()}")
+
+    def _schedule_sample(self) -> None:
+        self._sample_due_at = self._network.time() + SAMPLE_INTERVAL_S
+        self._timer = self._network.call_later(SAMPLE_INTERVAL_S, self._sample)
+
+    def _sample(self) -> None:
+        self._budget.loop_lag_s = max(self._network.time() - self._sample_due_at, 0.0)
+        self._refresh_charges()
+        resident_bytes = anonymous_bytes()
+        self._budget.update_resident(resident_bytes)
+        if self._should_trim():
+            resident_bytes = self._trim()
+        self._log_new_tenth(resident_bytes)
+        self._schedule_sample()
+
+    def _should_trim(self) -> bool:
+        is_due = self._network.time() - self._trimmed_at >= self._trim_interval_s
+        return is_due and self._budget.unaccounted_bytes > _TRIM_THRESHOLD_BYTES
+
+    def _trim(self) -> int:
+        """Trim the heap and return the resident memory after it, in bytes.
+
+        Each trim that releases little doubles the interval: the memory may be in use without being charged.
         """
         self._trimmed_at = self._network.time()
-        before = self._account.resident
-        gc.collect(_YOUNG)
+        before_bytes = self._budget.resident_bytes
+        gc.collect(_YOUNG_GENERATIONS)
         trim_heap()
-        resident = anonymous_bytes()
-        self._account.saw_resident(resident)
-        is_worth = before - resident >= _WORTH_MB * MB
-        pause_s = _TRIM_EVERY_S if is_worth else 2.0 * self._trim_every_s
-        self._trim_every_s = min(pause_s, _TRIM_LEAST_EVERY_S)
-        return resident
+        resident_bytes = anonymous_bytes()
+        self._budget.update_resident(resident_bytes)
+        is_effective = before_bytes - resident_bytes >= _EFFECTIVE_TRIM_BYTES
+        interval_s = _TRIM_INTERVAL_S if is_effective else 2.0 * self._trim_interval_s
+        self._trim_interval_s = min(interval_s, _MAX_TRIM_INTERVAL_S)
+        return resident_bytes
 
-    def _tenth_of(self, resident: int) -> int:
-        return resident * _TENTHS // max(self._account.limit_bytes, 1)
+    def _tenth_of_limit(self, resident_bytes: int) -> int:
+        return resident_bytes * _TENTHS // max(self._budget.limit_bytes, 1)
 
-    def _tell_tenth(self, resident: int) -> None:
-        tenth = self._tenth_of(resident)
-        if tenth > self._tenth:
-            self._tenth = tenth
-            self._log(f"memory: {self._words()}")
+    def _log_new_tenth(self, resident_bytes: int) -> None:
+        tenth = self._tenth_of_limit(resident_bytes)
+        if tenth > self._logged_tenth:
+            self._logged_tenth = tenth
+            self._log(f"memory: {self._describe()}")
 
-    def _words(self) -> str:
-        account = self._account
-        kinds = ", ".join(f"{kind} {account.booked[kind] / MB:.1f}" for kind in MemoryUse)
-        resident = f"{account.resident / MB:.1f} of {account.limit_bytes / MB:.0f} MB resident"
-        return f"{resident}; {kinds}, unaccounted {account.unaccounted / MB:.1f}"
+    def _describe(self) -> str:
+        budget = self._budget
+        uses = ", ".join(f"{use} {budget.charged_bytes[use] / MB:.1f}" for use in MemoryUse)
+        resident = f"{budget.resident_bytes / MB:.1f} of {budget.limit_bytes / MB:.0f} MB resident"
+        return f"{resident}; {uses}, unaccounted {budget.unaccounted_bytes / MB:.1f}"
 
 
 def trim_heap() -> None:
-    """Give the C library's free memory back to the system, where the library can (glibc)."""
-    try:
+    """Return the C library's free memory to the operating system, where the library can (glibc)."""
+    with contextlib.suppress(OSError, AttributeError):  # another C library
         ctypes.CDLL(None).malloc_trim(0)
-    except (OSError, AttributeError):
-        pass  # another C library
--- a/micadeck/memory/resident.py
+++ b/micadeck/memory/resident.py
@@ -1,4 +1,4 @@
-"""The anonymous resident memory of this process, as the system tells it: what counts against a limit."""
+"""What the operating system reports of this process: anonymous resident memory and open descriptors."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 MB = 1 << 20
 _STATM = Path("/proc/self/statm")
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+_RESIDENT_FIELD, _SHARED_FIELD = 1, 2  # both in pages
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def open_descriptors() -> int:
-    """How many descriptors this process has open; 0 where the system does not tell."""
+    """Return how many descriptors this process has open; 0 where the system doesn't report it."""
     try:
         return len(os.listdir("/proc/self/fd")) - 1  # one of them reads the folder
     except OSError:
@@ -19,9 +20,12 @@
 
 
 def anonymous_bytes() -> int:
-    """Resident pages that are neither of files nor shared, in bytes; 0 where the system does not tell."""
+    """Return the resident memory that is neither shared nor backed by files, in bytes; 0 if unknown.
+
+    This is what counts against a memory limit.
+    """
     try:
         fields = _STATM.read_bytes().split()
-        return (int(fields[1]) - int(fields[2])) * _PAGE
+        return (int(fields[_RESIDENT_FIELD]) - int(fields[_SHARED_FIELD])) * _PAGE_BYTES
     except (OSError, ValueError, IndexError):
         return 0
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -237,7 +237,7 @@
         self.upstream.most = room - self.for_clients
         memory_mb = divide_limit(self.config.memory_mb, self.others)
         self.budget.most = memory_mb * _PASSED_ON_OF_MEMORY
-        self.memory.limit(memory_mb * MB)
+        self.memory.set_limit(memory_mb * MB)
 
     def beside(self, others: int) -> None:
         """Share the limits with so many other processes of this sidecar."""
@@ -287,7 +287,7 @@
         self.frontend.most = self._core.for_clients
         self.frontend.on_settings = self._core.retune
         self._engine.memory = self._core.memory  # a host's own memory is not this library's to ration
-        self._core.memory.on_stage = self._relieve_soon
+        self._core.memory.on_level_change = self._relieve_soon
         self.mysql = self._with_mysql(config, network, log)
         self.life = Lifecycle()
         self.door = AdminThread(network, self) if config.operator is not None else None
@@ -394,8 +394,8 @@
 
     def count_memory(self) -> None:
         """Book what is not counted with each message."""
-        self.memory.set(MemoryUse.UNSENT, self.frontend.unsent_bytes)
-        self.memory.set(MemoryUse.BODIES, self._core.budget.held)
+        self.memory.set_charge(MemoryUse.UNSENT, self.frontend.unsent_bytes)
+        self.memory.set_charge(MemoryUse.BODIES, self._core.budget.held)
 
     def _relieve_soon(self, stage: PressureLevel) -> None:
         """Act on a stage, but not within whatever booked something just now."""
@@ -410,12 +410,12 @@
         A part at a time: what is resident is only seen to shrink a moment later.
         """
         for _ in range(self.frontend.half_sent // _GIVEN_UP_AT_ONCE + 1):
-            if self.memory.stage < PressureLevel.GIVE_UP or not self.frontend.give_up_oldest():
+            if self.memory.level < PressureLevel.GIVE_UP or not self.frontend.give_up_oldest():
                 break
-        if self.memory.stage >= PressureLevel.CLOSE_IDLE:
+        if self.memory.level >= PressureLevel.CLOSE_IDLE:
             self.frontend.close_idle()
             self._core.upstream.close_all_idle()
-        self._is_relieving = self.memory.stage >= PressureLevel.GIVE_UP
+        self._is_relieving = self.memory.level >= PressureLevel.GIVE_UP
         if self._is_relieving:
             self._network.call_later(_RELIEVE_EVERY_S, self._relieve)
 
@@ -440,11 +440,11 @@
             attempts=self._core.upstream.tries,
             config_loads=self._loads,
             config_load_errors=self._load_errors,
-            resident_bytes=self.memory.resident,
-            peak_resident_bytes=self.memory.resident_most,
-            memory_pressure=int(self.memory.stage),
+            resident_bytes=self.memory.resident_bytes,
+            peak_resident_bytes=self.memory.peak_resident_bytes,
+            memory_pressure=int(self.memory.level),
             memory_shed=engine.shed,
-            buffered_bytes={str(kind): booked for kind, booked in self.memory.booked.items()},
+            buffered_bytes={str(kind): booked for kind, booked in self.memory.charged_bytes.items()},
             loop_lag_ms=int(self.memory.loop_lag_s * 1e3),
             descriptors=open_descriptors(),
         )
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -12,7 +12,7 @@
 from test_program import GOOD
 
 from micadeck.config import parse
-from micadeck.memory.budget import ENTERED_AT_BOOKED, LEFT_AT, MemoryBudget, MemoryUse, PressureLevel
+from micadeck.memory.budget import ENTER_AT_CHARGED, LEAVE_FACTOR, MemoryBudget, MemoryUse, PressureLevel
 from micadeck.memory.monitor import MemoryMonitor
 from micadeck.memory.resident import MB
 from micadeck.network import LoopNetwork
@@ -33,56 +33,56 @@
 ) -> None:
     told: list[PressureLevel] = []
     account = MemoryBudget(LIMIT, told.append)
-    enters = at(ENTERED_AT_BOOKED[stage_])
-    account.book(kind, enters - 1)
-    assert account.stage is PressureLevel(stage_ - 1)
-    account.book(kind, 1)
-    assert account.stage is stage_
-    account.set(kind, int(LEFT_AT * enters))
-    assert account.stage is stage_
-    account.book(kind, -1)
-    assert account.stage < stage_
-    account.set(kind, 0)
-    assert account.stage is PressureLevel.NORMAL and told[-1] is PressureLevel.NORMAL
+    enters = at(ENTER_AT_CHARGED[stage_])
+    account.charge(kind, enters - 1)
+    assert account.level is PressureLevel(stage_ - 1)
+    account.charge(kind, 1)
+    assert account.level is stage_
+    account.set_charge(kind, int(LEAVE_FACTOR * enters))
+    assert account.level is stage_
+    account.charge(kind, -1)
+    assert account.level < stage_
+    account.set_charge(kind, 0)
+    assert account.level is PressureLevel.NORMAL and told[-1] is PressureLevel.NORMAL
 
 
 @pytest.mark.parametrize("kind", [MemoryUse.BODIES, MemoryUse.UNSENT])
 def test_what_has_a_bound_of_its_own_refuses_nobody(kind: MemoryUse) -> None:
     account = MemoryBudget(LIMIT)
-    account.book(kind, LIMIT)
-    assert account.stage is PressureLevel.NORMAL and account.booked[kind] == LIMIT
+    account.charge(kind, LIMIT)
+    assert account.level is PressureLevel.NORMAL and account.charged_bytes[kind] == LIMIT
 
 
 def test_resident_memory_that_nobody_booked_leads_to_a_stage_as_well() -> None:
     account = MemoryBudget(LIMIT)
-    account.starts_at(at(0.2))
+    account.set_idle_baseline(at(0.2))
     stages = []
     for resident in (0.2, 0.5, 0.57, 0.69, 0.77, 0.85, 0.6, 0.45, 0.2):
-        account.saw_resident(at(resident))
-        stages.append(account.stage.value)
+        account.update_resident(at(resident))
+        stages.append(account.level.value)
     assert stages == [0, 0, 1, 2, 3, 4, 2, 0, 0]
 
 
 def test_a_limit_that_the_idle_process_nearly_takes_still_lets_a_trickle_through() -> None:
     account = MemoryBudget(16 * MB)
-    account.starts_at(15 * MB)
+    account.set_idle_baseline(15 * MB)
     stages = []
     for resident_mb in (15.0, 15.2, 15.9):
-        account.book(MemoryUse.REQUESTS, 20_000)
-        account.saw_resident(int(resident_mb * MB))
-        stages.append(account.stage)
+        account.charge(MemoryUse.REQUESTS, 20_000)
+        account.update_resident(int(resident_mb * MB))
+        stages.append(account.level)
     assert stages == [PressureLevel.NORMAL, PressureLevel.NORMAL, PressureLevel.CLOSE_IDLE]
 
 
 def test_two_processes_that_share_a_limit_shed_at_half_of_it() -> None:
     account = MemoryBudget(LIMIT)
-    account.book(MemoryUse.REQUESTS, at(0.07))
-    stages = [account.stage]
+    account.charge(MemoryUse.REQUESTS, at(0.07))
+    stages = [account.level]
     for limit in (LIMIT // 2, LIMIT):
-        account.limit(limit)
-        stages.append(account.stage)
-    account.book(MemoryUse.REQUESTS, -at(0.01))
-    stages.append(account.stage)
+        account.set_limit(limit)
+        stages.append(account.level)
+    account.charge(MemoryUse.REQUESTS, -at(0.01))
+    stages.append(account.level)
     # Passing on is entered at 0.08 of the limit and left at 0.064.
     assert stages == [PressureLevel.NORMAL, PressureLevel.SHED, PressureLevel.PASS_ON, PressureLevel.NORMAL]
 
@@ -91,22 +91,22 @@
 def test_the_stage_is_that_of_the_amounts_however_they_came(steps: list[tuple[MemoryUse, int]]) -> None:
     account = MemoryBudget(LIMIT)
     for kind, more in steps:
-        before = account.stage
-        account.book(kind, more)
-        booked = account.booked[MemoryUse.REQUESTS] + account.booked[MemoryUse.ANSWERS]
-        assert account.counted == booked
+        before = account.level
+        account.charge(kind, more)
+        booked = account.charged_bytes[MemoryUse.REQUESTS] + account.charged_bytes[MemoryUse.ANSWERS]
+        assert account.pressure_bytes == booked
         enters = max(
             each
             for each in PressureLevel
-            if booked >= at(ENTERED_AT_BOOKED[each]) or each is PressureLevel.NORMAL
+            if booked >= at(ENTER_AT_CHARGED[each]) or each is PressureLevel.NORMAL
         )
         stays = max(
             each
             for each in PressureLevel
             if each is PressureLevel.NORMAL
-            or (each <= before and booked >= LEFT_AT * at(ENTERED_AT_BOOKED[each]))
+            or (each <= before and booked >= LEAVE_FACTOR * at(ENTER_AT_CHARGED[each]))
         )
-        assert account.stage is max(enters, stays)
+        assert account.level is max(enters, stays)
 
 
 def test_new_requests_are_refused_and_taken_ones_answered_while_memory_is_short() -> None:
@@ -123,12 +123,12 @@
             taken = await scene.client()
             taken.send(request("lodge"))
             await until(lambda: len(scene.heard) == 1)
-            memory.book(MemoryUse.ANSWERS, int(memory.limit_bytes * ENTERED_AT_BOOKED[PressureLevel.SHED]))
+            memory.charge(MemoryUse.ANSWERS, int(memory.limit_bytes * ENTER_AT_CHARGED[PressureLevel.SHED]))
             refused = await scene.ask("lodge")
             assert refused.status == 503 and refused.headers["retry-after"] == "0.300"
             release.set()
             assert (await taken.answer()).status == 200
-            memory.set(MemoryUse.ANSWERS, 0)
+            memory.set_charge(MemoryUse.ANSWERS, 0)
             assert (await scene.ask("lodge")).status == 200
             assert len(scene.heard) == 2  # the refused one was sent on to nobody
             assert scene.sidecar._engine.shed == 1
@@ -145,13 +145,13 @@
             await until(lambda: len(scene.heard) == 1)
             half.send(request("lodge", body=b"x" * 1_000)[:-1])
             await until(lambda: scene.sidecar.frontend.half_sent == 1)
-            memory.book(
-                MemoryUse.ANSWERS, int(memory.limit_bytes * ENTERED_AT_BOOKED[PressureLevel.CLOSE_IDLE])
+            memory.charge(
+                MemoryUse.ANSWERS, int(memory.limit_bytes * ENTER_AT_CHARGED[PressureLevel.CLOSE_IDLE])
             )
             assert (await half.answer()).status == 503
             await asyncio.sleep(0.3)
             assert scene.sidecar.open_requests == 1  # it is owed its answer
-            memory.set(MemoryUse.ANSWERS, 0)
+            memory.set_charge(MemoryUse.ANSWERS, 0)
 
     play(work)
 
@@ -166,8 +166,8 @@
         async with stage(half) as scene:
             memory = scene.sidecar.memory
             client = await scene.client()
-            memory.book(
-                MemoryUse.REQUESTS, int(memory.limit_bytes * ENTERED_AT_BOOKED[PressureLevel.PASS_ON])
+            memory.charge(
+                MemoryUse.REQUESTS, int(memory.limit_bytes * ENTER_AT_CHARGED[PressureLevel.PASS_ON])
             )
             client.send(request("lodge"))
             head = await client.reader.readuntil(b"\r\n\r\n")
@@ -187,9 +187,9 @@
                     assert (await client.answer()).status == 200
             half = await scene.client()
             half.send(request("lodge", body=b"x" * 30_000)[:-1])
-            await until(lambda: scene.sidecar.memory.booked[MemoryUse.REQUESTS] > 30_000)
+            await until(lambda: scene.sidecar.memory.charged_bytes[MemoryUse.REQUESTS] > 30_000)
             half.close()
-            await until(lambda: not any(scene.sidecar.memory.booked.values()))
+            await until(lambda: not any(scene.sidecar.memory.charged_bytes.values()))
 
     play(work)
 
@@ -219,13 +219,13 @@
     keeper.start()
     for share in (0.15, 0.21, 0.25, 0.33, 0.22, 0.35, 0.41):
         resident[0] = at(share)
-        account.set(MemoryUse.REQUESTS, at(0.05))
-        keeper._look()
+        account.set_charge(MemoryUse.REQUESTS, at(0.05))
+        keeper._sample()
     assert len(lines) == 3
     assert lines[0] == (
         "memory: 21.0 of 100 MB resident; requests 5.0, answers 0.0, unsent 0.0, bodies 0.0, unaccounted 4.0"
     )
-    assert json.dumps(account.booked)  # kinds are words, as figures name them
+    assert json.dumps(account.charged_bytes)  # kinds are words, as figures name them
 
 
 def test_free_memory_is_given_back_also_where_an_earlier_trim_found_it_in_use(
@@ -246,12 +246,12 @@
     keeper.start()
     used[0] = resident[0] = at(0.4)  # in use, and nobody books it
     while clock.time() < 60.0:
-        keeper._look()
+        keeper._sample()
     assert trims[0] <= 12  # ever rarer
     used[0] = at(0.1)
     freed_at = clock.time()
     while resident[0] > at(0.1) and clock.time() - freed_at <= 8.5:
-        keeper._look()
+        keeper._sample()
     assert resident[0] == at(0.1)
 
 
@@ -266,7 +266,7 @@
             await until(lambda: bool(ended))
             assert ended == [Outcome.MALFORMED]
             assert carrier._network.time() - began < 0.2  # by its head, not by its stall of 0.25 s
-            assert scene.sidecar.memory.booked[MemoryUse.ANSWERS] == 0
+            assert scene.sidecar.memory.charged_bytes[MemoryUse.ANSWERS] == 0
 
     play(work)
 
