--- a/micadeck/http/client.py
+++ b/micadeck/http/client.py
@@ -154,7 +154,7 @@
             sending.drop()
         if self._transport is not None and not self._closed:
             if self._stream is not None:
-                self._stream.shut(drops=drops)
+                self._stream.shutdown(discard_unsent=drops)
             self._transport.abort()
         self._report_closed()
 
--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -314,7 +314,7 @@
     def _arrived_at(self, now: float) -> float:
         """When the bytes that were just read came into the socket, as far as the system tells."""
         assert self._stream is not None
-        return now - min(self._stream.unread_for_s(), _LONGEST_UNREAD_S)
+        return now - min(self._stream.seconds_since_received(), _LONGEST_UNREAD_S)
 
     def pause_writing(self) -> None:
         self._is_writing_paused = True
@@ -516,7 +516,7 @@
         self.heard_at = self._frontend.network.time()
         if not self.has_unsent:
             # At once, not in a later round of the loop: no request is read before our end and yet dropped.
-            self._stream.end_writing()
+            self._stream.shutdown_write()
         elif self._transport.can_write_eof():
             self._transport.write_eof()
         self._resume_reading()  # what still comes is dropped
--- a/micadeck/mysql/__main__.py
+++ b/micadeck/mysql/__main__.py
@@ -20,7 +20,7 @@
 from micadeck.mysql.routes import Routes
 from micadeck.mysql.service import MysqlService
 from micadeck.mysql.statements import Reader
-from micadeck.network import LoopNetwork, place
+from micadeck.network import LoopNetwork, format_address
 
 _DRAIN_S = 4.0
 
@@ -83,8 +83,8 @@
     """Check PATH, and print what it comes to; no secret is shown."""
     config = _load(path)
     table = Table("what", "is")
-    table.add_row("listens", place(config.listen))
-    roster = place(config.discovery) if config.discovery is not None else "-"
+    table.add_row("listens", format_address(config.listen))
+    roster = format_address(config.discovery) if config.discovery is not None else "-"
     consul = ", ".join(each.name for each in config.consul.services) if config.consul is not None else "-"
     table.add_row("servers", f"roster {roster}; consul {consul}; {len(config.known.entries)} in the file")
     for user in config.users.values():
--- a/micadeck/mysql/transport.py
+++ b/micadeck/mysql/transport.py
@@ -22,7 +22,7 @@
 from micadeck.mysql.session import Handle, Session, must_reset, put
 from micadeck.mysql.statements import Statement
 from micadeck.network import Address, Network, Timer
-from micadeck.network.scheduling_delay import within_own_time
+from micadeck.network.scheduling_delay import wait_excluding_lag
 from micadeck.policy.events import ServerState
 from micadeck.policy.outcomes import Outcome
 from micadeck.policy.settings import Settings
@@ -381,7 +381,7 @@
             opening = ServerConnection.open(
                 lambda: self._new_link(name, found_rows), self._network, home.address
             )
-            link = await within_own_time(self._network, self._dial_within_s, opening)
+            link = await wait_excluding_lag(self._network, self._dial_within_s, opening)
         except LoginFailed as fault:
             self._log(f"mysql: log-in at {name} failed: {fault}")
             if fault.error is not None and fault.error.code in FULL_AT_LOGIN:
--- a/micadeck/network/__init__.py
+++ b/micadeck/network/__init__.py
@@ -1,7 +1,7 @@
-"""The seam towards time and sockets: the one package that reads a clock or touches a socket.
+"""Clocks, timers and sockets: the one package that reads a clock or touches a socket.
 
-`Network` says what the rest of the program may ask; `LoopNetwork` does it on a running asyncio event loop, by
-the system's clocks and sockets.  A virtual clock and an in-memory network can take its place in a simulation.
+`Network` is what the rest of the program uses; `LoopNetwork` implements it on a running asyncio event loop.
+A simulation replaces it by a virtual clock and an in-memory network.
 """
 
 from micadeck.network.interfaces import (
@@ -11,20 +11,23 @@
     Stream,
     ThreadNetwork,
     Timer,
+    format_address,
     parse_address,
-    place,
 )
-from micadeck.network.loop import LoopNetwork, OnLoop
+from micadeck.network.loop import LoopNetwork, LoopScheduler
+
+place = format_address  # the name that micadeck.membership still imports
 
 __all__ = [
     "Address",
     "Listener",
     "LoopNetwork",
+    "LoopScheduler",
     "Network",
-    "OnLoop",
     "Stream",
     "ThreadNetwork",
     "Timer",
+    "format_address",
     "parse_address",
     "place",
 ]
--- a/micadeck/network/interfaces.py
+++ b/micadeck/network/interfaces.py
@@ -1,4 +1,4 @@
-"""What the program may ask of time and sockets."""
+"""The interfaces through which the rest of the program uses clocks, timers and sockets."""
 
 from __future__ import annotations
 
@@ -8,62 +8,95 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Any, Protocol, TypeVar
 
+from micadeck.errors import MicadeckError
+
 Address = tuple[str, int]
+MAX_PORT = 65_535
 
 P = TypeVar("P", bound=asyncio.BaseProtocol)
 T = TypeVar("T")
 
 
+class InvalidAddressError(MicadeckError, ValueError):
+    """A value is no `address:port`; the message says what is needed."""
+
+    def __str__(self) -> str:
+        """Return the message alone: it says what to write."""
+        return str(self.args[0])
+
+
+class AddressFormatError(InvalidAddressError):
+    """The value does not have the form `address:port`."""
+
+    def __init__(self, value: object) -> None:
+        """Create the error for this value."""
+        super().__init__(f"address:port is needed, not {value!r:.60}")
+
+
+class PortRangeError(InvalidAddressError):
+    """The port is out of range."""
+
+    def __init__(self, port: int) -> None:
+        """Create the error for this port."""
+        super().__init__(f"a port from 0 to {MAX_PORT} is needed, not {port}")
+
+
 def parse_address(value: object) -> Address:
-    """Split `address:port`; there is no DNS, so the address must be a numeric one."""
+    """Parse `address:port`.  The address must be numeric: there is no DNS.
+
+    Raises:
+        InvalidAddressError: The value is not such a string.
+    """
     if not isinstance(value, str):
-        raise ValueError(f"address:port is needed, not {value!r:.60}")
-    host, _, port = value.rpartition(":")
+        raise AddressFormatError(value)
+    host, _, port_text = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
-        number = int(port)
+        port = int(port_text)
     except ValueError:
-        raise ValueError(f"address:port is needed, not {value!r:.60}") from None
-    if not 0 <= number <= 65_535:
-        raise ValueError(f"a port from 0 to 65535 is needed, not {number}")
-    return host.strip("[]"), number
+        raise AddressFormatError(value) from None
+    if not 0 <= port <= MAX_PORT:
+        raise PortRangeError(port)
+    return host.strip("[]"), port
 
 
-def place(address: Address) -> str:
-    """An address as `parse_address` takes it."""
+def format_address(address: Address) -> str:
+    """Return an address in the form that `parse_address` reads."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A call that is scheduled."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Don't make the call."""
 
 
 class Stream(Protocol):
     """The socket under a stream transport, as far as the transport itself does not show it."""
 
     def has_unread(self) -> bool:
-        """Whether bytes, or the peer's end, lie in the socket that the event loop has not read yet."""
+        """Return whether the socket holds bytes, or the peer's end, that the event loop has not read."""
 
     def has_ended(self) -> bool:
-        """Whether the peer has ended its side, or the stream broke, whatever lies unread before that."""
+        """Return whether the peer closed its side or the stream broke, even if bytes are unread."""
 
-    def unread_for_s(self) -> float:
-        """How long ago the last bytes arrived in the socket, in seconds; 0 where that can't be told."""
+    def seconds_since_received(self) -> float:
+        """Return how long ago the last bytes arrived in the socket, in seconds; 0 if unknown."""
 
-    def end_writing(self) -> None:
-        """End our side before the call returns; for when nothing that was written is still unsent.
+    def shutdown_write(self) -> None:
+        """Close the writing side before the call returns; all that was written must have been sent.
 
-        What comes after that can still be read.
+        The reading side stays open.
         """
 
-    def shut(self, *, drops: bool) -> None:
-        """End both directions at once, before the call returns; nothing happens if it has ended.
+    def shutdown(self, *, discard_unsent: bool) -> None:
+        """Close both sides before the call returns; a stream that has ended is left alone.
 
-        `drops`: what was written and has not arrived by the time the transport closes its socket is not sent
-        on or again; the other end may hear of a reset.
+        Args:
+            discard_unsent: Whether data that is not acknowledged when the transport closes its socket is
+                dropped rather than sent; the peer may see a reset.
         """
 
 
@@ -71,11 +104,12 @@
     """A listening stream socket."""
 
     @property
-    def port(self) -> int: ...
+    def port(self) -> int:
+        """The port that it listens on."""
 
     @property
     def is_accepting(self) -> bool:
-        """Whether a stream was accepted that its protocol has not heard of yet."""
+        """Whether an accepted stream has not reached its protocol yet."""
 
     def close(self) -> None:
         """Accept what has connected by now, and nothing after."""
@@ -85,64 +119,77 @@
     """A thread that has a network of its own."""
 
     @property
-    def network(self) -> Network: ...
+    def network(self) -> Network:
+        """The network of the thread, to be used on that thread only."""
 
     def run(self, work: Callable[[], T]) -> T:
-        """Have the thread do this, and wait for what comes of it; raises what it raises."""
+        """Call this on the thread and return its result; raise what it raises."""
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """End the thread."""
 
 
 class Network(Protocol):
     """A clock, timers, tasks, streams and datagrams.
 
-    Everything but `call_soon_threadsafe` is called on one thread.
+    All methods but `call_soon_threadsafe` are called on one thread.
     """
 
     def now(self) -> int:
-        """Whole microseconds of Unix time that never step back."""
+        """Return microseconds of Unix time that never step back."""
 
     def wall(self) -> int:
-        """Whole microseconds of Unix time as the system's clock has it now; that may step."""
+        """Return the system's clock in microseconds of Unix time; it may step."""
 
     def time(self) -> float:
-        """Seconds, to measure spans with; where zero lies is not said."""
+        """Return seconds on a monotonic clock with an arbitrary origin."""
 
-    def call_later(self, delay_s: float, callback: Callable[..., object], *args: Any) -> Timer: ...
+    def call_later(self, delay_s: float, callback: Callable[..., object], *args: Any) -> Timer:
+        """Call this after so many seconds."""
 
-    def call_soon(self, callback: Callable[..., object], *args: Any) -> object: ...
+    def call_soon(self, callback: Callable[..., object], *args: Any) -> object:
+        """Call this in the next iteration of the event loop."""
 
     def call_soon_threadsafe(self, callback: Callable[..., object]) -> object:
-        """As `call_soon`, by another thread; in order."""
+        """Do as `call_soon`, from any thread; calls are made in the order in which they were scheduled."""
 
     def start_thread(self, name: str) -> ThreadNetwork:
-        """A thread of this name for what must not wait for its turn on this one."""
+        """Start a thread of this name, for work that must not wait for its turn on this one."""
 
-    def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]: ...
+    def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
+        """Run a coroutine as a task."""
 
-    async def sleep(self, seconds: float) -> None: ...
+    async def sleep(self, seconds: float) -> None:
+        """Return after so much time."""
 
     def timeout(self, seconds: float) -> AbstractAsyncContextManager[object]:
         """Raise TimeoutError in the body once so much time has passed."""
 
     async def dial(self, make: Callable[[], P], address: Address) -> P:
-        """Open a stream; raise OSError when it does not come up."""
+        """Open a stream; raise OSError if that fails."""
 
     def listen(
         self,
         make: Callable[[], asyncio.BaseProtocol],
         address: Address,
-        at_once: int,
+        max_accepts: int,
         *,
         shared: bool = False,
     ) -> Listener:
-        """Accept streams, so many new ones before others get their turn; raise OSError if it can't listen.
+        """Accept streams.
+
+        Args:
+            make: Makes the protocol of each stream.
+            address: Where to listen.
+            max_accepts: How many streams are accepted before others get their turn.
+            shared: Whether other processes that share the address may listen on it too.
 
-        A shared address may be another process's as well, if that one shares it too.
+        Raises:
+            OSError: It can't listen.
         """
 
     async def datagrams(self, make: Callable[[], asyncio.DatagramProtocol], address: Address) -> None:
-        """Hear datagrams at an address that a further process may share."""
+        """Receive datagrams at an address that other processes may share."""
 
     def stream(self, transport: asyncio.BaseTransport) -> Stream:
-        """The socket under a transport; raise OSError where the system does not tell it."""
+        """Return the socket under a transport; raise OSError if the system does not report it."""
--- /dev/null
+++ b/micadeck/network/socket_listener.py
@@ -0,0 +1,126 @@
+"""A listening socket that accepts a bounded number of connections at a time."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import socket
+from collections.abc import Callable
+
+from micadeck.network.interfaces import Address
+
+_BACKLOG = 1_024
+# Errors of accept(2) for lack of a resource of this machine; the connections stay in the backlog.
+_OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+_FIRST_RETRY_S = 0.001
+_MAX_RETRY_S = 0.02
+_CLOSING_RETRY_S = 0.005
+_CLOSING_RETRIES = 40
+
+
+class SocketListener:
+    """`Listener` that accepts a few connections at a time; the others wait in the kernel.
+
+    Event loops accept all that is there before any of it is counted, so hundreds of simultaneous connections
+    would exceed a limit on descriptors.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        make: Callable[[], asyncio.BaseProtocol],
+        address: Address,
+        max_accepts: int,
+        *,
+        shared: bool,
+    ) -> None:
+        """Start to listen.
+
+        Args:
+            loop: The event loop that serves the connections.
+            make: Makes the protocol of each connection.
+            address: Where to listen.
+            max_accepts: How many connections are accepted before others get their turn.
+            shared: Whether other processes may listen on the address too.
+
+        Raises:
+            OSError: The address is in use, or not this machine's, or a resource is short.
+        """
+        self._loop = loop
+        self._make = make
+        self._max_accepts = max_accepts
+        self._accepting: set[asyncio.Task[None]] = set()
+        self._is_closing = False
+        self._retry_s = _FIRST_RETRY_S
+        family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+        self._socket = socket.socket(family, socket.SOCK_STREAM)
+        try:
+            self._bind(address, shared=shared)
+            self.port = int(self._socket.getsockname()[1])
+            loop.add_reader(self._socket.fileno(), self._accept)
+        except OSError:
+            self._socket.close()
+            raise
+
+    def _bind(self, address: Address, *, shared: bool) -> None:
+        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        if shared:
+            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        self._socket.bind(address)
+        self._socket.setblocking(False)
+        self._socket.listen(_BACKLOG)
+
+    @property
+    def is_accepting(self) -> bool:
+        """Whether an accepted connection has not reached its protocol yet, or the backlog is drained."""
+        return bool(self._accepting) or self._is_closing
+
+    def close(self) -> None:
+        """Accept the backlog, then close: closing first would reset connections with unread requests."""
+        if self._socket.fileno() < 0 or self._is_closing:
+            return
+        self._loop.remove_reader(self._socket.fileno())
+        self._is_closing = True
+        self._drain_backlog(_CLOSING_RETRIES)
+
+    def _drain_backlog(self, retries: int) -> None:
+        if self._accept_up_to(_BACKLOG) or retries <= 0:
+            self._is_closing = False
+            self._socket.close()
+        else:
+            self._loop.call_later(_CLOSING_RETRY_S, self._drain_backlog, retries - 1)
+
+    def _accept(self) -> None:
+        if not self._accept_up_to(self._max_accepts - len(self._accepting)):
+            # The socket stays readable while resources are short: without a pause, the loop would spin.
+            self._loop.remove_reader(self._socket.fileno())
+            self._loop.call_later(self._retry_s, self._resume_accepting)
+            self._retry_s = min(self._retry_s * 2.0, _MAX_RETRY_S)
+
+    def _resume_accepting(self) -> None:
+        if self._socket.fileno() >= 0 and not self._is_closing:
+            self._loop.add_reader(self._socket.fileno(), self._accept)
+
+    def _accept_up_to(self, count: int) -> bool:
+        """Accept up to so many connections; return False if this machine lacks a resource for it."""
+        for _ in range(count):
+            try:
+                accepted, _ = self._socket.accept()
+            except BlockingIOError:
+                return True
+            except OSError as error:
+                if error.errno in _OUT_OF_RESOURCES:
+                    return False
+                continue  # an error of that connection, which Linux reports by accept
+            self._retry_s = _FIRST_RETRY_S
+            accepted.setblocking(False)
+            task = self._loop.create_task(self._connect(accepted))
+            self._accepting.add(task)
+            task.add_done_callback(self._accepting.discard)
+        return True
+
+    async def _connect(self, accepted: socket.socket) -> None:
+        try:
+            await self._loop.connect_accepted_socket(self._make, accepted)
+        except OSError:
+            accepted.close()  # the client was quicker
--- a/micadeck/network/thread_loop.py
+++ b/micadeck/network/thread_loop.py
@@ -1,4 +1,4 @@
-"""A second event loop on a thread of its own, for what must not wait until the first has come round."""
+"""A second event loop on a thread of its own, for work that must not wait for the first."""
 
 from __future__ import annotations
 
@@ -10,51 +10,60 @@
 
 import uvloop
 
-from micadeck.network.loop import LoopNetwork
+from micadeck.network.interfaces import Network
 
-_ANSWER_WITHIN_S = 5.0  # the thread has little to do; one that takes longer hangs
+_RESULT_TIMEOUT_S = 5.0  # the thread has little to do; one that takes longer hangs
 
 T = TypeVar("T")
 
 
 class ThreadLoop:
-    """Runs until `stop`; a process that ends without it does not wait for it."""
+    """Owns a thread with an event loop, until `stop`.  The thread does not keep the process alive."""
 
-    def __init__(self, name: str) -> None:
-        self._up: Future[None] = Future()
+    network: Network
+
+    def __init__(self, name: str, make_network: Callable[[], Network]) -> None:
+        """Start the thread and wait until its event loop runs.
+
+        Args:
+            name: The name of the thread.
+            make_network: Makes the thread's network; it is called on its running event loop.
+        """
+        self._make_network = make_network
+        self._started: Future[None] = Future()
         self._loop: asyncio.AbstractEventLoop | None = None
         self._stopping: asyncio.Event | None = None
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
         self._thread.start()
-        self._up.result(_ANSWER_WITHIN_S)
+        self._started.result(_RESULT_TIMEOUT_S)
 
     def run(self, work: Callable[[], T]) -> T:
-        """Have the thread do this, and wait for what comes of it; raises what it raises."""
+        """Call this on the thread and return its result; raise what it raises."""
         assert self._loop is not None
-        done: Future[T] = Future()
+        result: Future[T] = Future()
 
-        def do() -> None:
+        def call() -> None:
             try:
-                done.set_result(work())
-            except BaseException as fault:
-                done.set_exception(fault)  # it is the caller's
+                result.set_result(work())
+            except BaseException as error:  # it is raised in the caller
+                result.set_exception(error)
 
-        self._loop.call_soon_threadsafe(do)
-        return done.result(_ANSWER_WITHIN_S)
+        self._loop.call_soon_threadsafe(call)
+        return result.result(_RESULT_TIMEOUT_S)
 
     def stop(self) -> None:
-        """Let the thread end; nothing is run on it any more."""
+        """End the event loop and wait for the thread."""
         if self._loop is not None and self._stopping is not None and self._thread.is_alive():
             self._loop.call_soon_threadsafe(self._stopping.set)
-            self._thread.join(_ANSWER_WITHIN_S)
+            self._thread.join(_RESULT_TIMEOUT_S)
 
     def _run(self) -> None:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(self._main())
 
     async def _main(self) -> None:
-        self.network = LoopNetwork()
+        self.network = self._make_network()
         self._loop, self._stopping = asyncio.get_running_loop(), asyncio.Event()
-        self._up.set_result(None)
+        self._started.set_result(None)
         await self._stopping.wait()
-        await asyncio.sleep(0)  # what was closed last ends in a later round of the loop
+        await asyncio.sleep(0)  # connections that were just closed need one more iteration
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -17,7 +17,7 @@
 from micadeck.membership.discovery_watcher import DiscoveryWatcher
 from micadeck.memory.budget import MemoryBudget, MemoryUse, PressureLevel
 from micadeck.memory.resident import MB, open_descriptors
-from micadeck.network import Address, Network, place
+from micadeck.network import Address, Network, format_address
 from micadeck.operations import (
     AdminThread,
     ConnectionsToClose,
@@ -226,7 +226,7 @@
         self.config = replace(config, settings=before.settings, **by_name)
         self._divide_descriptors()
         waits = f"; only a restart takes up {', '.join(kept)}" if kept else ""
-        places = [place(config.discovery)] if config.discovery else []
+        places = [format_address(config.discovery)] if config.discovery else []
         if config.consul is not None:
             places += [f"consul ({', '.join(each.name for each in config.consul.services)})"]
         self._log(f"reloaded: discovery at {' and '.join(places)}{waits}")
@@ -341,7 +341,7 @@
             except OSError as fault:
                 is_first = not wait.has_failed
                 retry_s = wait.next_delay_s(fault, self._network.time())
-                told = f"{key}: {place(address)}: {fault}"
+                told = f"{key}: {format_address(address)}: {fault}"
             if retry_s is None:
                 raise ListenError(told)
             if is_first:
--- a/micadeck/simulation/network.py
+++ b/micadeck/simulation/network.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from micadeck.network import Address, OnLoop, Stream
+from micadeck.network import Address, LoopScheduler, Stream
 from micadeck.simulation.loop import Host
 from micadeck.simulation.wire import Machine, VirtualDatagrams, VirtualListener
 
@@ -17,7 +17,7 @@
 T = TypeVar("T")
 
 
-class VirtualNetwork(OnLoop):
+class VirtualNetwork(LoopScheduler):
     """`Network` for one host.  `ahead_us`: how far its clock stands from the others'."""
 
     def __init__(self, machine: Machine, ahead_us: int = 0) -> None:
@@ -46,13 +46,13 @@
         self,
         make: Callable[[], asyncio.BaseProtocol],
         address: Address,
-        at_once: int,
+        max_accepts: int,
         *,
         shared: bool = False,
     ) -> VirtualListener:
         if not shared and address in self.machine.wire.listeners:
             raise OSError(98, "address already in use")
-        return VirtualListener(self.machine, make, address, at_once, _BACKLOG)
+        return VirtualListener(self.machine, make, address, max_accepts, _BACKLOG)
 
     async def datagrams(self, make: Callable[[], asyncio.DatagramProtocol], address: Address) -> None:
         protocol = make()
--- a/micadeck/simulation/streams.py
+++ b/micadeck/simulation/streams.py
@@ -258,16 +258,16 @@
             self._protocol.connection_lost(fault)
         self.end_at_once()
 
-    def shut(self, *, drops: bool = False) -> None:
+    def shutdown(self, *, discard_unsent: bool = False) -> None:
         """End both directions of the socket at once; the transport finds out in a later round."""
         if not self.is_shut:
-            self.out.is_dropped = drops
-            self._send_end(drops)
+            self.out.is_dropped = discard_unsent
+            self._send_end(discard_unsent)
             self.is_shut = True
 
     def end_at_once(self) -> None:
         """Close the socket."""
-        self.shut()
+        self.shutdown()
         self._is_closing = True
         if self in self.machine.streams:
             del self.machine.streams[self]
@@ -312,13 +312,13 @@
     def has_unread(self) -> bool:
         return bool(self.into.unread or self.into.has_end or self.is_shut)
 
-    def unread_for_s(self) -> float:
+    def seconds_since_received(self) -> float:
         return 0.0  # the host is never late to read
 
     def has_ended(self) -> bool:
         return bool(self.into.has_end or self.is_shut)
 
-    def end_writing(self) -> None:
+    def shutdown_write(self) -> None:
         self.write_eof()
 
     # What else transports tell
--- a/tests/test_failing_streams.py
+++ b/tests/test_failing_streams.py
@@ -10,7 +10,7 @@
 from loopback import OK, played, request, soon, stage, until
 
 from micadeck.http import listener, upstream
-from micadeck.network import loop
+from micadeck.network import stream_socket
 
 
 class Failing:
@@ -30,14 +30,14 @@
 async def test_a_socket_that_is_not_told_at_once_is_asked_for_again(
     times: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real, failing = loop.socket_of, Failing(times)
+    real, failing = stream_socket.socket_of, Failing(times)
 
     def socket_of(transport: asyncio.BaseTransport) -> object:
         failing()
         return real(transport)
 
     async with stage(OK) as scene:
-        monkeypatch.setattr(loop, "socket_of", socket_of)
+        monkeypatch.setattr(stream_socket, "socket_of", socket_of)
         for _ in range(3):
             assert (await scene.ask("lodge")).status == 200
         assert failing.times == 0
@@ -49,7 +49,7 @@
         raise OSError(errno.ENOBUFS, "drawn")
 
     async with stage(OK) as scene:
-        monkeypatch.setattr(loop, "socket_of", never)
+        monkeypatch.setattr(stream_socket, "socket_of", never)
         client = await scene.client()
         client.send(request("lodge"))
         began = time.monotonic()
@@ -72,7 +72,7 @@
         def never(transport: asyncio.BaseTransport) -> object:
             raise OSError(errno.ENOBUFS, "drawn")
 
-        monkeypatch.setattr(loop, "socket_of", never)
+        monkeypatch.setattr(stream_socket, "socket_of", never)
         began = time.monotonic()
         answer = await client.ask("lodge", timeout="1.5")
         assert answer.status in (502, 503, 504) and time.monotonic() - began < 1.8
--- a/tests/test_scheduling_delay.py
+++ b/tests/test_scheduling_delay.py
@@ -12,7 +12,7 @@
 from mysql_stage import ROWS, ask, scene
 
 from micadeck.network import LoopNetwork
-from micadeck.network.scheduling_delay import within_own_time
+from micadeck.network.scheduling_delay import wait_excluding_lag
 
 READ = "SELECT * FROM tariff ORDER BY code"
 
@@ -42,16 +42,16 @@
 @played
 async def test_work_of_a_few_rounds_is_given_them_however_long_each_takes() -> None:
     async with late_by(0.05):
-        assert await within_own_time(LoopNetwork(), 0.2, rounds(8)) == 8
+        assert await wait_excluding_lag(LoopNetwork(), 0.2, rounds(8)) == 8
         with pytest.raises(TimeoutError):
-            await within_own_time(LoopNetwork(), 0.2, rounds(200))
+            await wait_excluding_lag(LoopNetwork(), 0.2, rounds(200))
 
 
 @played
 async def test_silence_is_seen_in_its_time_by_a_loop_that_is_in_time() -> None:
     began = time.monotonic()
     with pytest.raises(TimeoutError):
-        await within_own_time(LoopNetwork(), 0.2, asyncio.sleep(5.0))
+        await wait_excluding_lag(LoopNetwork(), 0.2, asyncio.sleep(5.0))
     assert 0.19 <= time.monotonic() - began <= 0.4
 
 
@@ -69,8 +69,8 @@
             ended.set()
 
     with pytest.raises(ConnectionRefusedError):
-        await within_own_time(LoopNetwork(), 0.2, refused())
-    task = asyncio.create_task(within_own_time(LoopNetwork(), 5.0, waiting()))
+        await wait_excluding_lag(LoopNetwork(), 0.2, refused())
+    task = asyncio.create_task(wait_excluding_lag(LoopNetwork(), 5.0, waiting()))
     await asyncio.sleep(0.05)
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -269,7 +269,7 @@
 def test_an_end_that_shuts_its_socket_hears_nothing_more() -> None:
     async def work(pair: Pair) -> None:
         near, far = await pair.open()
-        near.transport.shut()
+        near.transport.shutdown()
         far.transport.write(b"too late")
         await asyncio.sleep(0.1)
         assert near.data == b""
