--- a/micadeck/daemon.py
+++ b/micadeck/daemon.py
@@ -86,7 +86,7 @@
 
     signals.attach(loop.call_soon_threadsafe, end.set, read_anew)
     keeper = MemoryMonitor(network, sidecar.memory, log, sidecar.count_memory)
-    sidecar.on_memory_stage = keeper.told_stage
+    sidecar.on_memory_stage = keeper.log_level_change
     try:
         await sidecar.start(end.is_set)
     except StartCancelledError:
@@ -124,8 +124,8 @@
 
 def _wait(wait: StartupRetry, fault: OSError, text: str, signals: ProcessSignals) -> bool:
     """Wait before the next try, and say so once; False: it can't pass.  Raises StartCalledOff."""
-    is_first = wait.is_first
-    retry_s = wait.retry_in_s(fault, time.monotonic())
+    is_first = not wait.has_failed
+    retry_s = wait.next_delay_s(fault, time.monotonic())
     if retry_s is None:
         return False
     if is_first:
--- a/micadeck/http/body_stream.py
+++ b/micadeck/http/body_stream.py
@@ -33,7 +33,7 @@
 
         No more than a stream may hold, since what was kept becomes the first that its stream holds.
         """
-        is_short = self.memory is not None and self.memory.stage >= PressureLevel.PASS_ON
+        is_short = self.memory is not None and self.memory.level >= PressureLevel.PASS_ON
         return _MAX_BUFFERED_WHEN_SHORT_BYTES if is_short else self.share()
 
     def share(self) -> int:
--- a/micadeck/http/client.py
+++ b/micadeck/http/client.py
@@ -157,7 +157,7 @@
             sending.drop()
         if self._transport is not None and not self._closed:
             if self._stream is not None:
-                self._stream.shut(drops=drops)
+                self._stream.shutdown(discard_unsent=drops)
             self._transport.abort()
         self._report_closed()
 
@@ -262,7 +262,7 @@
     def _book(self, cost: int) -> None:
         """Count what is kept of the answer now, in bytes."""
         if self._memory is not None and cost != self._booked:
-            self._memory.book(MemoryUse.ANSWERS, cost - self._booked)
+            self._memory.charge(MemoryUse.ANSWERS, cost - self._booked)
             self._booked = cost
 
     def _stall_s(self) -> float:
--- a/micadeck/http/connection_table.py
+++ b/micadeck/http/connection_table.py
@@ -108,7 +108,7 @@
         connection.held_bytes = cost
         self._held_bytes += more
         if self._budget.memory is not None:
-            self._budget.memory.book(MemoryUse.REQUESTS, more)
+            self._budget.memory.charge(MemoryUse.REQUESTS, more)
 
     @property
     def partial_requests(self) -> int:
--- a/micadeck/library/background_loop.py
+++ b/micadeck/library/background_loop.py
@@ -260,7 +260,7 @@
         core = Core(self._config, LoopNetwork(), self._log, HandlerFirstEngine)
         await core.start()
         self._inbox, self._stop_requested, self._core = LoopInbox(loop), asyncio.Event(), core
-        self._lifecycle.started(0.0)
+        self._lifecycle.mark_started(0.0)
         self._is_up.set()
         try:
             await self._stop_requested.wait()
