--- a/micadeck/config.py
+++ b/micadeck/config.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from micadeck.engine import EndpointUpdate
-from micadeck.membership.discovery_watcher import parse_listing
+from micadeck.membership.endpoint_list import parse_endpoint_update
 from micadeck.network import Address, parse_address
 from micadeck.policy import Settings
 from micadeck.simulator_adapter import settings_from_wire
@@ -106,7 +106,7 @@
         raise ConfigError("settings.limits.max_attempts: at least 1 is needed: it would refuse every request")
     known = given.get("known")
     try:
-        listing = parse_listing(known) if known is not None else EndpointUpdate(0, True, ())
+        listing = parse_endpoint_update(known) if known is not None else EndpointUpdate(0, True, ())
     except ValueError as nonsense:
         raise ConfigError(f"known: {nonsense}") from None
     peers = given.get("peers") or []
--- a/micadeck/membership/discovery_client.py
+++ b/micadeck/membership/discovery_client.py
@@ -1,11 +1,11 @@
-"""Calls to the roster: each gets one answer, by whichever of its connections brings one first.
+"""HTTP client for discovery, with hedged calls.
 
-A connection that fell silent can't be told from one without news until its answer is late.  Then it is asked
-on a fresh connection beside it, so that neither is lost if it was only slow; `vigil` says when.
+A silent connection looks like one without changes until its answer is late.  Then a hedged call goes out on
+another connection, and the first answer wins; `watch_health` has the limits.
 
-Where discovery works through calls in turn, one that begins a watch may stand in its line.  Asking beside it
-for the same watch again would be a second place for the same, and where the line is full both are refused:
-so the whole list is asked for beside it, which is no watch, and what that brings is told meanwhile.
+A late call that starts a watch may still be queued at discovery.  A second one for the same watch would take
+a second place in the queue, and both are refused where it is full.  Such a call is hedged by one for the
+complete list, which is not queued; its result is delivered while the watch call stays out.
 """
 
 from __future__ import annotations
@@ -16,148 +16,166 @@
 
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import Request, Response
-from micadeck.membership.watch_health import DIAL_WITHIN_S, ResponseTimeout
+from micadeck.membership.errors import DiscoveryCallError
+from micadeck.membership.watch_health import DIAL_TIMEOUT_S, ResponseTimeout
 from micadeck.network import Address, Network
 
 _PATH = "/catalog/members"
-_MOST_BYTES = 4 << 20  # of a whole list
-_EARLY_S = 0.001  # how much a timer may fire early
+_MAX_BODY_BYTES = 4 << 20
+_TIMER_TOLERANCE_S = 0.001  # a timer may fire this early
 
-L = TypeVar("L")
+Result = TypeVar("Result")
 
 
-class DiscoveryCallError(Exception):
-    """Discovery did not answer a call, or not with a list."""
+class DiscoveryClient(Generic[Result]):
+    """Makes one call at a time, over one connection for as long as it answers in time.
 
-
-class DiscoveryClient(Generic[L]):
-    """Calls one after another, over one connection as long as it answers in time.
-
-    Whatever comes, `call` ends by `until_s`; when it ends, at most one connection is open.
+    Every call ends by its `give_up_s`, and leaves at most one connection open.  Owns the connection in use
+    and the tasks of all calls that are out.
     """
 
-    def __init__(self, network: Network, address: Address, parse: Callable[[bytes], L]) -> None:
-        """`parse` reads an answer's body, and raises ValueError on nonsense."""
+    def __init__(self, network: Network, address: Address, parse: Callable[[bytes], Result]) -> None:
+        """Create a client without connections.
+
+        Args:
+            network: Dials, and has the clock.
+            address: The address of discovery.
+            parse: Reads the body of a response; raises ValueError if it is malformed.
+        """
         self._network = network
         self._address = address
         self._parse = parse
-        self._line = self._fresh()
-        self._out: dict[asyncio.Task[L], _Line[L]] = {}  # the oldest first
-
-    def _fresh(self) -> _Line[L]:
-        return _Line(self._network, self._address, self._parse)
+        self._current = self._new_connection()
+        self._calls: dict[asyncio.Task[Result], _Connection[Result]] = {}  # oldest first
 
     def close(self) -> None:
-        self._drop_all()
-        self._line.close()
+        """Cancel all calls and close all connections."""
+        self._cancel_calls()
+        self._current.close()
 
     async def call(
-        self, after: int | None, patience: ResponseTimeout, told: Callable[[L], None]
-    ) -> tuple[L, bool]:
-        """The list as it is now, or what changed since `after`, and whether that was an answer of the watch.
+        self, after: int | None, timeout: ResponseTimeout, on_early_result: Callable[[Result], None]
+    ) -> tuple[Result, bool]:
+        """Request the list as it is now, or its changes.
+
+        Args:
+            after: The version whose changes to wait for; None requests the complete list.
+            timeout: The limits of the call and its hedges.
+            on_early_result: Receives a complete list that arrives while a watch call stays out.
+
+        Returns:
+            The result, and whether it answers a watch call.
 
-        `told` takes what came of the whole list while a call of the watch is still out.  Raise CallFailed
-        when nobody tells.
+        Raises:
+            DiscoveryCallError: No call brought a result in time.
         """
-        self._begin(self._line, after, patience)
-        began = self._network.time()
-        due = began + patience.late_s
-        in_line = patience.in_line  # whether a call of the watch may wait for its turn
-        fault = DiscoveryCallError("no answer")
-        while self._out:
-            left_s = max(due - self._network.time(), 0.0)
-            ended, _ = await asyncio.wait(self._out, timeout=left_s, return_when=asyncio.FIRST_COMPLETED)
-            for each in [each for each in self._out if each in ended]:
-                line = self._out.pop(each)
-                if each.exception() is not None:
-                    line.close()
-                    fault = DiscoveryCallError(str(each.exception()))
-                elif line.is_watch or not any(other.is_watch for other in self._out.values()):
-                    self._line = line
-                    self._drop_all()
-                    return each.result(), line.is_watch
+        self._start_call(self._current, after, timeout)
+        started_at = self._network.time()
+        hedge_at = started_at + timeout.hedge_after_s
+        may_queue = timeout.may_queue
+        error = DiscoveryCallError("no answer")
+        while self._calls:
+            wait_s = max(hedge_at - self._network.time(), 0.0)
+            done, _ = await asyncio.wait(self._calls, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
+            for task in [task for task in self._calls if task in done]:
+                connection = self._calls.pop(task)
+                if task.exception() is not None:
+                    connection.close()
+                    error = DiscoveryCallError(str(task.exception()))
+                elif connection.is_watch or not self._has_watch_call():
+                    self._current = connection
+                    self._cancel_calls()
+                    return task.result(), connection.is_watch
                 else:
-                    line.close()
-                    told(each.result())
+                    connection.close()
+                    on_early_result(task.result())
             now = self._network.time()
-            if now >= began + patience.until_s - _EARLY_S:
-                self._drop_all()
-            elif self._out and now >= due - _EARLY_S:
-                due = min(now + patience.apart_s, began + patience.until_s)
-                self._ask_beside(None if in_line else after, patience)
-                in_line = not patience.drops_newest
-        raise fault
-
-    def _drop_all(self) -> None:
-        for task, line in self._out.items():
+            if now >= started_at + timeout.give_up_s - _TIMER_TOLERANCE_S:
+                self._cancel_calls()
+            elif self._calls and now >= hedge_at - _TIMER_TOLERANCE_S:
+                hedge_at = min(now + timeout.hedge_interval_s, started_at + timeout.give_up_s)
+                self._hedge(None if may_queue else after, timeout)
+                may_queue = not timeout.replaces_newest
+        raise error
+
+    def _new_connection(self) -> _Connection[Result]:
+        return _Connection(self._network, self._address, self._parse)
+
+    def _has_watch_call(self) -> bool:
+        return any(connection.is_watch for connection in self._calls.values())
+
+    def _cancel_calls(self) -> None:
+        for task, connection in self._calls.items():
             task.cancel()
-            line.close()
-        self._out.clear()
+            connection.close()
+        self._calls.clear()
 
-    def _ask_beside(self, after: int | None, patience: ResponseTimeout) -> None:
-        if len(self._out) >= patience.at_once:
-            if not patience.drops_newest:
+    def _hedge(self, after: int | None, timeout: ResponseTimeout) -> None:
+        if len(self._calls) >= timeout.max_calls:
+            if not timeout.replaces_newest:
                 return
-            newest, line = self._out.popitem()
+            newest, connection = self._calls.popitem()
             newest.cancel()
-            line.close()
-        self._begin(self._fresh(), after, patience.again())
+            connection.close()
+        self._start_call(self._new_connection(), after, timeout.non_blocking())
 
-    def _begin(self, line: _Line[L], after: int | None, patience: ResponseTimeout) -> None:
-        work = line.call(after, patience.wait_ms, patience.within_s)
-        line.is_watch = after is not None
-        self._out[self._network.spawn(work)] = line
+    def _start_call(
+        self, connection: _Connection[Result], after: int | None, timeout: ResponseTimeout
+    ) -> None:
+        call = connection.call(after, timeout.wait_ms, timeout.timeout_s)
+        connection.is_watch = after is not None
+        self._calls[self._network.spawn(call)] = connection
 
 
-class _Line(Generic[L]):
-    """One connection, and the calls over it; a broken one is dialled again at the next call."""
+class _Connection(Generic[Result]):
+    """One connection and the calls over it; a broken one is dialled again at the next call."""
 
-    def __init__(self, network: Network, address: Address, parse: Callable[[bytes], L]) -> None:
+    def __init__(self, network: Network, address: Address, parse: Callable[[bytes], Result]) -> None:
         self._network = network
         self._address = address
         self._parse = parse
         self._connection: ClientConnection | None = None
-        self.is_watch = False  # whether its call is one of the watch, not for the whole list
+        self.is_watch = False  # whether its last call waits for changes
 
     def close(self) -> None:
         if self._connection is not None:
             self._connection.close()
 
-    async def call(self, after: int | None, wait_ms: int, within_s: float) -> L:
+    async def call(self, after: int | None, wait_ms: int, timeout_s: float) -> Result:
         target = _PATH if after is None else f"{_PATH}?after={after}&wait_ms={wait_ms}"
         try:
-            async with self._network.timeout(within_s):
-                response = await self._get(target.encode(), within_s)
-        except (OSError, TimeoutError) as fault:
-            raise DiscoveryCallError(str(fault)) from None
+            async with self._network.timeout(timeout_s):
+                response = await self._get(target.encode(), timeout_s)
+        except (OSError, TimeoutError) as error:
+            raise DiscoveryCallError(str(error)) from None
         if isinstance(response, Failure) or response.status != 200:
-            raise DiscoveryCallError("no list")
+            raise DiscoveryCallError
         try:
             return self._parse(response.body)
-        except ValueError as nonsense:
-            raise DiscoveryCallError(str(nonsense)) from None
+        except ValueError as error:
+            raise DiscoveryCallError(str(error)) from None
 
-    async def _get(self, target: bytes, within_s: float) -> Response | Failure:
+    async def _get(self, target: bytes, timeout_s: float) -> Response | Failure:
         if self._connection is None or not self._connection.is_usable():
             self.close()
-            self._connection = await self._dial(within_s)
-        answer: asyncio.Future[Response | Failure] = asyncio.Future()
+            self._connection = await self._dial(timeout_s)
+        result: asyncio.Future[Response | Failure] = asyncio.Future()
 
-        def ended(how: Response | Failure) -> None:
-            if not answer.done():
-                answer.set_result(how)
+        def on_end(outcome: Response | Failure) -> None:
+            if not result.done():
+                result.set_result(outcome)
 
         host = f"{self._address[0]}:{self._address[1]}".encode()
-        self._connection.exchange(Request(b"GET", target, [(b"host", host)]), ended)
-        return await answer
+        self._connection.exchange(Request(b"GET", target, [(b"host", host)]), on_end)
+        return await result
 
     async def _dial(self, stall_s: float) -> ClientConnection:
-        def made() -> ClientConnection:
-            return ClientConnection(self._network, _MOST_BYTES, _ignore, _ignore, stall_s)
+        def make() -> ClientConnection:
+            return ClientConnection(self._network, _MAX_BODY_BYTES, _ignore, _ignore, stall_s)
 
-        async with self._network.timeout(DIAL_WITHIN_S):
-            return await self._network.dial(made, self._address)
+        async with self._network.timeout(DIAL_TIMEOUT_S):
+            return await self._network.dial(make, self._address)
 
 
 def _ignore(_: object) -> None:
-    """Nothing is kept of it."""
+    """Ignore the event."""
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -24,7 +24,7 @@
     Precedence,
     sighting_of,
 )
-from micadeck.membership.watch_health import AGAIN_S
+from micadeck.membership.watch_health import MAX_RETRY_WAIT_S
 from micadeck.network import Address, Network, Timer
 from micadeck.policy.events import ServerState
 
@@ -222,7 +222,7 @@
     def _roster_failed(self) -> None:
         self._on_failed()
         if self._retry is None:
-            wait_s = min(_AGAIN_S * 2**self._roster_failures, AGAIN_S)
+            wait_s = min(_AGAIN_S * 2**self._roster_failures, MAX_RETRY_WAIT_S)
             self._roster_failures = min(self._roster_failures + 1, 8)
             self._retry = self._network.call_later(
                 wait_s * (0.5 + 0.5 * self._chance.random()), self._roster_again
--- a/micadeck/mysql/service.py
+++ b/micadeck/mysql/service.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from micadeck.engine import EndpointSource, EndpointUpdate, Engine
-from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.membership.discovery_watcher import DiscoveryWatcher, WatchOptions
 from micadeck.membership.sources import EndpointSources
 from micadeck.mysql.auth import Users
 from micadeck.mysql.config import MysqlConfig
@@ -69,11 +69,10 @@
         self._static: Static | None = None
         roster: DiscoveryWatcher | None = None
         if config.discovery is not None:
-            allowed_us = settings.rules.max_poll_interval_us
-            salt = f"{seed} {config.name}"
-            roster = DiscoveryWatcher(
-                network, config.discovery, 0, False, allowed_us=allowed_us, seed=salt, log=log
+            options = WatchOptions(
+                max_poll_interval_us=settings.rules.max_poll_interval_us, seed=f"{seed} {config.name}"
             )
+            roster = DiscoveryWatcher(network, config.discovery, 0, options, log)
         if config.consul is not None:
             self._source = EndpointSources(
                 network, roster, config.known, config.consul, seed, config.name, log
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -14,7 +14,7 @@
 from micadeck.http.body_stream import BufferBudget
 from micadeck.http.listener import DownstreamLimits, HttpListener
 from micadeck.http.upstream import ConnectionPool
-from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.membership.discovery_watcher import DiscoveryWatcher, WatchOptions
 from micadeck.memory.budget import MemoryBudget, MemoryUse, PressureLevel
 from micadeck.memory.resident import MB, open_descriptors
 from micadeck.network import Address, Network, place
@@ -89,17 +89,10 @@
         self.budget = BufferBudget(config.memory_mb * _PASSED_ON_OF_MEMORY, self.memory)
         self.upstream = ConnectionPool(network, settings, self.budget)
         is_pushed = settings.discovery is DiscoveryMode.PUSHED
+        rules, seed = settings.rules, f"{config.seed} {config.name}"
+        options = WatchOptions(is_pushed, rules.max_poll_interval_us, rules.drain_grace_us, seed)
         self.roster = (
-            DiscoveryWatcher(
-                network,
-                config.discovery,
-                config.known.version,
-                is_pushed,
-                allowed_us=settings.rules.max_poll_interval_us,
-                grace_us=settings.rules.drain_grace_us,
-                seed=f"{config.seed} {config.name}",
-                log=log,
-            )
+            DiscoveryWatcher(network, config.discovery, config.known.version, options, log)
             if config.discovery
             else None
         )
@@ -190,7 +183,7 @@
         self.config = replace(self.config, settings=settings)
         self.upstream.retune(settings)
         if self.roster is not None:
-            self.roster.allow(settings.rules.max_poll_interval_us, settings.rules.drain_grace_us)
+            self.roster.update_limits(settings.rules.max_poll_interval_us, settings.rules.drain_grace_us)
         self.engine.retune(settings)
 
     def reload(self, config: Config, announce: Callable[[Settings], object] | None = None) -> None:
@@ -211,7 +204,7 @@
             if (getattr(config, key) is None) != (getattr(before, key) is None)
         ]
         if self.roster is not None and config.discovery not in (None, before.discovery):
-            self.roster.move(config.discovery)
+            self.roster.change_address(config.discovery)
         if self.sources is not None and config.consul not in (None, before.consul):
             self.sources.reload(config.consul)
         self.peers.rename(config.peers, config.peers_all)
--- a/tests/broken_builds.py
+++ b/tests/broken_builds.py
@@ -183,12 +183,12 @@
 def waits_long() -> contextlib.AbstractContextManager[Any]:
     """Watches whose calls wait for twenty seconds, as they once did; no drawn day lasts that long."""
 
-    def allow(self: Any, allowed_us: int, grace_us: int) -> None:
-        self.waiting = watch_health.ResponseTimeout(20_000, 22.0, 22.0, 22.0, 22.0, 1, False)
-        self.second = self.waiting
-        self.first = watch_health.ResponseTimeout(0, 5.0, 5.0, 5.0, 5.0, 1, False)
+    def update_limits(self: Any, max_poll_interval_us: int, grace_us: int) -> None:
+        self.blocking_call = watch_health.ResponseTimeout(20_000, 22.0, 22.0, 22.0, 22.0, 1, False)
+        self.second_call = self.blocking_call
+        self.first_call = watch_health.ResponseTimeout(0, 5.0, 5.0, 5.0, 5.0, 1, False)
 
-    return mock.patch.object(watch_health.WatchHealth, "allow", allow)
+    return mock.patch.object(watch_health.WatchHealth, "update_limits", update_limits)
 
 
 # Each with the rules, any of which it has to be found by.
--- a/tests/discovery_stage.py
+++ b/tests/discovery_stage.py
@@ -17,7 +17,7 @@
 from helpers import S, settings
 
 from micadeck.engine import EndpointUpdate, Engine
-from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.membership.discovery_watcher import DiscoveryWatcher, WatchOptions
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.roster import Discovery
@@ -209,10 +209,12 @@
             self.network,
             discovery.place,
             0,
-            pushed,
-            allowed_us=given.rules.max_poll_interval_us,
-            grace_us=given.rules.drain_grace_us,
-            seed=f"{number}",
+            WatchOptions(
+                is_pushed=pushed,
+                max_poll_interval_us=given.rules.max_poll_interval_us,
+                grace_us=given.rules.drain_grace_us,
+                seed=f"{number}",
+            ),
         )
         nobody: Any = NoServers()
         self.engine = Engine(given, number, self.network, nobody, self.roster, nobody, lambda text: None)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,8 @@
 from loopback import HOST, Heard, ScriptedDiscovery, ScriptedServer, line, play, reply, soon, until
 
 from micadeck.engine import EndpointUpdate
-from micadeck.membership.discovery_watcher import DiscoveryWatcher, parse_listing
+from micadeck.membership.discovery_watcher import DiscoveryWatcher, WatchOptions
+from micadeck.membership.endpoint_list import parse_endpoint_update
 from micadeck.network import LoopNetwork, parse_address
 
 
@@ -20,7 +21,11 @@
         self.events: asyncio.Queue[EndpointUpdate | None] = asyncio.Queue()
         self.log: list[str] = []
         self.discovery = DiscoveryWatcher(
-            LoopNetwork(), parse_address(server.address), version, pushed, log=self.log.append
+            LoopNetwork(),
+            parse_address(server.address),
+            version,
+            WatchOptions(is_pushed=pushed),
+            self.log.append,
         )
         self.discovery.start(self.events.put_nowait, lambda: self.events.put_nowait(None))
 
@@ -111,7 +116,7 @@
         ears.discovery.follow(True)
         assert await ears.next() is not None
         await until(lambda: len(old.heard) == 2)
-        ears.discovery.move(parse_address(new.address))
+        ears.discovery.change_address(parse_address(new.address))
         old.tell(line("s-9", "127.0.0.2:80"))  # nobody hears it any more
         heard = await ears.next()
         assert heard is not None and heard.version == 5
@@ -252,10 +257,10 @@
 
 
 def test_a_listing_is_read_as_the_decisions_need_it() -> None:
-    listing = parse_listing(
+    listing = parse_endpoint_update(
         {"version": 3, "full": False, "servers": [line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)]}
     )
     listed = listing.entries[0].listed
     assert listed.started_at == 1_700_000_000_123_000
-    gone = parse_listing({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
+    gone = parse_endpoint_update({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
     assert gone.entries[0].address is None
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -112,7 +112,7 @@
             wire.loop.call_later(began, discovery.begin, [one.host.name])
             if kind is Kind.NO_ROOM:
                 wire.loop.call_later(max(began, moved), discovery.end, [one.host.name])
-            wire.loop.call_later(moved, one.host.context.copy().run, one.roster.move, other.place)
+            wire.loop.call_later(moved, one.host.context.copy().run, one.roster.change_address, other.place)
 
         _, (one,) = run(
             lambda wire: Roll(wire, kind), then, length_s=moved + 12.0, pushed=pushed, seed=number
--- a/tests/test_stale_list_refresh.py
+++ b/tests/test_stale_list_refresh.py
@@ -43,7 +43,7 @@
 ) -> None:
     async def work() -> None:
         network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
-        roster = Asked(network, nobody, 1, False)
+        roster = Asked(network, nobody, 1)
         services = (Service("tariff", Ask(), Names(), SourceTrust()),)
         config = ConsulConfig((nobody,), services, 1.0, 0.0)
         known = EndpointUpdate(1, True, ())
@@ -63,7 +63,7 @@
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
         network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
-        roster = DiscoveryWatcher(network, nobody, 1, False)
+        roster = DiscoveryWatcher(network, nobody, 1)
         services = (Service("tariff", Ask(), Names(), SourceTrust()),)
         config = ConsulConfig((nobody,), services, 1.0, 0.0)
         sources = EndpointSources(
@@ -95,7 +95,7 @@
         server = ScriptedDiscovery()
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
-        roster = Asked(LoopNetwork(), parse_address(server.address), 0, False)
+        roster = Asked(LoopNetwork(), parse_address(server.address), 0)
         heard: list[EndpointUpdate] = []
         roster.start(heard.append, lambda: None)
         roster.follow(True)
--- a/tests/test_watch_health.py
+++ b/tests/test_watch_health.py
@@ -14,8 +14,14 @@
 from helpers import MS, S
 
 from micadeck.engine import EndpointUpdate
-from micadeck.membership.discovery_watcher import DiscoveryWatcher
-from micadeck.membership.watch_health import AGAIN_S, ANSWER_S, DIAL_WITHIN_S, GAP_S, WatchHealth
+from micadeck.membership.discovery_watcher import DiscoveryWatcher, WatchOptions
+from micadeck.membership.watch_health import (
+    DIAL_TIMEOUT_S,
+    MAX_CALL_GAP_S,
+    MAX_RETRY_WAIT_S,
+    RESPONSE_TIME_S,
+    WatchHealth,
+)
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.roster import Discovery
@@ -23,7 +29,7 @@
 from micadeck.simulation.simulated_day import play
 from micadeck.simulation.wire import Wire
 
-TOLD_S = 6.0  # after a watch fell silent, what it misses counts as told
+NOTIFICATION_DEADLINE_S = 6.0  # after a watch fell silent, what it misses counts as told
 MOMENTS = ("before its first answer", "amid a head", "amid a body", "while a call waits", "between two calls")
 
 
@@ -100,7 +106,7 @@
 
     async def work() -> None:
         agent.up()
-        roster = DiscoveryWatcher(network, agent.place, 0, pushed, allowed_us=int(allowed_s * S), seed=4)
+        roster = DiscoveryWatcher(network, agent.place, 0, WatchOptions(pushed, int(allowed_s * S), seed=4))
 
         def failed() -> None:
             loop.call_later(0.5, roster.follow, True)
@@ -138,7 +144,7 @@
     agent, heard = watch(moment, at_s, pushed, then, allowed_s=allowed_s, lost=lost)
     assert agent.silent_at is not None
     told = [at for at, listing in heard for each in listing.entries if each.listed.state.value == "draining"]
-    assert told and told[0] - agent.silent_at < TOLD_S
+    assert told and told[0] - agent.silent_at < NOTIFICATION_DEADLINE_S
     # And it asks little more often than its calls wait.
     most = 6 + 14.0 / (0.5 if allowed_s < 2 else 1.0 if pushed else 2.0)
     assert len(agent.calls) < most or late_s
@@ -233,17 +239,17 @@
 
 
 def test_a_list_that_was_confirmed_since_is_not_doubted() -> None:
-    vigil = WatchHealth(10 * S, random.Random(1), is_pushed=True)
-    assert vigil.doubted(100) is not None
-    assert vigil.doubted(200) is None  # one look is planned
-    vigil.confirmed(300, brought_news=False)
-    assert not vigil.is_due(400)
-    due = vigil.doubted(500)
-    assert due is not None and vigil.is_due(due)
-    again = vigil.doubted(due + 1)
+    health = WatchHealth(10 * S, random.Random(1), is_pushed=True)
+    assert health.suspect(100) is not None
+    assert health.suspect(200) is None  # one look is planned
+    health.confirm(300, has_changes=False)
+    assert not health.take_due_renewal(400)
+    due = health.suspect(500)
+    assert due is not None and health.take_due_renewal(due)
+    again = health.suspect(due + 1)
     assert again is not None and again >= due + 250 * MS
-    vigil.moved()
-    assert not vigil.is_due(again)
+    health.reset()
+    assert not health.take_due_renewal(again)
 
 
 @pytest.mark.parametrize(
@@ -253,23 +259,30 @@
 def test_how_long_a_watch_may_be_silent_follows_from_the_settings(
     allowed_s: float, pushed: bool, wait_ms: int, late_s: float
 ) -> None:
-    vigil = WatchHealth(int(allowed_s * S), random.Random(1), is_pushed=pushed)
-    waiting, first = vigil.waiting, vigil.first
-    assert (waiting.wait_ms, waiting.late_s) == (wait_ms, late_s)
+    health = WatchHealth(int(allowed_s * S), random.Random(1), is_pushed=pushed)
+    waiting, first = health.blocking_call, health.first_call
+    assert (waiting.wait_ms, waiting.hedge_after_s) == (wait_ms, late_s)
     # Silent for good, then a renewal that is lost, then one more: it has a second and a half for its answer.
-    assert ANSWER_S >= 1.5 and max(waiting.late_s, first.late_s) <= GAP_S
-    assert waiting.late_s + waiting.apart_s <= TOLD_S - ANSWER_S
-    assert first.wait_ms == 0 and first.late_s + first.apart_s <= TOLD_S - ANSWER_S
+    assert RESPONSE_TIME_S >= 1.5 and max(waiting.hedge_after_s, first.hedge_after_s) <= MAX_CALL_GAP_S
+    assert waiting.hedge_after_s + waiting.hedge_interval_s <= NOTIFICATION_DEADLINE_S - RESPONSE_TIME_S
+    assert (
+        first.wait_ms == 0
+        and first.hedge_after_s + first.hedge_interval_s <= NOTIFICATION_DEADLINE_S - RESPONSE_TIME_S
+    )
     assert (
-        AGAIN_S + DIAL_WITHIN_S + ANSWER_S <= TOLD_S - ANSWER_S
+        MAX_RETRY_WAIT_S + DIAL_TIMEOUT_S + RESPONSE_TIME_S <= NOTIFICATION_DEADLINE_S - RESPONSE_TIME_S
     )  # a host that is not there, then one more dial
-    for each in (waiting, first, vigil.second):  # all out and silent, then the decisions' wait
-        last_s = max(each.late_s + n * each.apart_s for n in range(3))
+    for each in (waiting, first, health.second_call):  # all out and silent, then the decisions' wait
+        last_s = max(each.hedge_after_s + n * each.hedge_interval_s for n in range(3))
         assert (
-            pushed or min(each.until_s, last_s + each.apart_s) + AGAIN_S - min(last_s, each.until_s) <= GAP_S
+            pushed
+            or min(each.give_up_s, last_s + each.hedge_interval_s)
+            + MAX_RETRY_WAIT_S
+            - min(last_s, each.give_up_s)
+            <= MAX_CALL_GAP_S
         )
-    vigil.allow(10 * S, S)
-    assert vigil.waiting.wait_ms == (1_000 if pushed else 2_000)
+    health.update_limits(10 * S, S)
+    assert health.blocking_call.wait_ms == (1_000 if pushed else 2_000)
 
 
 def silent_day(sidecars: int, amount: float, **more: Any) -> Scenario:
