--- a/benchmarks/consul_lists.py
+++ b/benchmarks/consul_lists.py
@@ -31,7 +31,7 @@
 from micadeck.config import parse
 from micadeck.membership import sources as sources_module
 from micadeck.membership.consul import client as client_module
-from micadeck.membership.consul.protocol import unpacked
+from micadeck.membership.consul.protocol import decompressed
 from micadeck.membership.consul.view import ServiceView
 from micadeck.network import LoopNetwork
 from micadeck.sidecar import Core
@@ -198,16 +198,16 @@
 
 async def _cost(size: int) -> dict[str, float]:
     with consul(2, size) as address, tempfile.TemporaryDirectory() as folder:
-        reading = Spent(ServiceView, "taken")
-        telling = Spent(sources_module.EndpointSources, "_tell")
+        reading = Spent(ServiceView, "take_change")
+        telling = Spent(sources_module.EndpointSources, "_publish")
         core = Core(parse(config(folder, address, spread_s=0)), LoopNetwork(), lambda _: None)
         assert core.sources is not None
-        core.sources.settle = gc.freeze  # as the daemon does
+        core.sources.on_partial_list = gc.freeze  # as the daemon does
         merge, held = core.sources.merge, Held()
         before = resident_mb()
         began = time.perf_counter()
         await core.start()
-        while len(merge.whole().entries) < size:
+        while len(merge.snapshot().entries) < size:
             await asyncio.sleep(0.01)
         measured = {"s until listed": time.perf_counter() - began, "ms held, list": held.taken() * 1e3}
         measured["MB more"] = resident_mb() - before
@@ -235,14 +235,14 @@
 
 async def _rest(seconds: float) -> None:
     calls, size = 0, 0
-    plain = unpacked
+    plain = decompressed
 
     def counted(response: Any) -> Iterator[bytes]:
         nonlocal calls, size
         calls, size = calls + 1, size + len(response.body) + 250  # with the head
         return plain(response)
 
-    setattr(client_module, "unpacked", counted)  # noqa: B010
+    setattr(client_module, "decompressed", counted)  # noqa: B010
     wait_s = 2.0
     with consul(2, 100) as address, tempfile.TemporaryDirectory() as folder:
         core = Core(parse(config(folder, address, wait_s=wait_s)), LoopNetwork(), lambda _: None)
--- a/micadeck/membership/__init__.py
+++ b/micadeck/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who the servers are: sources that tell the engine.  `roster` is the platform's own."""
+"""Endpoint discovery: sources that deliver the list of servers to the engine."""
--- a/micadeck/membership/__main__.py
+++ b/micadeck/membership/__main__.py
@@ -1,7 +1,8 @@
-"""What a sidecar would make of a live Consul: `micadeck membership show CONFIG [--watch]`.
+"""Shows what a sidecar would read from a live Consul: `micadeck membership show CONFIG [--watch]`.
 
-Prints a line for each server: its name, what each service says of it, its state, how old that word is and
-why.  Exit codes: 0, 1 if a service could not be read within a few seconds, 2 if the configuration is bad.
+Prints each endpoint with what each service reports about it, its merged state, the age of that report and
+the reason.  Exit codes: 0; 1 if a service could not be read within a few seconds; 2 if the configuration is
+invalid.
 """
 
 from __future__ import annotations
@@ -16,82 +17,95 @@
 from micadeck.engine import EndpointUpdate
 from micadeck.membership.consul import Agents, ConsulClient, ConsulError
 from micadeck.membership.consul.config import ConsulConfig, ConsulConfigError, load
-from micadeck.membership.sources import EndpointSources
+from micadeck.membership.endpoint_observation import Precedence
+from micadeck.membership.sources import DiscoveryState, EndpointSources
 from micadeck.network import LoopNetwork, place
 
-_WITHIN_S = 5.0
-_WIDE = 1_000  # where nobody's screen sets a width
+_FIRST_LISTS_TIMEOUT_S = 5.0
+_PIPE_WIDTH = 1_000  # columns, where no terminal sets a width
+_STATES = {
+    Precedence.READY: "ready",
+    Precedence.UNHEALTHY: "doubtful",
+    Precedence.DRAINING: "drains",
+}
 
 
-class Show:
-    """The sources that a sidecar would have, and a listener in the engine's place."""
+class MembershipReport:
+    """Prints what a sidecar's sources report, with itself as their listener.  Owns the sources."""
 
     def __init__(self, config: ConsulConfig) -> None:
+        """Create the sources that a sidecar would have."""
         self._network = LoopNetwork()
         self._config = config
-        self._console = Console(width=None if sys.stdout.isatty() else _WIDE, highlight=False)
-        self._news = asyncio.Event()
-        self.sources = EndpointSources(
-            self._network, None, EndpointUpdate(0, True, ()), config, 0, "show", self._told, greets=False
-        )
+        self._console = Console(width=None if sys.stdout.isatty() else _PIPE_WIDTH, highlight=False)
+        self._changed = asyncio.Event()
+        discovery = DiscoveryState(None, EndpointUpdate(0, True, ()))
+        self.sources = EndpointSources(self._network, discovery, config, "0 show", self._print_note)
+        self.sources.logs_agent = False
 
-    def _told(self, line: str) -> None:
+    def _print_note(self, line: str) -> None:
         self._console.print(f"# {line}", markup=False)
-        self._news.set()
+        self._changed.set()
 
-    async def agents(self) -> None:
-        """Say who each agent is, and what it has to say of its leader."""
+    async def print_agents(self) -> None:
+        """Print who each agent is, and its leader."""
         for address in self._config.agents:
-            client = ConsulClient(self._network, Agents((address,)), self._config.services[0].ask)
+            options = self._config.services[0].request_options
+            client = ConsulClient(self._network, Agents((address,)), options)
             try:
-                self._told(f"agent {place(address)}: {await client.about()}")
-            except ConsulError as fault:
-                self._told(f"agent {fault}")
+                self._print_note(f"agent {place(address)}: {await client.describe_agent()}")
+            except ConsulError as error:
+                self._print_note(f"agent {error}")
             client.close()
 
-    async def first(self) -> bool:
-        """Wait until each service was read once; whether they all were."""
-        self.sources.start(lambda _: self._news.set(), self._news.set)
+    async def wait_for_first_lists(self) -> bool:
+        """Start the sources; return whether each service was read in time."""
+        self.sources.start(lambda _: self._changed.set(), self._changed.set)
         try:
-            async with self._network.timeout(_WITHIN_S):
-                while self.sources.unheard:
-                    await self.next()
+            async with self._network.timeout(_FIRST_LISTS_TIMEOUT_S):
+                while self.sources.unanswered:
+                    await self.wait_for_change()
         except TimeoutError:
             return False
         return True
 
-    async def next(self) -> None:
-        await self._news.wait()
-        self._news.clear()
+    async def wait_for_change(self) -> None:
+        """Wait until something was reported or logged."""
+        await self._changed.wait()
+        self._changed.clear()
 
-    def write(self) -> None:
+    def print_table(self) -> None:
+        """Print every endpoint, and the services that cannot be read."""
         table = Table(box=None, pad_edge=False)
         for title in ("NODE", "SOURCE", "STATE", "AGE", "WHY"):
             table.add_column(title, no_wrap=True)
         ages = self.sources.ages()
-        for row in sorted(self.sources.merge.rows(self._network.now() / 1e6), key=lambda each: each.name):
-            for source, caution, why in row.says:
+        endpoints = self.sources.merge.endpoints(self._network.now() / 1e6)
+        for endpoint in sorted(endpoints, key=lambda each: each.name):
+            for source, observation in endpoint.observations:
                 age = f"{ages.get(source, 0.0):.1f} s"
-                table.add_row(row.name, f"{source}: {caution.name.lower()}", row.state.value, age, why)
+                reported = f"{source}: {_STATES[observation.precedence]}"
+                table.add_row(endpoint.name, reported, endpoint.state.value, age, observation.reason)
         self._console.print(table)
-        for name, text in sorted(self.sources.failing.items()):
+        for name, text in sorted(self.sources.failures.items()):
             self._console.print(f"# {name}: {text}", markup=False)
         sys.stdout.write("\n")
         sys.stdout.flush()
 
 
-async def show(config: ConsulConfig, *, keeps_on: bool) -> int:
-    shown = Show(config)
-    await shown.agents()
+async def show(config: ConsulConfig, *, watches: bool) -> int:
+    """Print the report, again at each change if it watches; return the exit code."""
+    report = MembershipReport(config)
+    await report.print_agents()
     try:
-        complete = await shown.first()
-        shown.write()
-        while keeps_on:
-            await shown.next()
-            shown.write()
+        is_complete = await report.wait_for_first_lists()
+        report.print_table()
+        while watches:
+            await report.wait_for_change()
+            report.print_table()
     finally:
-        shown.sources.close()
-    return 0 if complete else 1
+        report.sources.close()
+    return 0 if is_complete else 1
 
 
 @click.group("membership")
@@ -101,16 +115,16 @@
 
 @command.command("show")
 @click.argument("config", type=click.Path())
-@click.option("--watch", "keeps_on", is_flag=True, help="Go on, and print again at each change.")
-def show_command(config: str, keeps_on: bool) -> None:
+@click.option("--watch", "watches", is_flag=True, help="Go on, and print again at each change.")
+def show_command(config: str, watches: bool) -> None:
     """What a sidecar would make of the live Consul that the file CONFIG names."""
     try:
         loaded = load(config)
-    except ConsulConfigError as fault:
-        click.echo(f"micadeck: consul: {fault}".replace("\n", " "), err=True)
+    except ConsulConfigError as error:
+        click.echo(f"micadeck: consul: {error}".replace("\n", " "), err=True)
         raise SystemExit(2) from None
     try:
-        code = asyncio.run(show(loaded, keeps_on=keeps_on))
+        code = asyncio.run(show(loaded, watches=watches))
     except KeyboardInterrupt:
         code = 0
     raise SystemExit(code)
--- a/micadeck/membership/consul/__init__.py
+++ b/micadeck/membership/consul/__init__.py
@@ -1,36 +1,37 @@
-"""Consul's catalogue and health API, as far as membership needs it.
+"""Endpoints from Consul's catalogue and health API.
 
-What is asked and how answers are read (`protocol`, `query`, `entries`) and what an instance's checks mean
-for the balancer (`states`) do no input or output; `client` asks agents in turn.  The API is described at
-https://developer.hashicorp.com/consul/api-docs.
+`protocol`, `query`, `entries`, `states` and `view` do no input or output; `client` calls the agents and
+`source` watches a service.  The API is described at https://developer.hashicorp.com/consul/api-docs.
 """
 
 from micadeck.membership.consul.client import Agents, ConsulClient
 from micadeck.membership.consul.entries import Check, Instance, parse_catalog, parse_health
-from micadeck.membership.consul.protocol import Ask, ConsulError, Meta
-from micadeck.membership.consul.query import BlockingQuery, Verdict
-from micadeck.membership.consul.source import Heard, ServiceWatch, watch
-from micadeck.membership.consul.states import Names, Word, words
-from micadeck.membership.consul.view import News, ServiceView
+from micadeck.membership.consul.protocol import ConsulError, RequestOptions, ResponseMeta
+from micadeck.membership.consul.query import BlockingQuery, NextPoll, ReplyCheck
+from micadeck.membership.consul.source import ServiceUpdate, ServiceWatch, WatchCallbacks, WatchTarget
+from micadeck.membership.consul.states import InstanceMapping, InstanceStatus, RestartTracker
+from micadeck.membership.consul.view import EntriesChange, ServiceView
 
 __all__ = [
     "Agents",
-    "Ask",
     "BlockingQuery",
     "Check",
     "ConsulClient",
     "ConsulError",
-    "Heard",
+    "EntriesChange",
     "Instance",
-    "Meta",
-    "Names",
-    "News",
+    "InstanceMapping",
+    "InstanceStatus",
+    "NextPoll",
+    "ReplyCheck",
+    "RequestOptions",
+    "ResponseMeta",
+    "RestartTracker",
+    "ServiceUpdate",
     "ServiceView",
     "ServiceWatch",
-    "Verdict",
-    "Word",
+    "WatchCallbacks",
+    "WatchTarget",
     "parse_catalog",
     "parse_health",
-    "watch",
-    "words",
 ]
--- a/micadeck/membership/consul/client.py
+++ b/micadeck/membership/consul/client.py
@@ -1,4 +1,4 @@
-"""Calls to Consul's agents, one after another, over connections that are kept."""
+"""HTTP client for Consul's agents, over persistent connections."""
 
 from __future__ import annotations
 
@@ -11,137 +11,160 @@
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import Request, Response
 from micadeck.membership.consul.protocol import (
-    MOST_BODY,
-    Ask,
+    MAX_BODY_BYTES,
     ConsulError,
-    Meta,
+    RequestOptions,
+    ResponseMeta,
     check_status,
-    object_of,
+    decompressed,
     read_body,
     read_meta,
-    redirected,
-    unpacked,
+    redirect_target,
+    require_object,
 )
 from micadeck.network import Address, Network, place
 
-_DIAL_WITHIN_S = 1.0
-_ANSWER_WITHIN_S = 5.0  # from an answer's first byte to its last
-_CALL_WITHIN_S = 5.0  # for a call that waits for nothing
-_MOST_REDIRECTS = 3
+_DIAL_TIMEOUT_S = 1.0
+_BODY_TIMEOUT_S = 5.0  # from the first byte of a response to its last
+_CALL_TIMEOUT_S = 5.0  # of a call that does not block
+_MAX_REDIRECTS = 3
 
 
 class Agents:
-    """The agents' addresses, the one in use first in turn; with chance, the first one is drawn."""
+    """The addresses of the agents, used in rotation."""
 
     def __init__(self, addresses: tuple[Address, ...], chance: random.Random | None = None) -> None:
+        """Start with the first address, or with a random one.
+
+        Raises:
+            ValueError: There is no address.
+        """
         if not addresses:
-            raise ValueError("agents: at least one address is needed")
+            message = "agents: at least one address is needed"
+            raise ValueError(message)
         self._addresses = addresses
-        self._turn = chance.randrange(len(addresses)) if chance is not None else 0
+        self._current = chance.randrange(len(addresses)) if chance is not None else 0
 
     @property
     def current(self) -> Address:
-        return self._addresses[self._turn]
+        """The agent in use."""
+        return self._addresses[self._current]
 
-    def has(self, address: Address) -> bool:
+    def __contains__(self, address: Address) -> bool:
+        """Return whether an address is that of a configured agent."""
         return address in self._addresses
 
-    def next(self) -> None:
-        """Go on to the next one, after a failure of this."""
-        self._turn = (self._turn + 1) % len(self._addresses)
+    def advance(self) -> None:
+        """Use the next agent, after a failure of this one."""
+        self._current = (self._current + 1) % len(self._addresses)
 
 
 class ConsulClient:
-    """One call at a time to the agent that is in use."""
+    """Makes one call at a time to the agent in use.  Owns the connection to it."""
 
-    def __init__(self, network: Network, agents: Agents, ask: Ask) -> None:
+    def __init__(self, network: Network, agents: Agents, options: RequestOptions) -> None:
+        """Create a client without a connection."""
         self._network = network
         self.agents = agents
-        self._ask = ask
+        self._options = options
         self._connection: ClientConnection | None = None
         self._connected_to: Address | None = None
 
     def close(self) -> None:
+        """Close the connection."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
     async def get(
-        self, path: str, *, index: int = 0, wait_s: float = 0.0, within_s: float = _CALL_WITHIN_S
-    ) -> tuple[Any, Meta]:
-        """The JSON at a path, and what the answer says of itself; raise ConsulError, naming the agent.
-
-        After a failure that is the agent's own, the next call goes to the next agent.
+        self, path: str, *, index: int = 0, wait_s: float = 0.0, timeout_s: float = _CALL_TIMEOUT_S
+    ) -> tuple[Any, ResponseMeta]:
+        """Return the JSON at a path, and the headers.
+
+        Args:
+            path: The path of the API.
+            index: The index to wait on; 0 for a call that does not block.
+            wait_s: How long the query may block.
+            timeout_s: How long the call may take.
+
+        Raises:
+            ConsulError: The call failed; the text names the agent.  If the agent is at fault, the next call
+                goes to another one.
         """
-        with self._naming() as agent:
-            response = await self._answer(agent, path, index, wait_s, within_s)
+        with self._agent_errors() as agent:
+            request = self._options.request(path, place(agent), index=index, wait_s=wait_s)
+            response = await self._call(agent, request, timeout_s)
             return read_body(response), read_meta(response)
 
     async def get_raw(
-        self, path: str, *, index: int = 0, wait_s: float = 0.0, within_s: float = _CALL_WITHIN_S
-    ) -> tuple[bytes, Meta]:
-        """The same, the body unpacked but unread: a large one holds the event loop up for a millisecond."""
-        with self._naming() as agent:
-            response = await self._answer(agent, path, index, wait_s, within_s)
+        self, path: str, *, index: int = 0, wait_s: float = 0.0, timeout_s: float = _CALL_TIMEOUT_S
+    ) -> tuple[bytes, ResponseMeta]:
+        """Return the decompressed body unparsed, and the headers; see `get`.
+
+        Parsing a large body at once would block the event loop for a millisecond.
+        """
+        with self._agent_errors() as agent:
+            request = self._options.request(path, place(agent), index=index, wait_s=wait_s)
+            response = await self._call(agent, request, timeout_s)
             check_status(response)
             pieces = []
-            for piece in unpacked(response):
+            for piece in decompressed(response):
                 pieces.append(piece)
                 await self._network.sleep(0)
             return b"".join(pieces), read_meta(response)
 
-    async def about(self) -> str:
-        """Who the agent in use is, and whether its servers have a leader; raise ConsulError."""
-        told, _ = await self.get("/v1/agent/self")
+    async def describe_agent(self) -> str:
+        """Return the agent in use and the leader of its servers, for people; raise ConsulError."""
+        agent, _ = await self.get("/v1/agent/self")
         leader, _ = await self.get("/v1/status/leader")
-        config = object_of(object_of(told, "the body").get("Config"), "Config")
+        config = require_object(require_object(agent, "the body").get("Config"), "Config")
         return (
             f"{config.get('NodeName')} in {config.get('Datacenter')}, Consul {config.get('Version')}, "
             f"{f'leader {leader}' if leader else 'without a leader'}"
         )
 
     @contextmanager
-    def _naming(self) -> Iterator[Address]:
-        """Names the agent in use in whatever goes wrong with a call to it."""
+    def _agent_errors(self) -> Iterator[Address]:
+        """Yield the agent in use; turn errors of a call into ConsulErrors that name it."""
         address = self.agents.current
         try:
             yield address
-        except ConsulError as fault:
-            self._failed(is_agents=not fault.is_denied)
+        except ConsulError as error:
+            self._drop_connection(is_agent_at_fault=not error.is_forbidden)
+            message = f"{place(address)}: {error}"
             raise ConsulError(
-                f"{place(address)}: {fault}", retry_after_s=fault.retry_after_s, is_denied=fault.is_denied
+                message, retry_after_s=error.retry_after_s, is_forbidden=error.is_forbidden
             ) from None
-        except (OSError, TimeoutError) as fault:
-            self._failed(is_agents=True)
-            raise ConsulError(f"{place(address)}: {str(fault) or 'no answer in time'}") from None
-
-    async def _answer(
-        self, address: Address, path: str, index: int, wait_s: float, within_s: float
-    ) -> Response:
-        request = self._ask.request(path, place(address), index=index, wait_s=wait_s)
-        async with self._network.timeout(within_s):
-            return await self._get(address, request)
-
-    def _failed(self, *, is_agents: bool) -> None:
+        except (OSError, TimeoutError) as error:
+            self._drop_connection(is_agent_at_fault=True)
+            message = f"{place(address)}: {str(error) or 'no answer in time'}"
+            raise ConsulError(message) from None
+
+    def _drop_connection(self, *, is_agent_at_fault: bool) -> None:
         self.close()
-        if is_agents:
-            self.agents.next()
+        if is_agent_at_fault:
+            self.agents.advance()
+
+    async def _call(self, address: Address, request: Request, timeout_s: float) -> Response:
+        async with self._network.timeout(timeout_s):
+            return await self._follow_redirects(address, request)
 
-    async def _get(self, address: Address, request: Request) -> Response:
-        for _ in range(_MOST_REDIRECTS + 1):
+    async def _follow_redirects(self, address: Address, request: Request) -> Response:
+        for _ in range(_MAX_REDIRECTS + 1):
             response = await self._exchange(address, request)
-            onward = redirected(response)
-            if onward is None:
+            redirect = redirect_target(response)
+            if redirect is None:
                 return response
-            address, target = onward
-            # The token is for the agents of the configuration, wherever one of them may send us.
+            address, target = redirect
+            # The token is for the configured agents only, whatever a redirect names.
             kept = [
                 each
                 for each in request.headers
-                if each[0] != b"host" and (each[0] != b"x-consul-token" or self.agents.has(address))
+                if each[0] != b"host" and (each[0] != b"x-consul-token" or address in self.agents)
             ]
             request = Request(request.method, target, [(b"host", place(address).encode()), *kept])
-        raise ConsulError("sent on from place to place")
+        message = "sent on from place to place"
+        raise ConsulError(message)
 
     async def _exchange(self, address: Address, request: Request) -> Response:
         connection = self._connection
@@ -149,27 +172,29 @@
             self.close()
             connection = self._connection = await self._dial(address)
             self._connected_to = address
-        answer: asyncio.Future[Response | Failure] = asyncio.Future()
-
-        def ended(how: Response | Failure) -> None:
-            if not answer.done():
-                answer.set_result(how)
-
-        connection.exchange(request, ended)
-        how = await answer
-        if isinstance(how, Response):
-            return how
-        if how is Failure.SPOILT:
-            raise ConsulError("the answer is no HTTP, breaks off, or is over 4 MiB")
-        raise ConsulError("the connection broke before the answer was whole")
+        result: asyncio.Future[Response | Failure] = asyncio.Future()
+
+        def on_end(outcome: Response | Failure) -> None:
+            if not result.done():
+                result.set_result(outcome)
+
+        connection.exchange(request, on_end)
+        outcome = await result
+        if isinstance(outcome, Response):
+            return outcome
+        if outcome is Failure.SPOILT:
+            message = "the answer is no HTTP, breaks off, or is over 4 MiB"
+        else:
+            message = "the connection broke before the answer was whole"
+        raise ConsulError(message)
 
     async def _dial(self, address: Address) -> ClientConnection:
-        def made() -> ClientConnection:
-            return ClientConnection(self._network, MOST_BODY, _ignore, _ignore, _ANSWER_WITHIN_S)
+        def make() -> ClientConnection:
+            return ClientConnection(self._network, MAX_BODY_BYTES, _ignore, _ignore, _BODY_TIMEOUT_S)
 
-        async with self._network.timeout(_DIAL_WITHIN_S):
-            return await self._network.dial(made, address)
+        async with self._network.timeout(_DIAL_TIMEOUT_S):
+            return await self._network.dial(make, address)
 
 
 def _ignore(_: ClientConnection) -> None:
-    """The client looks after it."""
+    """Ignore the event: the client tracks the connection itself."""
--- a/micadeck/membership/consul/config.py
+++ b/micadeck/membership/consul/config.py
@@ -1,4 +1,4 @@
-"""Consul's part of the configuration: a file of its own, JSON or TOML; errors begin with the key at fault."""
+"""Reads Consul's configuration, a JSON or TOML file of its own."""
 
 from __future__ import annotations
 
@@ -12,140 +12,164 @@
 from msgspec import Meta, Struct
 
 from micadeck.keys import key_and_text
-from micadeck.membership.consul.protocol import Ask, Mode
-from micadeck.membership.consul.states import Names
-from micadeck.membership.endpoint_merge import SourceTrust
+from micadeck.membership.consul.protocol import ConsistencyMode, RequestOptions
+from micadeck.membership.consul.states import InstanceMapping
+from micadeck.membership.endpoint_observation import SourceTrust
+from micadeck.membership.errors import MembershipError
 from micadeck.network import Address, parse_address
 
-_HOURS = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])-([01][0-9]|2[0-3]):([0-5][0-9])")
+_SCHEDULE = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])-([01][0-9]|2[0-3]):([0-5][0-9])")
 _ALWAYS = "always"
+_MINUTES_PER_DAY = 24 * 60
 
 T = TypeVar("T")
-_Line = Annotated[str, Meta(pattern=r"^[^\r\n]*$")]
+_SingleLine = Annotated[str, Meta(pattern=r"^[^\r\n]*$")]
 _Seconds = Annotated[float, Meta(ge=0.0, le=1e6)]
 
 
-class ConsulConfigError(ValueError):
-    """The file can't be used; the text begins with the key at fault."""
+class ConsulConfigError(MembershipError, ValueError):
+    """The file cannot be used; the text begins with the key at fault."""
+
+    advice = "Correct that key of Consul's file."
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service to learn servers from."""
+    """One service to read endpoints from.
+
+    Attributes:
+        name: Its name in Consul.
+        request_options: What all calls for it have in common.
+        mapping: Where an instance's properties stand.
+        trust: How far it is trusted.
+        is_catalog: Whether to read the catalogue, which has no checks.
+    """
 
     name: str
-    ask: Ask
-    names: Names
+    request_options: RequestOptions
+    mapping: InstanceMapping
     trust: SourceTrust
-    of_catalog: bool = False  # read from the catalogue, which tells no health
+    is_catalog: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ConsulConfig:
-    """Agents and services."""
+    """A configuration that was checked.
+
+    Attributes:
+        agents: The addresses of the agents.
+        services: The services to read.
+        wait_s: How long a blocking query may wait.
+        spread_s: The span over which the first calls are spread.
+    """
 
     agents: tuple[Address, ...]
     services: tuple[Service, ...]
-    wait_s: float  # of a blocking query
-    spread_s: float  # the first calls are spread over this
-
+    wait_s: float
+    spread_s: float
 
-# The file, as it is written
 
+# The keys of the file
 
-class _Keys(Struct, forbid_unknown_fields=True):
-    """Under which meta keys an instance tells of itself."""
 
-    zone: _Line = "zone"
-    kind: _Line = "kind"
-    cell: _Line = "cell"
-    started: _Line = "started_ms"
+class _MetaKeys(Struct, forbid_unknown_fields=True):
+    zone: _SingleLine = "zone"
+    kind: _SingleLine = "kind"
+    cell: _SingleLine = "cell"
+    started: _SingleLine = "started_ms"
 
 
 class _Service(Struct, forbid_unknown_fields=True):
     name: Annotated[str, Meta(pattern=r"^[!-~]{1,128}$")]
     from_: Literal["health", "catalog"] = msgspec.field(name="from", default="health")
-    datacenter: _Line = ""
-    namespace: _Line = ""
-    partition: _Line = ""
-    mode: Mode = "default"
-    tags: tuple[_Line, ...] = ()
-    filter: _Line = ""
-    meta: _Keys = msgspec.field(default_factory=_Keys)
-    tagged_address: _Line = ""
-    zone: _Line = ""
-    lent: _Line = _ALWAYS
-    keep_s: Annotated[float, Meta(ge=1.0, le=1e6)] = 3_600.0
-    doubt_s: _Seconds = 2.0
-    in_use: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.5
-    flaps: Annotated[int, Meta(ge=1, le=1_000)] = 4
-    flap_s: _Seconds = 30.0
-    forget_s: _Seconds = 60.0
+    datacenter: _SingleLine = ""
+    namespace: _SingleLine = ""
+    partition: _SingleLine = ""
+    mode: ConsistencyMode = "default"
+    tags: tuple[_SingleLine, ...] = ()
+    filter: _SingleLine = ""
+    meta: _MetaKeys = msgspec.field(default_factory=_MetaKeys)
+    tagged_address: _SingleLine = ""
+    zone: _SingleLine = ""
+    schedule: _SingleLine = msgspec.field(name="lent", default=_ALWAYS)
+    max_silence_s: Annotated[float, Meta(ge=1.0, le=1e6)] = msgspec.field(name="keep_s", default=3_600.0)
+    empty_confirm_s: _Seconds = msgspec.field(name="doubt_s", default=2.0)
+    panic_threshold: Annotated[float, Meta(ge=0.0, le=1.0)] = msgspec.field(name="in_use", default=0.5)
+    flap_threshold: Annotated[int, Meta(ge=1, le=1_000)] = msgspec.field(name="flaps", default=4)
+    flap_window_s: _Seconds = msgspec.field(name="flap_s", default=30.0)
+    removal_hold_s: _Seconds = msgspec.field(name="forget_s", default=60.0)
 
 
 class _File(Struct, forbid_unknown_fields=True):
     agents: Annotated[tuple[str, ...], Meta(min_length=1)]
     services: Annotated[tuple[_Service, ...], Meta(min_length=1)]
-    token_file: _Line = ""
+    token_file: _SingleLine = ""
     wait_s: Annotated[float, Meta(ge=0.1, le=600.0)] = 30.0
     spread_s: Annotated[float, Meta(ge=0.0, le=60.0)] = 0.2
 
 
 def load(path: str | Path) -> ConsulConfig:
-    """Read and check a file; raise ConsulConfigError."""
+    """Read and check a file; raise ConsulConfigError, naming the key at fault."""
     try:
         raw = Path(path).read_bytes()
         given = msgspec.toml.decode(raw) if str(path).endswith(".toml") else msgspec.json.decode(raw)
-    except (OSError, ValueError, RecursionError) as fault:
-        raise ConsulConfigError(f"{path}: it can't be read: {fault}") from None
+    except (OSError, ValueError, RecursionError) as error:
+        message = f"{path}: it can't be read: {error}"
+        raise ConsulConfigError(message) from None
     return parse(given)
 
 
 def parse(given: Any) -> ConsulConfig:
-    """Check a configuration; raise ConsulConfigError, naming the key, on nonsense and on unknown keys."""
-    file = _checked(given)
+    """Check a decoded file; raise ConsulConfigError, naming the key at fault."""
+    file = _convert(given)
     agents = tuple(
-        _named(f"agents[{number}]", parse_address, each) for number, each in enumerate(file.agents)
+        _parse_value(f"agents[{number}]", parse_address, each) for number, each in enumerate(file.agents)
     )
-    token = _named("token_file", _token, file.token_file)
+    token = _parse_value("token_file", _read_token, file.token_file)
     services = tuple(_service(each, number, token) for number, each in enumerate(file.services))
     if len({each.name for each in services}) < len(services):
-        raise ConsulConfigError("services: a name stands twice")
+        message = "services: a name stands twice"
+        raise ConsulConfigError(message)
     return ConsulConfig(agents, services, file.wait_s, file.spread_s)
 
 
-def _checked(given: Any) -> _File:
+def _convert(given: Any) -> _File:
     try:
         return msgspec.convert(given, _File)
-    except msgspec.ValidationError as fault:
-        path, text, is_named = key_and_text(str(fault))
+    except msgspec.ValidationError as error:
+        path, text, is_named = key_and_text(str(error))
         if path in ("agents", "services") and (is_named or "length" in text):
             text = f"at least one {'address' if path == 'agents' else 'service'} is needed"
-        raise ConsulConfigError(f"{path or 'the file'}: {text}") from None
+        message = f"{path or 'the file'}: {text}"
+        raise ConsulConfigError(message) from None
 
 
-def _named(key: str, read: Callable[[str], T], value: str) -> T:
+def _parse_value(key: str, read: Callable[[str], T], value: str) -> T:
     try:
         return read(value)
-    except ValueError as fault:
-        raise ConsulConfigError(f"{key}: {fault}") from None
+    except ValueError as error:
+        message = f"{key}: {error}"
+        raise ConsulConfigError(message) from None
 
 
-def _token(path: str) -> str:
-    """From a file of its own, so that the configuration can be shown to anybody."""
+def _read_token(path: str) -> str:
+    """Read the token from a file of its own, so that the configuration holds no secret."""
     if not path:
         return ""
     try:
         return Path(path).read_text(encoding="ascii").strip()
-    except (OSError, ValueError) as fault:
-        raise ValueError(f"{path} can't be read: {type(fault).__name__}") from None
+    except (OSError, ValueError) as error:
+        message = f"{path} can't be read: {type(error).__name__}"
+        raise ValueError(message) from None
 
 
 def _service(given: _Service, number: int, token: str) -> Service:
-    lent = None if given.lent == _ALWAYS else _named(f"services[{number}].lent", _Hours, given.lent)
+    schedule = None
+    if given.schedule != _ALWAYS:
+        schedule = _parse_value(f"services[{number}].lent", DailySchedule, given.schedule)
     return Service(
         name=given.name,
-        ask=Ask(
+        request_options=RequestOptions(
             token=token,
             datacenter=given.datacenter,
             namespace=given.namespace,
@@ -154,44 +178,49 @@
             tags=given.tags,
             filter=given.filter,
         ),
-        names=Names(
-            zone=given.meta.zone,
-            kind=given.meta.kind,
-            cell=given.meta.cell,
-            started=given.meta.started,
-            tagged=given.tagged_address,
-            in_zone=given.zone,
+        mapping=InstanceMapping(
+            zone_key=given.meta.zone,
+            kind_key=given.meta.kind,
+            cell_key=given.meta.cell,
+            started_key=given.meta.started,
+            tagged_address=given.tagged_address,
+            default_zone=given.zone,
         ),
         trust=SourceTrust(
-            keep_s=given.keep_s,
-            doubt_s=given.doubt_s,
-            in_use=given.in_use,
-            flaps=given.flaps,
-            flap_s=given.flap_s,
-            forget_s=given.forget_s,
-            lent=lent,
+            max_silence_s=given.max_silence_s,
+            empty_confirm_s=given.empty_confirm_s,
+            panic_threshold=given.panic_threshold,
+            flap_threshold=given.flap_threshold,
+            flap_window_s=given.flap_window_s,
+            removal_hold_s=given.removal_hold_s,
+            is_available_at=schedule,
         ),
-        of_catalog=given.from_ == "catalog",
+        is_catalog=given.from_ == "catalog",
     )
 
 
-class _Hours:
+class DailySchedule:
     """Daily hours of UTC, `HH:MM-HH:MM`; over midnight if the second is the earlier one."""
 
     def __init__(self, text: str) -> None:
-        found = _HOURS.fullmatch(text)
-        if found is None:
-            raise ValueError(f"'{_ALWAYS}' or HH:MM-HH:MM (UTC) is needed, not {text!r:.40}")
-        begin_h, begin_m, end_h, end_m = (int(each) for each in found.groups())
-        self._span = begin_h * 60 + begin_m, end_h * 60 + end_m
+        """Parse the hours; raise ValueError if they are malformed."""
+        match = _SCHEDULE.fullmatch(text)
+        if match is None:
+            message = f"'{_ALWAYS}' or HH:MM-HH:MM (UTC) is needed, not {text!r:.40}"
+            raise ValueError(message)
+        begin_h, begin_m, end_h, end_m = (int(each) for each in match.groups())
+        self._span = begin_h * 60 + begin_m, end_h * 60 + end_m  # minutes of the day
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, _Hours) and self._span == other._span
+        """Compare the hours."""
+        return isinstance(other, DailySchedule) and self._span == other._span
 
     def __hash__(self) -> int:
+        """Hash the hours."""
         return hash(self._span)
 
     def __call__(self, now: float) -> bool:
-        minute = int(now // 60) % (24 * 60)  # of the day, in UTC
+        """Return whether a Unix time, in seconds, is within the hours."""
+        minute = int(now // 60) % _MINUTES_PER_DAY
         begin, end = self._span
         return begin <= minute < end if begin <= end else minute >= begin or minute < end
--- a/micadeck/membership/consul/entries.py
+++ b/micadeck/membership/consul/entries.py
@@ -1,4 +1,4 @@
-"""Reading `/v1/health/service/:name` and `/v1/catalog/service/:name`.  No input or output.
+"""Reads entries of `/v1/health/service/:name` and `/v1/catalog/service/:name`.  No input or output.
 
 Sources: https://developer.hashicorp.com/consul/api-docs/health#list-service-instances-for-service and
 .../api-docs/catalog#list-nodes-for-service.
@@ -7,124 +7,152 @@
 from __future__ import annotations
 
 import ipaddress
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
-from micadeck.membership.consul.protocol import ConsulError, object_of
+from micadeck.membership.consul.protocol import ConsulError, ConsulFieldError, require_object
+from micadeck.network import Address
 
 _STATUSES = ("passing", "warning", "critical")
+_MAX_PORT = 65_535
+_MAX_WEIGHT = 65_535
 
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """One check of a node or of a service on it."""
+    """One health check.
 
-    ident: str
-    status: str  # passing, warning, critical
-    service_id: str = ""  # empty: a check of the node
+    Attributes:
+        check_id: Its id.
+        status: One of passing, warning and critical.
+        service_id: The service that it belongs to; empty for a check of the node.
+    """
+
+    check_id: str
+    status: str
+    service_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One instance of a service."""
+    """One instance of a service.
+
+    Attributes:
+        node: The name of its node.
+        node_id: The id of its node; may be empty.
+        service_id: Its id on that node.
+        address: The numeric address of the service, or else of the node.
+        port: Its port.
+        tagged_addresses: Further addresses by tag, such as lan and wan.
+        meta: The metadata of the node and of the service.
+        passing_weight: Its weight while all checks pass.
+        warning_weight: Its weight while a check warns.
+        checks: Its checks; None from the catalogue, which has none.
+    """
 
     node: str
     node_id: str
     service_id: str
-    address: str  # of the service, else of the node; numeric
+    address: str
     port: int
-    tagged: Mapping[str, tuple[str, int]] = field(default_factory=dict)  # lan, wan, ...
+    tagged_addresses: Mapping[str, Address] = field(default_factory=dict)
     meta: Mapping[str, str] = field(default_factory=dict)
-    weights: tuple[int, int] = (1, 1)  # while passing, while warning
-    checks: tuple[Check, ...] | None = None  # None: from the catalogue, which knows of none
-    modified: int = 0  # ModifyIndex of the service
+    passing_weight: int = 1
+    warning_weight: int = 1
+    checks: tuple[Check, ...] | None = None
+
+
+def parse_health(given: Any, first_number: int = 0) -> tuple[list[Instance], list[str]]:
+    """Read entries of the health API.
 
+    Args:
+        given: The list of entries.
+        first_number: The number of the first entry, for error messages.
 
-def parse_health(given: Any) -> tuple[list[Instance], list[str]]:
-    """Instances with their checks, and what was wrong with entries that had to be left out.
+    Returns:
+        The instances with their checks, and a message about each malformed entry, which is left out.
 
-    Raises ConsulError, naming the field, if the whole is no list of entries.
+    Raises:
+        ConsulError: `given` is not a list.
     """
-    return _each(given, _health)
+    return _parse_entries(given, _health, first_number)
 
 
-def parse_catalog(given: Any) -> tuple[list[Instance], list[str]]:
-    """The same from the catalogue, without checks."""
-    return _each(given, _catalog)
+def parse_catalog(given: Any, first_number: int = 0) -> tuple[list[Instance], list[str]]:
+    """Read entries of the catalogue, which have no checks; see `parse_health`."""
+    return _parse_entries(given, _catalog, first_number)
 
 
-def _each(given: Any, read: Any) -> tuple[list[Instance], list[str]]:
+def _parse_entries(
+    given: Any, read: Callable[[Mapping[str, Any], str], Instance], first_number: int
+) -> tuple[list[Instance], list[str]]:
     if not isinstance(given, list):
-        raise ConsulError(f"a list of entries is needed, not {given!r:.40}")
+        message = f"a list of entries is needed, not {given!r:.40}"
+        raise ConsulError(message)
     instances: list[Instance] = []
-    faults: list[str] = []
-    for number, each in enumerate(given):
+    errors: list[str] = []
+    for number, each in enumerate(given, first_number):
         try:
-            instances.append(read(object_of(each, f"[{number}]"), f"[{number}]"))
-        except ConsulError as fault:
-            # One bad entry must not take the others' word with it.
-            faults.append(str(fault))
-    return instances, faults
+            instances.append(read(require_object(each, f"[{number}]"), f"[{number}]"))
+        except ConsulError as error:
+            errors.append(str(error))
+    return instances, errors
 
 
 def _health(entry: Mapping[str, Any], path: str) -> Instance:
-    node = object_of(entry.get("Node"), f"{path}.Node")
-    service = object_of(entry.get("Service"), f"{path}.Service")
+    node = require_object(entry.get("Node"), f"{path}.Node")
+    service = require_object(entry.get("Service"), f"{path}.Service")
     checks = entry.get("Checks")
     if not isinstance(checks, list):
-        raise ConsulError(f"{path}.Checks: a list is needed, not {checks!r:.40}")
+        raise ConsulFieldError(f"{path}.Checks", "a list", checks)
     weights = service.get("Weights")
-    weights = object_of(weights, f"{path}.Service.Weights") if weights is not None else {}
+    weights = require_object(weights, f"{path}.Service.Weights") if weights is not None else {}
     return Instance(
         node=_text(node, "Node", f"{path}.Node"),
         node_id=_text(node, "ID", f"{path}.Node", optional=True),
         service_id=_text(service, "ID", f"{path}.Service"),
         address=_address(service.get("Address") or node.get("Address"), f"{path}.Service.Address"),
         port=_port(service.get("Port"), f"{path}.Service.Port"),
-        tagged=_tagged(service.get("TaggedAddresses"), f"{path}.Service.TaggedAddresses"),
+        tagged_addresses=_tagged_addresses(service.get("TaggedAddresses"), f"{path}.Service.TaggedAddresses"),
         meta={
             **_meta(node.get("Meta"), f"{path}.Node.Meta"),
             **_meta(service.get("Meta"), f"{path}.Service.Meta"),
         },
-        weights=(
-            _weight(weights, "Passing", f"{path}.Service.Weights"),
-            _weight(weights, "Warning", f"{path}.Service.Weights"),
-        ),
+        passing_weight=_weight(weights, "Passing", f"{path}.Service.Weights"),
+        warning_weight=_weight(weights, "Warning", f"{path}.Service.Weights"),
         checks=tuple(
-            _check(object_of(each, f"{path}.Checks[{number}]"), f"{path}.Checks[{number}]")
+            _check(require_object(each, f"{path}.Checks[{number}]"), f"{path}.Checks[{number}]")
             for number, each in enumerate(checks)
         ),
-        modified=_count(service.get("ModifyIndex")),
     )
 
 
 def _catalog(entry: Mapping[str, Any], path: str) -> Instance:
     weights = entry.get("ServiceWeights")
-    weights = object_of(weights, f"{path}.ServiceWeights") if weights is not None else {}
+    weights = require_object(weights, f"{path}.ServiceWeights") if weights is not None else {}
     return Instance(
         node=_text(entry, "Node", path),
         node_id=_text(entry, "ID", path, optional=True),
         service_id=_text(entry, "ServiceID", path),
         address=_address(entry.get("ServiceAddress") or entry.get("Address"), f"{path}.ServiceAddress"),
         port=_port(entry.get("ServicePort"), f"{path}.ServicePort"),
-        tagged=_tagged(entry.get("ServiceTaggedAddresses"), f"{path}.ServiceTaggedAddresses"),
+        tagged_addresses=_tagged_addresses(
+            entry.get("ServiceTaggedAddresses"), f"{path}.ServiceTaggedAddresses"
+        ),
         meta={
             **_meta(entry.get("NodeMeta"), f"{path}.NodeMeta"),
             **_meta(entry.get("ServiceMeta"), f"{path}.ServiceMeta"),
         },
-        weights=(
-            _weight(weights, "Passing", f"{path}.ServiceWeights"),
-            _weight(weights, "Warning", f"{path}.ServiceWeights"),
-        ),
-        modified=_count(entry.get("ModifyIndex")),
+        passing_weight=_weight(weights, "Passing", f"{path}.ServiceWeights"),
+        warning_weight=_weight(weights, "Warning", f"{path}.ServiceWeights"),
     )
 
 
 def _check(given: Mapping[str, Any], path: str) -> Check:
     status = given.get("Status")
     if status not in _STATUSES:
-        raise ConsulError(f"{path}.Status: one of {', '.join(_STATUSES)} is needed, not {status!r:.40}")
+        raise ConsulFieldError(f"{path}.Status", f"one of {', '.join(_STATUSES)}", status)
     return Check(_text(given, "CheckID", path), str(status), _text(given, "ServiceID", path, optional=True))
 
 
@@ -133,7 +161,7 @@
     if optional and value is None:
         return ""
     if not isinstance(value, str) or not (value or optional):
-        raise ConsulError(f"{path}.{key}: a text is needed, not {value!r:.40}")
+        raise ConsulFieldError(f"{path}.{key}", "a text", value)
     return value
 
 
@@ -141,38 +169,34 @@
     try:
         return str(ipaddress.ip_address(value))
     except ValueError:
-        raise ConsulError(f"{path}: a numeric address is needed, not {value!r:.40}") from None
+        raise ConsulFieldError(path, "a numeric address", value) from None
 
 
 def _port(value: Any, path: str) -> int:
-    if type(value) is not int or not 0 < value <= 65_535:
-        raise ConsulError(f"{path}: a port is needed, not {value!r:.40}")
+    if type(value) is not int or not 0 < value <= _MAX_PORT:
+        raise ConsulFieldError(path, "a port", value)
     return value
 
 
 def _weight(given: Mapping[str, Any], key: str, path: str) -> int:
     value = given.get(key, 1)
-    if type(value) is not int or not 0 <= value <= 65_535:
-        raise ConsulError(f"{path}.{key}: a whole number up to 65535 is needed, not {value!r:.40}")
+    if type(value) is not int or not 0 <= value <= _MAX_WEIGHT:
+        raise ConsulFieldError(f"{path}.{key}", f"a whole number up to {_MAX_WEIGHT}", value)
     return value
 
 
-def _tagged(given: Any, path: str) -> dict[str, tuple[str, int]]:
+def _tagged_addresses(given: Any, path: str) -> dict[str, Address]:
     if given is None:
         return {}
     tagged = {}
-    for name, each in object_of(given, path).items():
-        place = object_of(each, f"{path}.{name}")
-        address = _address(place.get("Address"), f"{path}.{name}.Address")
-        tagged[str(name)] = (address, _port(place.get("Port"), f"{path}.{name}.Port"))
+    for name, each in require_object(given, path).items():
+        entry = require_object(each, f"{path}.{name}")
+        address = _address(entry.get("Address"), f"{path}.{name}.Address")
+        tagged[str(name)] = (address, _port(entry.get("Port"), f"{path}.{name}.Port"))
     return tagged
 
 
 def _meta(given: Any, path: str) -> dict[str, str]:
     if given is None:
         return {}
-    return {str(key): str(value) for key, value in object_of(given, path).items()}
-
-
-def _count(value: Any) -> int:
-    return value if type(value) is int and value >= 0 else 0
+    return {str(key): str(value) for key, value in require_object(given, path).items()}
--- a/micadeck/membership/consul/protocol.py
+++ b/micadeck/membership/consul/protocol.py
@@ -1,4 +1,4 @@
-"""What is asked of Consul's HTTP API, and what its answers say beside their bodies.  No input or output.
+"""Requests to Consul's HTTP API and the headers and status of its responses.  No input or output.
 
 Sources: https://developer.hashicorp.com/consul/api-docs/features/blocking, .../features/consistency,
 .../api-docs/api-structure (authentication, namespaces, gzip) and .../api-docs/health.
@@ -14,36 +14,71 @@
 from urllib.parse import quote, urlencode, urlsplit
 
 from micadeck.http.h1 import Headers, Request, Response
+from micadeck.membership.errors import MembershipError
 from micadeck.network import Address, parse_address
 
-MOST_BODY = 4 << 20  # of an answer, packed or not
-_PIECE = 256 << 10
-Mode = Literal["default", "stale", "consistent"]
+MAX_BODY_BYTES = 4 << 20  # compressed or not
+_PIECE_BYTES = 256 << 10  # decompressed in about a millisecond
+_MAX_RETRY_AFTER_S = 60.0
+_MAX_HEADER_DIGITS = 20
+_REDIRECT_STATUSES = (301, 302, 307, 308)
+ConsistencyMode = Literal["default", "stale", "consistent"]
 
 
-class ConsulError(Exception):
-    """Consul did not answer a call, or not with what was asked for."""
+class ConsulError(MembershipError):
+    """Consul did not answer a call, or answered with something else than requested.
 
-    def __init__(self, text: str, *, retry_after_s: float = 0.0, is_denied: bool = False) -> None:
-        super().__init__(text)
+    Attributes:
+        retry_after_s: How long Consul asks to wait before the next call; 0 if it does not.
+        is_forbidden: Whether the token lacks a permission, at this and at any other agent.
+    """
+
+    advice = "Check the agent that is named, and its token; the last list stays in use."
+
+    def __init__(self, what: str, *, retry_after_s: float = 0.0, is_forbidden: bool = False) -> None:
+        """Say what happened; see the attributes."""
+        super().__init__(what)
         self.retry_after_s = retry_after_s
-        self.is_denied = is_denied  # the token may not do that, here or at any other agent
+        self.is_forbidden = is_forbidden
+
+
+class ConsulFieldError(ConsulError):
+    """One field of a response has a value of the wrong type or range."""
+
+    def __init__(self, path: str, expected: str, value: object) -> None:
+        """Name the path of the field, what it must be and the value that was read instead."""
+        super().__init__(f"{path}: {expected} is needed, not {value!r:.40}")
+
+
+class RedirectError(ConsulError):
+    """A redirect to a location that cannot be called: no name resolution, no TLS."""
+
+    def __init__(self, reason: str) -> None:
+        """Say what is wrong with the location."""
+        super().__init__(f"sent on to a place that can't be called: {reason}")
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """What every call of one source has in common."""
+class RequestOptions:
+    """What all calls of one source have in common; empty values are not sent."""
 
     token: str = ""
     datacenter: str = ""
     namespace: str = ""
     partition: str = ""
-    mode: Mode = "default"
+    mode: ConsistencyMode = "default"
     tags: tuple[str, ...] = ()
     filter: str = ""
 
     def request(self, path: str, host: str, *, index: int = 0, wait_s: float = 0.0) -> Request:
-        """A GET of this path; with an index, a blocking query."""
+        """Return a GET request.
+
+        Args:
+            path: The path of the API.
+            host: The value of the host header.
+            index: Makes it a blocking query that waits for changes after this index; 0 for none.
+            wait_s: How long a blocking query may wait.
+        """
         query: list[tuple[str, str]] = [
             (name, value)
             for name, value in (
@@ -66,105 +101,126 @@
         return Request(b"GET", target.encode(), headers)
 
     def __repr__(self) -> str:
-        """Never with the token: what is printed ends in logs."""
-        return f"Ask({self.mode}, dc={self.datacenter!r}, token={'set' if self.token else 'none'})"
+        """Return a text without the token, fit for logs."""
+        token = "set" if self.token else "none"
+        return f"RequestOptions({self.mode}, dc={self.datacenter!r}, token={token})"
 
 
 @dataclass(frozen=True, slots=True)
-class Meta:
-    """What an answer says of itself; times in seconds."""
+class ResponseMeta:
+    """The headers of a response.
+
+    Attributes:
+        index: The index to wait on; 0 if there is none.
+        last_contact_s: How long ago the server that answered had contact with its leader.
+        has_leader: Whether the servers have a leader.
+    """
 
-    index: int  # 0: none that could be waited for
-    last_contact_s: float = 0.0  # since the server that answered heard from its leader
-    known_leader: bool = True
+    index: int
+    last_contact_s: float = 0.0
+    has_leader: bool = True
 
 
-def read_meta(response: Response) -> Meta:
-    """Raise ConsulError on figures that are none."""
-    index = _whole(response, b"x-consul-index")
-    contact_ms = _whole(response, b"x-consul-lastcontact")
-    return Meta(index, contact_ms / 1_000, response.header(b"x-consul-knownleader") != b"false")
+def read_meta(response: Response) -> ResponseMeta:
+    """Read the headers; raise ConsulError if a number is malformed."""
+    index = _number_header(response, b"x-consul-index")
+    contact_ms = _number_header(response, b"x-consul-lastcontact")
+    has_leader = response.header(b"x-consul-knownleader") != b"false"
+    return ResponseMeta(index, contact_ms / 1_000, has_leader)
 
 
-def _whole(response: Response, name: bytes) -> int:
+def _number_header(response: Response, name: bytes) -> int:
     value = response.header(name)
     if value is None:
         return 0
-    if not value.isdigit() or len(value) > 20:
-        raise ConsulError(f"{name.decode()}: {value!r:.40} is no number")
+    if not value.isdigit() or len(value) > _MAX_HEADER_DIGITS:
+        message = f"{name.decode()}: {value!r:.40} is no number"
+        raise ConsulError(message)
     return int(value)
 
 
 def read_body(response: Response) -> Any:
-    """The JSON of an answer; raise ConsulError, in words that name what is wrong, on any other answer."""
+    """Return the JSON of a response; raise ConsulError if it has another status or no JSON."""
     check_status(response)
     try:
-        return json.loads(b"".join(unpacked(response)))
-    except (ValueError, RecursionError) as fault:
-        raise ConsulError(f"the body is no JSON: {fault}") from None
+        return json.loads(b"".join(decompressed(response)))
+    except (ValueError, RecursionError) as error:
+        message = f"the body is no JSON: {error}"
+        raise ConsulError(message) from None
 
 
 def check_status(response: Response) -> None:
-    """Raise ConsulError, in words that name what is wrong, on an answer that is not 200."""
+    """Raise ConsulError if the status is not 200."""
     if response.status == 403:
-        raise ConsulError("403: the token may not read this", is_denied=True)
+        message = "403: the token may not read this"
+        raise ConsulError(message, is_forbidden=True)
     if response.status == 429:
-        raise ConsulError("429: too many calls", retry_after_s=_retry_after(response))
+        message = "429: too many calls"
+        raise ConsulError(message, retry_after_s=_retry_after(response))
     if response.status != 200:
-        text = b"".join(unpacked(response))[:80].decode("utf-8", "replace").strip()
-        raise ConsulError(f"{response.status}: {text or 'no reason given'}")
+        text = b"".join(decompressed(response))[:80].decode("utf-8", "replace").strip()
+        message = f"{response.status}: {text or 'no reason given'}"
+        raise ConsulError(message)
 
 
-def unpacked(response: Response) -> Iterator[bytes]:
-    """The body, in pieces that take about a millisecond each to unpack.
+def decompressed(response: Response) -> Iterator[bytes]:
+    """Yield the body in pieces that take about a millisecond each.
 
-    Raises ConsulError on one that is no gzip, breaks off, or would unpack to over 4 MiB.
+    Raises:
+        ConsulError: The body is not gzip, is truncated, or is too large once decompressed.
     """
     coding = response.header(b"content-encoding")
     if coding is None:
         yield response.body
         return
     if coding != b"gzip":
-        raise ConsulError(f"content-encoding {coding!r:.40} was not asked for")
-    unpacker = zlib.decompressobj(wbits=31)
-    packed, size = response.body, 0
-    while not unpacker.eof:
+        message = f"content-encoding {coding!r:.40} was not asked for"
+        raise ConsulError(message)
+    decompressor = zlib.decompressobj(wbits=31)
+    compressed, size = response.body, 0
+    while not decompressor.eof:
         try:
-            piece = unpacker.decompress(packed, _PIECE)
-        except zlib.error as fault:
-            raise ConsulError(f"the body can't be unpacked: {fault}") from None
-        packed = unpacker.unconsumed_tail
-        if not piece and not packed and not unpacker.eof:
-            raise ConsulError("the packed body breaks off")
+            piece = decompressor.decompress(compressed, _PIECE_BYTES)
+        except zlib.error as error:
+            message = f"the body can't be unpacked: {error}"
+            raise ConsulError(message) from None
+        compressed = decompressor.unconsumed_tail
+        if not piece and not compressed and not decompressor.eof:
+            message = "the packed body breaks off"
+            raise ConsulError(message)
         size += len(piece)
-        if size > MOST_BODY:  # guards against a small body that unpacks to all of memory
-            raise ConsulError("the body is over 4 MiB once unpacked")
+        if size > MAX_BODY_BYTES:  # a small body may decompress to more than the memory
+            message = "the body is over 4 MiB once unpacked"
+            raise ConsulError(message)
         yield piece
 
 
 def _retry_after(response: Response) -> float:
     value = response.header(b"retry-after") or b""
-    return min(float(value), 60.0) if value.isdigit() else 0.0
+    return min(float(value), _MAX_RETRY_AFTER_S) if value.isdigit() else 0.0
 
 
-def redirected(response: Response) -> tuple[Address, bytes] | None:
-    """Where an answer sends to, as address and target; None if it does not.
+def redirect_target(response: Response) -> tuple[Address, bytes] | None:
+    """Return the address and target of a redirect; None if the response is none.
 
-    Raises ConsulError on a place that can't be called: there is no name look-up, and no TLS.
+    Raises:
+        RedirectError: The location cannot be called.
     """
-    if response.status not in (301, 302, 307, 308):
+    if response.status not in _REDIRECT_STATUSES:
         return None
-    place = urlsplit((response.header(b"location") or b"").decode("latin-1"))
+    location = urlsplit((response.header(b"location") or b"").decode("latin-1"))
+    if location.scheme != "http":
+        reason = "http is needed"
+        raise RedirectError(reason)
     try:
-        if place.scheme != "http":
-            raise ValueError("http is needed")
-        address = parse_address(place.netloc)
-    except ValueError as fault:
-        raise ConsulError(f"sent on to a place that can't be called: {fault}") from None
-    return address, f"{place.path}?{place.query}".rstrip("?").encode("latin-1")
+        address = parse_address(location.netloc)
+    except ValueError as error:
+        raise RedirectError(str(error)) from None
+    return address, f"{location.path}?{location.query}".rstrip("?").encode("latin-1")
 
 
-def object_of(given: Any, path: str) -> Mapping[str, Any]:
+def require_object(given: Any, path: str) -> Mapping[str, Any]:
+    """Return a JSON object; raise ConsulFieldError, naming its path, if it is none."""
     if not isinstance(given, Mapping):
-        raise ConsulError(f"{path}: an object is needed, not {given!r:.40}")
+        raise ConsulFieldError(path, "an object", given)
     return given
--- a/micadeck/membership/consul/query.py
+++ b/micadeck/membership/consul/query.py
@@ -1,8 +1,8 @@
-"""One blocking query, asked again and again: when, with which index, and what an answer changes.  No I/O.
+"""The schedule of one blocking query: when to poll and with which index.  No input or output.
 
 After https://developer.hashicorp.com/consul/api-docs/features/blocking: an index that goes back, or is 0, is
-forgotten and everything is read anew; the server may add up to a sixteenth of the wait; whoever gets answers
-that did not wait, again and again, must slow down.
+discarded and everything is read again; the server may add up to a sixteenth of the wait; a client whose
+queries return at once again and again must limit its rate.
 """
 
 from __future__ import annotations
@@ -11,96 +11,115 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from micadeck.membership.consul.protocol import Meta
+from micadeck.membership.consul.protocol import ResponseMeta
 
 WAIT_S = 30.0
-_BEYOND_S = 2.0  # an answer may take this much longer than its wait, with the server's own addition
-_AT_ONCE = 10  # answers that may follow on one another before they are spaced
-_REFILL_S = 1.0  # the time after which one more may
-_SPACE_S = 0.1  # then so far apart: half a second must do from a drain to the last send
-_IDLE_SPACE_S = 1.0  # and answers that changed nothing, though they did not wait
-_DOUBTED_S = 0.5
-_BACKOFF_S, _BACKOFF_MOST_S = 0.1, 5.0
+_JITTER_FRACTION = 1 / 16  # of the wait: what the server may add, and what jitter takes off
+_EXTRA_TIMEOUT_S = 2.0  # beyond the wait and the server's jitter
+_BURST = 10  # answers that may follow each other without delay
+_REFILL_S = 1.0  # until one more may
+_RATE_LIMIT_DELAY_S = 0.1  # short enough for a drain to take effect within half a second
+_IDLE_DELAY_S = 1.0  # after an answer that neither waited nor changed
+_RECHECK_DELAY_S = 0.5  # after an answer that is not accepted yet
+_MIN_BACKOFF_S, _MAX_BACKOFF_S = 0.1, 5.0
+_MAX_BACKOFF_EXPONENT = 10
 
 
 @unique
-class Verdict(Enum):
-    """What an answer is worth."""
+class ReplyCheck(Enum):
+    """What the index of an answer means."""
 
-    NEWS = "news"
-    SAME = "same"
-    BEGUN_ANEW = "begun anew"  # the index went back: another server's, or one restored; read as news
+    CHANGED = "changed"
+    UNCHANGED = "unchanged"
+    INDEX_RESET = "index reset"  # it went back: another server's, or one restored; read as a change
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """The next call: after so long, with this index (0: everything, at once), within so long."""
+class NextPoll:
+    """The next call.
+
+    Attributes:
+        delay_s: How long to wait before it.
+        index: The index to wait on; 0 reads everything at once.
+        wait_s: How long the query may block.
+        timeout_s: How long the call may take.
+    """
 
     delay_s: float
     index: int
     wait_s: float
-    within_s: float
+    timeout_s: float
 
 
 class BlockingQuery:
-    """The state of one query.  Times are seconds, on any clock that does not go back."""
+    """The state of one query.  Times are seconds of any clock that does not step back.
+
+    Owns the index, the rate limit and the backoff.
+    """
 
     def __init__(self, chance: random.Random, wait_s: float = WAIT_S) -> None:
+        """Start without an index.
+
+        Args:
+            chance: The source of jitter.
+            wait_s: How long the query may block.
+        """
         self._chance = chance
         self._wait_s = wait_s
         self.index = 0
         self._failures = 0
-        self._allowance = float(_AT_ONCE)
-        self._at: float | None = None
+        self._tokens = float(_BURST)
+        self._refilled_at: float | None = None
         self._delay_s = 0.0
-        self._asked_at = 0.0
-        self._asked_index = 0
+        self._polled_at = 0.0
+        self._polled_index = 0
 
     def first_delay(self, spread_s: float) -> float:
-        """Where in a span this one begins, so that many that start together do not ask in step."""
+        """Return a random delay within a span, so that many sidecars do not poll in step."""
         return self._chance.random() * spread_s
 
-    def plan(self, now: float) -> Plan:
-        # A wait of this one's own, so that many do not end theirs together either.
-        wait_s = self._wait_s * (1.0 - self._chance.random() / 16) if self.index else 0.0
-        self._asked_at, self._asked_index = now + self._delay_s, self.index
-        return Plan(self._delay_s, self.index, wait_s, wait_s * 17 / 16 + _BEYOND_S)
+    def next_poll(self, now: float) -> NextPoll:
+        """Return the next call, and record it as made."""
+        # Jitter, so that the waits of many sidecars do not end together.
+        wait_s = self._wait_s * (1.0 - _JITTER_FRACTION * self._chance.random()) if self.index else 0.0
+        self._polled_at, self._polled_index = now + self._delay_s, self.index
+        timeout_s = wait_s * (1.0 + _JITTER_FRACTION) + _EXTRA_TIMEOUT_S
+        return NextPoll(self._delay_s, self.index, wait_s, timeout_s)
 
-    def answered(self, now: float, meta: Meta) -> Verdict:
-        """Take an answer to the last plan in."""
+    def record_answer(self, now: float, meta: ResponseMeta) -> ReplyCheck:
+        """Record the answer to the last call."""
         self._failures = 0
-        before = self._asked_index
-        went_back = meta.index < before
-        is_same = meta.index == before != 0
-        # 0 can't be waited for, and a lower index may wait for ever: both are read anew, without one.
-        self.index = 0 if went_back else meta.index
-        waited = now - self._asked_at
+        before = self._polled_index
+        has_reset = meta.index < before
+        is_unchanged = meta.index == before != 0
+        # 0 cannot be waited on, and a wait on a lower index may never end: both are read again, without one.
+        self.index = 0 if has_reset else meta.index
         self._refill(now)
-        if is_same and waited < self._wait_s / 2:
-            self._delay_s = _IDLE_SPACE_S  # nothing is new, yet it did not wait: it would be asked in a spin
-        elif meta.index == 0:
-            self._delay_s = _IDLE_SPACE_S
-        elif self._allowance >= 1.0:
-            self._allowance -= 1.0
+        has_waited = now - self._polled_at >= self._wait_s / 2
+        if meta.index == 0 or (is_unchanged and not has_waited):
+            self._delay_s = _IDLE_DELAY_S
+        elif self._tokens >= 1.0:
+            self._tokens -= 1.0
             self._delay_s = 0.0
         else:
-            self._delay_s = _SPACE_S
-        if went_back:
-            return Verdict.BEGUN_ANEW
-        return Verdict.SAME if is_same else Verdict.NEWS
+            self._delay_s = _RATE_LIMIT_DELAY_S
+        if has_reset:
+            return ReplyCheck.INDEX_RESET
+        return ReplyCheck.UNCHANGED if is_unchanged else ReplyCheck.CHANGED
 
-    def doubted(self) -> None:
-        """What was answered is not believed: everything is read again, soon."""
+    def discard_answer(self) -> None:
+        """Read everything again soon: the answer is not accepted."""
         self.index = 0
-        self._delay_s = _DOUBTED_S * (0.5 + 0.5 * self._chance.random())
+        self._delay_s = _RECHECK_DELAY_S * (0.5 + 0.5 * self._chance.random())
 
-    def failed(self, now: float, retry_after_s: float = 0.0) -> None:
-        """The call failed; what is known stays, and the index with it."""
-        backoff = min(_BACKOFF_S * 2**self._failures, _BACKOFF_MOST_S)
-        self._failures = min(self._failures + 1, 10)
-        self._delay_s = max(backoff * (0.5 + 0.5 * self._chance.random()), retry_after_s)
+    def record_failure(self, retry_after_s: float = 0.0) -> None:
+        """Back off after a failed call; the index stays."""
+        backoff_s = min(_MIN_BACKOFF_S * 2**self._failures, _MAX_BACKOFF_S)
+        self._failures = min(self._failures + 1, _MAX_BACKOFF_EXPONENT)
+        self._delay_s = max(backoff_s * (0.5 + 0.5 * self._chance.random()), retry_after_s)
 
     def _refill(self, now: float) -> None:
-        if self._at is not None:
-            self._allowance = min(self._allowance + (now - self._at) / _REFILL_S, float(_AT_ONCE))
-        self._at = now
+        if self._refilled_at is not None:
+            refill = (now - self._refilled_at) / _REFILL_S
+            self._tokens = min(self._tokens + refill, float(_BURST))
+        self._refilled_at = now
--- a/micadeck/membership/consul/source.py
+++ b/micadeck/membership/consul/source.py
@@ -1,72 +1,96 @@
-"""One service of Consul, watched: each answer becomes what it changes in the service's list."""
+"""Watches one service of Consul, and delivers what each answer changes."""
 
 from __future__ import annotations
 
 import asyncio
-import random
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
 from micadeck.membership.consul.client import ConsulClient
 from micadeck.membership.consul.protocol import ConsulError
 from micadeck.membership.consul.query import BlockingQuery
-from micadeck.membership.consul.states import Names
-from micadeck.membership.consul.view import News, ServiceView
+from micadeck.membership.consul.states import InstanceMapping
+from micadeck.membership.consul.view import EntriesChange, ServiceView
 from micadeck.network import Network
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """What an answer changes in a service's list, and what is to be known of it."""
+class ServiceUpdate:
+    """What an answer changes in a service's list, how old it may be and which agent sent it."""
 
-    news: News
-    lag_s: float  # how old it may be
+    change: EntriesChange
+    lag_s: float
     agent: str
 
 
-def _nothing() -> None:
-    """Nobody cares."""
+@dataclass(frozen=True, slots=True)
+class WatchTarget:
+    """What to watch.
 
+    Attributes:
+        service: The name of the service.
+        mapping: Where an instance's properties stand.
+        is_catalog: Whether to read the catalogue, which has no checks.
+    """
 
-class ServiceWatch:
-    """Asks for one service's instances for as long as it lives.
+    service: str
+    mapping: InstanceMapping | None = None
+    is_catalog: bool = False
+
+    @property
+    def path(self) -> str:
+        """The path of the API."""
+        return f"/v1/{'catalog' if self.is_catalog else 'health'}/service/{self.service}"
+
+
+def _ignore() -> None:
+    """Ignore the event."""
 
-    `believes_empty` is asked, with the agent's address, about a list without entries; one that is not
-    believed is asked for again, of the next agent.  `on_heard` gets what every other answer changes, and
-    `on_failed` what went wrong with a call, in words without the token.  `settle` is called between the
-    pieces of a first list: what was made of it by then is there to stay.
+
+@dataclass(frozen=True, slots=True)
+class WatchCallbacks:
+    """Where a watch delivers.
+
+    Attributes:
+        accepts_empty: Gets the agent of a list without entries; returns whether to accept it.  If not, it is
+            read again from the next agent.
+        on_update: Gets what every other answer changes.
+        on_failed: Gets what went wrong with a call, without the token.
+        on_partial_list: Called between the steps of a first list, of which all so far is kept.
     """
 
+    accepts_empty: Callable[[str], bool]
+    on_update: Callable[[ServiceUpdate], Awaitable[None]]
+    on_failed: Callable[[str], None]
+    on_partial_list: Callable[[], None] = _ignore
+
+
+class ServiceWatch:
+    """Polls one service's instances until it is closed.  Owns its task, and closes its client."""
+
     def __init__(
         self,
         network: Network,
         client: ConsulClient,
-        service: str,
+        target: WatchTarget,
         query: BlockingQuery,
-        believes_empty: Callable[[str], bool],
-        on_heard: Callable[[Heard], Awaitable[None]],
-        on_failed: Callable[[str], None],
-        names: Names | None = None,
-        settle: Callable[[], None] = _nothing,
-        *,
-        of_catalog: bool = False,
+        callbacks: WatchCallbacks,
     ) -> None:
+        """Create a watch that is idle until `start`."""
         self._network = network
-        self._settle = settle
         self._client = client
-        self._path = f"/v1/{'catalog' if of_catalog else 'health'}/service/{service}"
+        self._path = target.path
         self._query = query
-        self._believes_empty = believes_empty
-        self._on_heard = on_heard
-        self._on_failed = on_failed
-        self._view = ServiceView(names, of_catalog=of_catalog)
+        self._callbacks = callbacks
+        self._view = ServiceView(target.mapping, is_catalog=target.is_catalog)
         self._task: asyncio.Task[None] | None = None
 
     def start(self, spread_s: float = 0.0) -> None:
-        """Begin somewhere in this span, so that many sidecars that start together do not ask in step."""
+        """Start after a random delay within a span, so that many sidecars do not poll in step."""
         self._task = self._network.spawn(self._watch(self._query.first_delay(spread_s)))
 
     def close(self) -> None:
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
         self._client.close()
@@ -74,59 +98,38 @@
     async def _watch(self, delay_s: float) -> None:
         await self._network.sleep(delay_s)
         while True:
-            plan = self._query.plan(self._network.time())
-            if plan.delay_s:
-                await self._network.sleep(plan.delay_s)
-            agent = self._client.agents.current
-            try:
-                body, meta = await self._client.get_raw(
-                    self._path, index=plan.index, wait_s=plan.wait_s, within_s=plan.within_s
-                )
-                for _ in self._view.read(body):
-                    if not self._view.has_read:
-                        self._settle()
-                    await self._network.sleep(0)  # a list of thousands must not hold up requests
-            except ConsulError as fault:
-                self._query.failed(self._network.time(), fault.retry_after_s)
-                self._on_failed(str(fault))
-                continue
-            self._query.answered(self._network.time(), meta)
-            place = f"{agent[0]}:{agent[1]}"
-            if not self._view.count() and not self._believes_empty(place):
-                self._query.doubted()
-                self._client.close()
-                self._client.agents.next()
-                continue
-            news = self._view.taken(self._network.now())
-            await self._network.sleep(0)
-            await self._on_heard(Heard(news, meta.last_contact_s, place))
-
-
-def watch(
-    network: Network,
-    client: ConsulClient,
-    service: str,
-    believes_empty: Callable[[str], bool],
-    on_heard: Callable[[Heard], Awaitable[None]],
-    on_failed: Callable[[str], None],
-    *,
-    seed: int,
-    wait_s: float = 30.0,
-    names: Names | None = None,
-    settle: Callable[[], None] = _nothing,
-    of_catalog: bool = False,
-) -> ServiceWatch:
-    """A watch with a query of its own; `seed` sets its jitter apart from others'."""
-    query = BlockingQuery(random.Random(seed), wait_s)
-    return ServiceWatch(
-        network,
-        client,
-        service,
-        query,
-        believes_empty,
-        on_heard,
-        on_failed,
-        names,
-        settle,
-        of_catalog=of_catalog,
-    )
+            update = await self._poll()
+            if update is not None:
+                await self._network.sleep(0)
+                await self._callbacks.on_update(update)
+
+    async def _poll(self) -> ServiceUpdate | None:
+        """Make the next call; return None if it failed, or its list is not accepted."""
+        poll = self._query.next_poll(self._network.time())
+        if poll.delay_s:
+            await self._network.sleep(poll.delay_s)
+        host, port = self._client.agents.current
+        try:
+            body, meta = await self._client.get_raw(
+                self._path, index=poll.index, wait_s=poll.wait_s, timeout_s=poll.timeout_s
+            )
+            await self._read(body)
+        except ConsulError as error:
+            self._query.record_failure(error.retry_after_s)
+            self._callbacks.on_failed(str(error))
+            return None
+        self._query.record_answer(self._network.time(), meta)
+        agent = f"{host}:{port}"
+        if not self._view.entry_count() and not self._callbacks.accepts_empty(agent):
+            self._query.discard_answer()
+            self._client.close()
+            self._client.agents.advance()
+            return None
+        change = self._view.take_change(self._network.now())
+        return ServiceUpdate(change, meta.last_contact_s, agent)
+
+    async def _read(self, body: bytes) -> None:
+        for _ in self._view.read(body):
+            if not self._view.has_list:
+                self._callbacks.on_partial_list()
+            await self._network.sleep(0)  # a list of thousands must not delay requests
--- a/micadeck/membership/consul/view.py
+++ b/micadeck/membership/consul/view.py
@@ -1,8 +1,8 @@
-"""One service's list as it was last answered, and what a new answer changes in it.  No input or output.
+"""The last list of one service, and what a new answer changes in it.  No input or output.
 
-Consul sends a service's whole list for each change.  An entry whose bytes were seen in the last answer means
-what it meant then, so only entries that are new are read, and what follows from an answer is what changed.
-A list is read a few entries at a time, so that the caller can let others run between.
+Consul sends the complete list at each change.  Entries are compared by a digest of their bytes, so that only
+new ones are parsed, and the result of an answer is what changed.  A list is read a few entries at a time, so
+that the event loop can run in between.
 """
 
 from __future__ import annotations
@@ -15,131 +15,153 @@
 
 from micadeck.membership.consul.entries import parse_catalog, parse_health
 from micadeck.membership.consul.protocol import ConsulError
-from micadeck.membership.consul.states import Health, Names, Restarts, Word, more_cautious, word_of
-from micadeck.membership.endpoint_merge import Observation, Precedence
+from micadeck.membership.consul.states import (
+    InstanceMapping,
+    InstanceStatus,
+    RestartTracker,
+    instance_status,
+    merge_registrations,
+)
+from micadeck.membership.endpoint_observation import Observation
 from micadeck.network import Address
 
-ENTRIES_AT_ONCE = 32
-_MOST_TOLD = 5  # doubts that are put in words
-_CAUTIONS = {
-    Health.READY: Precedence.READY,
-    Health.DOUBTFUL: Precedence.DOUBTFUL,
-    Health.DRAINS: Precedence.DRAINS,
-}
+ENTRIES_PER_STEP = 32
+_MAX_WARNINGS = 5
 _LIST = msgspec.json.Decoder(list[msgspec.Raw])
 
 
 @dataclass(slots=True)
-class News:
-    """What an answer changes: whole, if nothing was known before."""
-
-    is_whole: bool
-    count: int  # entries in the answer
-    sightings: Iterator[Observation]  # worked out as they are taken: to be used up before the next answer
-    gone: list[Address]
-    addresses: Set[Address]  # all that the answer lists
-    doubts: tuple[str, ...]  # entries that were left out or contradict one another, in words
+class EntriesChange:
+    """What an answer changes.
+
+    Attributes:
+        is_complete: Whether nothing was known before.
+        count: The number of entries in the answer.
+        observations: The new and changed endpoints; computed lazily, exhaust it before the next answer.
+        removed: The addresses that are no longer listed.
+        addresses: All addresses that the answer lists.
+        warnings: Messages about malformed and contradictory entries.
+    """
+
+    is_complete: bool
+    count: int
+    observations: Iterator[Observation]
+    removed: list[Address]
+    addresses: Set[Address]
+    warnings: tuple[str, ...]
 
 
 @dataclass(slots=True)
-class _Reading:
-    """An answer that is being read."""
+class _Answer:
+    """An answer that is being read; entries are by digest, a malformed one is its error message."""
 
-    entries: dict[bytes, Word | str] = field(default_factory=dict)  # by digest: the word, or what was wrong
+    entries: dict[bytes, InstanceStatus | str] = field(default_factory=dict)
     new: list[bytes] = field(default_factory=list)
 
 
 class ServiceView:
-    """The entries of one service, by the digest of their bytes."""
-
-    def __init__(self, names: Names | None = None, *, of_catalog: bool = False) -> None:
-        self._names = names or Names()
-        self._parse = parse_catalog if of_catalog else parse_health
-        self._entries: dict[bytes, Word | str] = {}
-        self._at: dict[Address, dict[bytes, Word]] = {}  # registrations by address
-        self._restarts = Restarts()
-        self._reading = _Reading()
-        self.has_read = False
+    """The entries of one service, by the digest of their bytes.  Owns the service's last list."""
+
+    def __init__(self, mapping: InstanceMapping | None = None, *, is_catalog: bool = False) -> None:
+        """Start without entries.
+
+        Args:
+            mapping: Where an instance's properties stand.
+            is_catalog: Whether answers are the catalogue's, without checks.
+        """
+        self._mapping = mapping or InstanceMapping()
+        self._parse = parse_catalog if is_catalog else parse_health
+        self._entries: dict[bytes, InstanceStatus | str] = {}
+        self._registrations: dict[Address, dict[bytes, InstanceStatus]] = {}
+        self._restarts = RestartTracker()
+        self._answer = _Answer()
+        self.has_list = False
 
     def read(self, body: bytes) -> Iterator[None]:
-        """Read an answer, `ENTRIES_AT_ONCE` entries a step; raise ConsulError if it is no list."""
+        """Read an answer, `ENTRIES_PER_STEP` entries a step; raise ConsulError if it is no list."""
         try:
-            raws = _LIST.decode(body)
-        except (msgspec.DecodeError, ValueError, RecursionError) as fault:
-            raise ConsulError(f"the body is no list of entries in JSON: {fault}") from None
-        reading = self._reading = _Reading()
+            raw_entries = _LIST.decode(body)
+        except (msgspec.DecodeError, ValueError, RecursionError) as error:
+            message = f"the body is no list of entries in JSON: {error}"
+            raise ConsulError(message) from None
+        answer = self._answer = _Answer()
         yield
-        for number, raw in enumerate(raws):
+        for number, raw in enumerate(raw_entries):
             digest = hashlib.blake2b(raw, digest_size=16).digest()
             entry = self._entries.get(digest)
             if entry is None:
-                entry = self._parsed(raw, number)
-                reading.new.append(digest)
-            reading.entries[digest] = entry
-            if number % ENTRIES_AT_ONCE == ENTRIES_AT_ONCE - 1:
+                entry = self._parse_entry(raw, number)
+                answer.new.append(digest)
+            answer.entries[digest] = entry
+            if number % ENTRIES_PER_STEP == ENTRIES_PER_STEP - 1:
                 yield
 
-    def _parsed(self, raw: msgspec.Raw, number: int) -> Word | str:
+    def _parse_entry(self, raw: msgspec.Raw, number: int) -> InstanceStatus | str:
         try:
-            instances, faults = self._parse([msgspec.json.decode(raw)])
-        except (msgspec.DecodeError, ValueError, RecursionError) as fault:
-            return f"[{number}]: {fault}"
-        if faults:
-            return faults[0].replace("[0]", f"[{number}]", 1)
-        return word_of(instances[0], self._names)
-
-    def count(self) -> int:
-        """Entries in the answer that was read."""
-        return len(self._reading.entries)
-
-    def taken(self, now: int) -> News:
-        """Take the answer that was read for what holds, heard at `now` (microseconds of Unix time)."""
-        reading, self._reading = self._reading, _Reading()
+            instances, errors = self._parse([msgspec.json.decode(raw)], number)
+        except (msgspec.DecodeError, ValueError, RecursionError) as error:
+            return f"[{number}]: {error}"
+        return errors[0] if errors else instance_status(instances[0], self._mapping)
+
+    def entry_count(self) -> int:
+        """Return the number of distinct entries in the answer that was read."""
+        return len(self._answer.entries)
+
+    def take_change(self, now: int) -> EntriesChange:
+        """Accept the answer that was read at `now` (microseconds of Unix time)."""
+        answer, self._answer = self._answer, _Answer()
         touched: dict[Address, None] = {}
-        for digest in self._entries.keys() - reading.entries.keys():
+        for digest in self._entries.keys() - answer.entries.keys():
             before = self._entries[digest]
-            if isinstance(before, Word):
-                del self._at[before.address][digest]
+            if isinstance(before, InstanceStatus):
+                del self._registrations[before.address][digest]
                 touched[before.address] = None
-        for digest in reading.new:
-            word = reading.entries[digest]
-            if isinstance(word, Word):
-                self._at.setdefault(word.address, {})[digest] = word
-                touched[word.address] = None
-        self._entries = reading.entries
-        gone = [address for address in touched if not self._at[address]]
-        for address in gone:
-            del self._at[address]
-        sightings = self._sightings(now, [each for each in touched if each in self._at])
-        is_whole, self.has_read = not self.has_read, True
-        self._restarts.left(gone)
-        return News(is_whole, len(reading.entries), sightings, gone, self._at.keys(), self._doubts())
-
-    def _sightings(self, now: int, touched: list[Address]) -> Iterator[Observation]:
-        for address in touched:
-            word = more_cautious(self._at[address].values())
-            yield _sighting(word, self._restarts.heard(now, word))
-        self._restarts.has_looked()
-
-    def _doubts(self) -> tuple[str, ...]:
-        doubts = [each for each in self._entries.values() if isinstance(each, str)]
-        doubts += [
-            f"{next(iter(words.values())).server} is registered {len(words)} times"
-            for words in self._at.values()
-            if len(words) > 1
+        for digest in answer.new:
+            status = answer.entries[digest]
+            if isinstance(status, InstanceStatus):
+                self._registrations.setdefault(status.address, {})[digest] = status
+                touched[status.address] = None
+        self._entries = answer.entries
+        removed = [address for address in touched if not self._registrations[address]]
+        for address in removed:
+            del self._registrations[address]
+        changed = [each for each in touched if each in self._registrations]
+        is_complete, self.has_list = not self.has_list, True
+        self._restarts.forget(removed)
+        return EntriesChange(
+            is_complete,
+            len(answer.entries),
+            self._observations(now, changed),
+            removed,
+            self._registrations.keys(),
+            self._warnings(),
+        )
+
+    def _observations(self, now: int, changed: list[Address]) -> Iterator[Observation]:
+        for address in changed:
+            status = merge_registrations(self._registrations[address].values())
+            yield _observation(status, self._restarts.observe(now, status))
+        self._restarts.complete_list()
+
+    def _warnings(self) -> tuple[str, ...]:
+        warnings = [each for each in self._entries.values() if isinstance(each, str)]
+        warnings += [
+            f"{next(iter(registrations.values())).server} is registered {len(registrations)} times"
+            for registrations in self._registrations.values()
+            if len(registrations) > 1
         ]
-        more = len(doubts) - _MOST_TOLD
-        return (*doubts[:_MOST_TOLD], *([f"and {more} more"] if more > 0 else []))
+        more = len(warnings) - _MAX_WARNINGS
+        return (*warnings[:_MAX_WARNINGS], *([f"and {more} more"] if more > 0 else []))
 
 
-def _sighting(word: Word, started_at: int | None) -> Observation:
+def _observation(status: InstanceStatus, started_at: int | None) -> Observation:
     return Observation(
-        address=word.address,
-        caution=_CAUTIONS[word.health],
-        why=word.why,
-        zone=word.zone,
-        kind=word.kind,
-        cell=word.cell,
-        weight=word.weight,
+        address=status.address,
+        precedence=status.precedence,
+        reason=status.reason,
+        zone=status.zone,
+        kind=status.kind,
+        cell=status.cell,
+        weight=status.weight,
         started_at=started_at,
     )
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -1,8 +1,8 @@
-"""The roster and any number of Consul's services as one source for the engine.
+"""Discovery and any number of Consul services as one endpoint source for the engine.
 
-What they say is merged by `merge`; here it is only heard, and handed on in slices that hold the event loop up
-for a few milliseconds at most.  The roster's calls are made again from here when they fail: the decisions
-take any list for a sign that discovery is well, also one that only Consul had news for.
+`endpoint_merge` merges what they report; this module receives it, and hands changes on in slices that block
+the event loop for a few milliseconds at most.  Failed calls of discovery are retried from here: the engine
+takes any update for a sign that discovery works, also one from Consul.
 """
 
 from __future__ import annotations
@@ -11,316 +11,358 @@
 import hashlib
 import random
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from itertools import islice
 
 from micadeck.engine import EndpointEntry, EndpointUpdate
-from micadeck.membership.consul import Agents, ConsulClient, ConsulError, Heard, ServiceWatch, watch
+from micadeck.membership.consul import (
+    Agents,
+    BlockingQuery,
+    ConsulClient,
+    ConsulError,
+    EntriesChange,
+    ServiceUpdate,
+    ServiceWatch,
+    WatchCallbacks,
+    WatchTarget,
+)
 from micadeck.membership.consul.config import ConsulConfig, Service
 from micadeck.membership.discovery_watcher import DiscoveryWatcher
-from micadeck.membership.endpoint_merge import (
-    TO_THE_LETTER,
-    EndpointMerge,
-    Observation,
-    Precedence,
-    sighting_of,
-)
+from micadeck.membership.endpoint_merge import EndpointMerge
+from micadeck.membership.endpoint_observation import FULL_TRUST, Observation, Precedence
 from micadeck.membership.watch_health import MAX_RETRY_WAIT_S
 from micadeck.network import Address, Network, Timer
 from micadeck.policy.events import ServerState
 
-# Sources beside the services; no service's name has a space.
-ROSTER = "the roster"
-KNOWN = "the list before the restart"
-_AT_ONCE = 64  # servers that are told in one slice
-_TICK_S = 1.0  # for what time alone changes: hours of lending, silence, flapping that ended
-_AGAIN_S = (
-    0.2  # before a failed call of the roster is made again; twice as long each time, to the vigil's most
-)
+# Sources beyond the services; no service's name has a space.
+DISCOVERY = "the roster"
+BEFORE_RESTART = "the list before the restart"
+_SLICE_SIZE = 64  # endpoints
+_TICK_S = 1.0  # for changes that time alone brings
+_RETRY_S = 0.2  # before the first retry of discovery; doubled each time, up to MAX_RETRY_WAIT_S
+_MAX_BACKOFF_EXPONENT = 8
 
-_CAUTIONS = {ServerState.READY: Precedence.READY, ServerState.DRAINING: Precedence.DRAINS}
+_PRECEDENCES = {ServerState.READY: Precedence.READY, ServerState.DRAINING: Precedence.DRAINING}
 
 
 class EndpointObservations:
-    """The roster's lists, by id, as words on addresses.  No input or output."""
+    """Maps discovery's lists, which are by id, to observations, which are by address.
+
+    No input or output.  Owns the address of each id.
+    """
 
     def __init__(self) -> None:
-        self._at: dict[str, Address] = {}
+        """Start without endpoints."""
+        self._addresses: dict[str, Address] = {}
         self._ids: dict[Address, str] = {}
 
-    def read(self, entries: Iterable[EndpointEntry]) -> tuple[list[Observation], list[Address]]:
-        """Sightings, and the addresses where nobody is any more."""
-        sightings: dict[Address, Observation] = {}
-        left: dict[Address, None] = {}
+    def apply(self, entries: Iterable[EndpointEntry]) -> tuple[list[Observation], list[Address]]:
+        """Return the observations, and the addresses that no id uses any more."""
+        observations: dict[Address, Observation] = {}
+        removed: dict[Address, None] = {}
         for entry in entries:
             name, address = entry.listed.server, entry.address
-            before = self._at.pop(name, None)
+            before = self._addresses.pop(name, None)
             if before is not None and before != address and self._ids.get(before) == name:
                 del self._ids[before]
-                left[before] = None
+                removed[before] = None
             if address is None:
                 continue
-            # A new id takes an address over: what is told of the old one from here on is about nobody.
-            self._at[name], self._ids[address] = address, name
-            sightings[address] = sighting_of(entry, _CAUTIONS[entry.listed.state], entry.listed.state.value)
-        return list(sightings.values()), [each for each in left if each not in sightings]
+            # A new id takes an address over: later entries of the old id say nothing about it.
+            self._addresses[name], self._ids[address] = address, name
+            state = entry.listed.state
+            observations[address] = Observation.from_entry(entry, _PRECEDENCES[state], state.value)
+        return list(observations.values()), [each for each in removed if each not in observations]
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoveryState:
+    """Discovery, if it is used, and the endpoints that are known from before the start."""
+
+    watcher: DiscoveryWatcher | None
+    known: EndpointUpdate
 
 
 class EndpointSources:
-    """`Source` of the engine over the roster, if there is one, and the services of a Consul configuration."""
+    """The engine's endpoint source over discovery, if it is used, and the services of Consul.
+
+    Owns the merge, the watch of each service and the timers of retries.
+
+    Attributes:
+        merge: The merged list.
+        failures: The services whose last call failed, and why.
+        unanswered: The services that have not answered yet.
+        logs_agent: Whether to log once, after the start, which agent is used.
+        on_partial_list: Called between the steps of a first list, of which all so far is kept.
+    """
 
     def __init__(
         self,
         network: Network,
-        roster: DiscoveryWatcher | None,
-        known: EndpointUpdate,
+        discovery: DiscoveryState,
         config: ConsulConfig,
-        seed: int,
-        name: str,
+        seed: str,
         log: Callable[[str], None],
-        *,
-        greets: bool = True,
     ) -> None:
+        """Create sources that are idle until `start`.
+
+        Args:
+            network: Dials, sleeps and has the clock.
+            discovery: Discovery and the known endpoints.
+            config: The services of Consul.
+            seed: The seed of all random choices; it must differ between sidecars.
+            log: Receives a line about each change of a source's state.
+        """
         self._network = network
-        self._roster = roster
+        self._discovery = discovery.watcher
         self._config = config
         self._log = log
-        # Sidecars that have one seed must not all ask, or choose, alike.
-        salt = hashlib.blake2b(f"{seed} {name}".encode(), digest_size=8).digest()
-        self._chance = random.Random(salt)
+        self._chance = random.Random(hashlib.blake2b(seed.encode(), digest_size=8).digest())
         self.merge = EndpointMerge(self._chance.getrandbits(32))
         self._watches: dict[str, ServiceWatch] = {}
-        self.failing: dict[str, str] = {}  # services whose last call failed, and why
-        self.unheard: set[str] = set()  # services that have not answered yet
-        self._as_of: dict[str, float] = {}  # what time a service's last answer tells of
-        self._doubts: dict[str, tuple[str, ...]] = {}
-        self._roster_words = EndpointObservations()
-        self._roster_failures = 0
+        self.failures: dict[str, str] = {}
+        self.unanswered: set[str] = set()
+        self._as_of: dict[str, float] = {}  # the time that a service's last answer reflects
+        self._warnings: dict[str, tuple[str, ...]] = {}
+        self._discovery_observations = EndpointObservations()
+        self._discovery_failures = 0
         self._retry: Timer | None = None
         self._tick_timer: Timer | None = None
-        self._greets = greets
-        self._greeting: asyncio.Task[None] | None = None
-        self._is_telling = False
+        self.logs_agent = True
+        self._agent_task: asyncio.Task[None] | None = None
+        self._is_publish_planned = False
         self._is_closed = False
-        # Called between the pieces of a first list, with nothing but what is to stay made of it by then.
-        self.settle: Callable[[], None] = lambda: None
+        self.on_partial_list: Callable[[], None] = lambda: None
         self._on_list: Callable[[EndpointUpdate], None] = lambda _: None
         self._on_failed: Callable[[], None] = lambda: None
-        if roster is not None:
-            self.merge.add(ROSTER, TO_THE_LETTER)
-            self._roster_words.read(known.entries)
+        if discovery.watcher is not None:
+            self.merge.add(DISCOVERY, FULL_TRUST)
+            self._discovery_observations.apply(discovery.known.entries)
         for service in config.services:
             self.merge.add(service.name, service.trust)
-        if roster is None:
-            self.merge.add(KNOWN, TO_THE_LETTER)  # until all services were heard
-        self.merge.remembered(ROSTER if roster is not None else KNOWN, known)
+        if discovery.watcher is None:
+            self.merge.add(BEFORE_RESTART, FULL_TRUST)  # until all services have answered
+        restored = DISCOVERY if discovery.watcher is not None else BEFORE_RESTART
+        self.merge.restore(restored, discovery.known)
 
-    # What the engine calls
+    # Calls of the engine
 
     def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None:
+        """Set the callbacks, and start to watch the services."""
         self._on_list, self._on_failed = on_list, on_failed
-        if self._roster is not None:
-            self._roster.start(self._roster_listed, self._roster_failed)
+        if self._discovery is not None:
+            self._discovery.start(self._discovery_listed, self._discovery_failed)
         for service in self._config.services:
-            self._begin(service)
-        if self._greets:
-            self._greeting = self._network.spawn(self._greet())
+            self._watch(service)
+        if self.logs_agent:
+            self._agent_task = self._network.spawn(self._log_agent())
         self._tick()
 
-    async def _greet(self) -> None:
-        """Say once who the agent is; what is wrong with one that can't be asked, the watches will tell."""
-        client = ConsulClient(
-            self._network, Agents(self._config.agents, self._chance), self._config.services[0].ask
-        )
+    async def _log_agent(self) -> None:
+        """Log which agent is used; if it cannot be called, the watches log the reason."""
+        agents = Agents(self._config.agents, self._chance)
+        client = ConsulClient(self._network, agents, self._config.services[0].request_options)
         await self._network.sleep(self._chance.random() * self._config.spread_s)
         try:
-            self._log(f"consul: agent {await client.about()}")
+            self._log(f"consul: agent {await client.describe_agent()}")
         except ConsulError:
             pass
         finally:
             client.close()
 
     def follow(self, wanted: bool) -> None:
-        if self._roster is not None:
-            self._roster.follow(wanted)
+        """Start the watch of discovery, or stop it; without it, deliver what Consul has reported."""
+        if self._discovery is not None:
+            self._discovery.follow(wanted)
         elif wanted:
             self._network.call_soon(self._answer)
 
     def fetch(self) -> None:
-        if self._roster is not None:
-            self._roster.fetch()
+        """Request the complete list once."""
+        if self._discovery is not None:
+            self._discovery.fetch()
         else:
             self._network.call_soon(self._answer)
 
     def suspect_stale(self) -> None:
-        if self._roster is not None:
-            self._roster.suspect_stale()
+        """Plan to restart the watch of discovery."""
+        if self._discovery is not None:
+            self._discovery.suspect_stale()
 
     def close(self) -> None:
+        """Close all sources, and cancel all timers."""
         self._is_closed = True
-        if self._roster is not None:
-            self._roster.close()
+        if self._discovery is not None:
+            self._discovery.close()
         for each in self._watches.values():
             each.close()
-        if self._greeting is not None:
-            self._greeting.cancel()
+        if self._agent_task is not None:
+            self._agent_task.cancel()
         for timer in (self._retry, self._tick_timer):
             if timer is not None:
                 timer.cancel()
 
     def reload(self, config: ConsulConfig) -> None:
-        """Take another configuration up: what a service said holds until it is heard anew."""
+        """Apply another configuration; a service's endpoints stay until its next answer."""
         before = {each.name: each for each in self._config.services}
         after = {each.name: each for each in config.services}
         is_same_call = (config.agents, config.wait_s) == (self._config.agents, self._config.wait_s)
         self._config = config
         for name in before.keys() - after.keys():
             self._watches.pop(name).close()
-            self.failing.pop(name, None)
-            self.unheard.discard(name)
+            self.failures.pop(name, None)
+            self.unanswered.discard(name)
             self.merge.remove(name)
         for name, service in after.items():
             if name not in before:
                 self.merge.add(name, service.trust)
             elif before[name].trust != service.trust:
-                self.merge.trust(name, service.trust)
-            if name not in before or not is_same_call or _asks(before[name]) != _asks(service):
+                self.merge.set_trust(name, service.trust)
+            if name not in before or not is_same_call or _differ_in_calls(before[name], service):
                 if name in self._watches:
                     self._watches.pop(name).close()
-                self._begin(service)
-        self._forget_known()
-        self._tell()
+                self._watch(service)
+        self._remove_restored()
+        self._publish()
 
     def ages(self) -> dict[str, float]:
-        """How long ago each service was as its last answer says, in seconds."""
+        """Return the age of each service's last answer, in seconds."""
         return {name: self._now() - as_of for name, as_of in self._as_of.items()}
 
-    # Without a roster, the decisions' questions are answered from what Consul has said
-
     def _answer(self) -> None:
+        """Answer the engine without discovery, from what Consul has reported."""
         if self._is_closed:
             return
-        heard = [name for name in self._watches if name not in self.unheard]
-        if any(name not in self.failing for name in heard):
-            self._tell(owed=True)
-        elif self.failing.keys() >= self._watches.keys():
+        answered = [name for name in self._watches if name not in self.unanswered]
+        if any(name not in self.failures for name in answered):
+            self._publish(always=True)
+        elif self.failures.keys() >= self._watches.keys():
             self._on_failed()
 
-    # The roster
+    # Discovery
 
-    def _roster_listed(self, listing: EndpointUpdate) -> None:
-        self._roster_failures = 0
-        if listing.full:
-            self._roster_words = EndpointObservations()
-        sightings, left = self._roster_words.read(listing.entries)
+    def _discovery_listed(self, update: EndpointUpdate) -> None:
+        self._discovery_failures = 0
+        if update.full:
+            self._discovery_observations = EndpointObservations()
+        observations, removed = self._discovery_observations.apply(update.entries)
         now = self._now()
-        if listing.full:
-            self.merge.heard(now, ROSTER, sightings)
+        if update.full:
+            self.merge.observe(now, DISCOVERY, observations)
         else:
-            self.merge.changed(now, ROSTER, sightings, left)
-        self._tell(owed=True)
+            self.merge.observe_changes(now, DISCOVERY, observations, removed)
+        self._publish(always=True)
 
-    def _roster_failed(self) -> None:
+    def _discovery_failed(self) -> None:
         self._on_failed()
         if self._retry is None:
-            wait_s = min(_AGAIN_S * 2**self._roster_failures, MAX_RETRY_WAIT_S)
-            self._roster_failures = min(self._roster_failures + 1, 8)
-            self._retry = self._network.call_later(
-                wait_s * (0.5 + 0.5 * self._chance.random()), self._roster_again
-            )
+            wait_s = min(_RETRY_S * 2**self._discovery_failures, MAX_RETRY_WAIT_S)
+            self._discovery_failures = min(self._discovery_failures + 1, _MAX_BACKOFF_EXPONENT)
+            wait_s *= 0.5 + 0.5 * self._chance.random()
+            self._retry = self._network.call_later(wait_s, self._retry_discovery)
 
-    def _roster_again(self) -> None:
+    def _retry_discovery(self) -> None:
         self._retry = None
-        # The decisions may have asked meanwhile: guards against giving up the watch that came of it.
-        if self._roster is not None and not self._roster.is_watching:
-            self._roster.follow(True)
+        # If the engine has retried meanwhile, its watch must not be given up.
+        if self._discovery is not None and not self._discovery.is_watching:
+            self._discovery.follow(True)
 
     # Consul
 
-    def _begin(self, service: Service) -> None:
+    def _watch(self, service: Service) -> None:
         name = service.name
-        self.unheard.add(name)
+        self.unanswered.add(name)
 
-        async def heard(told: Heard) -> None:
-            await self._consul_heard(name, told)
+        async def on_update(update: ServiceUpdate) -> None:
+            await self._service_updated(name, update)
 
-        self._watches[name] = watch(
+        agents = Agents(self._config.agents, self._chance)
+        watch = ServiceWatch(
             self._network,
-            ConsulClient(self._network, Agents(self._config.agents, self._chance), service.ask),
-            name,
-            lambda agent: self.merge.believes_empty(self._now(), name, agent),
-            heard,
-            lambda text: self._consul_failed(name, text),
-            seed=self._chance.getrandbits(32),
-            wait_s=self._config.wait_s,
-            names=service.names,
-            settle=lambda: self.settle(),
-            of_catalog=service.of_catalog,
+            ConsulClient(self._network, agents, service.request_options),
+            WatchTarget(name, service.mapping, service.is_catalog),
+            BlockingQuery(random.Random(self._chance.getrandbits(32)), self._config.wait_s),
+            WatchCallbacks(
+                accepts_empty=lambda agent: self.merge.accepts_empty(self._now(), name, agent),
+                on_update=on_update,
+                on_failed=lambda text: self._service_failed(name, text),
+                on_partial_list=lambda: self.on_partial_list(),
+            ),
         )
-        self._watches[name].start(self._config.spread_s)
-
-    async def _consul_heard(self, name: str, heard: Heard) -> None:
-        news = heard.news
-        self._as_of[name] = self._now() - heard.lag_s
-        if self.failing.pop(name, None) is not None:
-            self._log(f"consul: {name}: {heard.agent} answers")
-        if news.doubts != self._doubts.get(name, ()):
-            self._doubts[name] = news.doubts
-            for each in news.doubts:
+        self._watches[name] = watch
+        watch.start(self._config.spread_s)
+
+    async def _service_updated(self, name: str, update: ServiceUpdate) -> None:
+        change = update.change
+        self._as_of[name] = self._now() - update.lag_s
+        if self.failures.pop(name, None) is not None:
+            self._log(f"consul: {name}: {update.agent} answers")
+        if change.warnings != self._warnings.get(name, ()):
+            self._warnings[name] = change.warnings
+            for each in change.warnings:
                 self._log(f"consul: {name}: {each}")
-        gone = news.gone
-        if news.is_whole:
-            gone = list(self.merge.addresses(name) - news.addresses)
-        left = iter(gone)
+        await self._observe_in_slices(name, change, update.lag_s)
+        self.unanswered.discard(name)
+        self._remove_restored()
+
+    async def _observe_in_slices(self, name: str, change: EntriesChange, lag_s: float) -> None:
+        removed = change.removed
+        if change.is_complete:
+            removed = list(self.merge.listed_addresses(name) - change.addresses)
+        remaining = iter(removed)
         while True:
-            # Who is gone comes first: that must not wait behind thousands that are there.
-            some_gone = list(islice(left, _AT_ONCE))
-            some = list(islice(news.sightings, _AT_ONCE - len(some_gone)))
-            if some_gone or any(each.caution is not Precedence.READY for each in some):
-                self.suspect_stale()  # what ends here may be listed there: has the roster been heard since?
-            self.merge.changed(self._now(), name, some, some_gone, lag_s=heard.lag_s)
-            self._tell()
-            if len(some) + len(some_gone) < _AT_ONCE:
+            # Removals come first: they must not wait behind thousands of listed endpoints.
+            some_removed = list(islice(remaining, _SLICE_SIZE))
+            some = list(islice(change.observations, _SLICE_SIZE - len(some_removed)))
+            if some_removed or any(each.precedence is not Precedence.READY for each in some):
+                self.suspect_stale()  # discovery may still list what ends here
+            self.merge.observe_changes(self._now(), name, some, some_removed, lag_s=lag_s)
+            self._publish()
+            if len(some) + len(some_removed) < _SLICE_SIZE:
                 break
-            if news.is_whole:
-                self.settle()
+            if change.is_complete:
+                self.on_partial_list()
             await self._network.sleep(0)
-        self.unheard.discard(name)
-        self._forget_known()
 
-    def _forget_known(self) -> None:
-        if not self.unheard and KNOWN in self.merge.sources:
-            self.merge.remove(KNOWN)
-            self._tell()
+    def _remove_restored(self) -> None:
+        if not self.unanswered and BEFORE_RESTART in self.merge.sources:
+            self.merge.remove(BEFORE_RESTART)
+            self._publish()
 
-    def _consul_failed(self, name: str, text: str) -> None:
-        if name not in self.failing:
+    def _service_failed(self, name: str, text: str) -> None:
+        if name not in self.failures:
             self._log(f"consul: {name}: {text}; its last list holds")
-        self.failing[name] = text
+        self.failures[name] = text
 
-    # Towards the engine
+    # Publishing to the engine
 
     def _tick(self) -> None:
-        self._tell()
+        self._publish()
         self._tick_timer = self._network.call_later(_TICK_S, self._tick)
 
-    def _tell(self, *, owed: bool = False) -> None:
-        """Hand on what changed, a slice now and the rest soon; a list without news only if one is owed."""
+    def _publish(self, *, always: bool = False) -> None:
+        """Deliver a slice of the changes now and the rest soon; `always` delivers even without changes."""
         if self._is_closed:
             return
-        listing = self.merge.changes(self._now(), _AT_ONCE)
-        if listing is not None or owed:
-            self._on_list(listing or EndpointUpdate(self.merge.version, False, ()))
-        if self.merge.is_behind and not self._is_telling:
-            self._is_telling = True
-            self._network.call_soon(self._tell_on)
+        update = self.merge.take_changes(self._now(), _SLICE_SIZE)
+        if update is not None or always:
+            self._on_list(update or EndpointUpdate(self.merge.version, False, ()))
+        if self.merge.has_pending and not self._is_publish_planned:
+            self._is_publish_planned = True
+            self._network.call_soon(self._publish_rest)
 
-    def _tell_on(self) -> None:
-        self._is_telling = False
-        self._tell()
+    def _publish_rest(self) -> None:
+        self._is_publish_planned = False
+        self._publish()
 
     def _now(self) -> float:
         return self._network.now() / 1e6
 
 
-def _asks(service: Service) -> tuple[object, ...]:
-    return service.ask, service.names, service.of_catalog
+def _differ_in_calls(before: Service, after: Service) -> bool:
+    """Return whether two configurations of a service need different calls."""
+    return (before.request_options, before.mapping, before.is_catalog) != (
+        after.request_options,
+        after.mapping,
+        after.is_catalog,
+    )
--- a/micadeck/mysql/service.py
+++ b/micadeck/mysql/service.py
@@ -6,7 +6,7 @@
 
 from micadeck.engine import EndpointSource, EndpointUpdate, Engine
 from micadeck.membership.discovery_watcher import DiscoveryWatcher, WatchOptions
-from micadeck.membership.sources import EndpointSources
+from micadeck.membership.sources import DiscoveryState, EndpointSources
 from micadeck.mysql.auth import Users
 from micadeck.mysql.config import MysqlConfig
 from micadeck.mysql.listener import MysqlListener
@@ -74,9 +74,8 @@
             )
             roster = DiscoveryWatcher(network, config.discovery, 0, options, log)
         if config.consul is not None:
-            self._source = EndpointSources(
-                network, roster, config.known, config.consul, seed, config.name, log
-            )
+            discovery = DiscoveryState(roster, config.known)
+            self._source = EndpointSources(network, discovery, config.consul, f"{seed} {config.name}", log)
         elif roster is not None:
             self._source = roster
         else:
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -161,10 +161,11 @@
         """The roster and Consul as one source; without Consul, nothing of it is loaded."""
         if config.consul is None:
             return None
-        from micadeck.membership.sources import EndpointSources
+        from micadeck.membership.sources import DiscoveryState, EndpointSources
 
+        discovery = DiscoveryState(self.roster, config.known)
         return EndpointSources(
-            self.network, self.roster, config.known, config.consul, config.seed, config.name, self._log
+            self.network, discovery, config.consul, f"{config.seed} {config.name}", self._log
         )
 
     async def start(self) -> None:
@@ -274,7 +275,7 @@
         self._engine = self._core.engine
         if self._core.sources is not None:
             # A list of thousands comes after the start: a collection that looks at all of it takes 50 ms.
-            self._core.sources.settle = gc.freeze
+            self._core.sources.on_partial_list = gc.freeze
         client_limits = client_limits or DownstreamLimits(most_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
         self.frontend = HttpListener(config.settings, client_limits, self._engine, network, self._core.budget)
         self.frontend.most = self._core.for_clients
--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -11,8 +11,9 @@
 import pytest
 from helpers import Stage, settings
 
-from micadeck.membership.consul.view import ENTRIES_AT_ONCE, ServiceView
-from micadeck.membership.endpoint_merge import EndpointMerge, Observation, Precedence
+from micadeck.membership.consul.view import ENTRIES_PER_STEP, ServiceView
+from micadeck.membership.endpoint_merge import EndpointMerge
+from micadeck.membership.endpoint_observation import Observation, Precedence
 from micadeck.policy.events import ListedServer, ListKind, ServersListed, ServerState
 
 FEW, MANY = 100, 3_000
@@ -45,12 +46,12 @@
     merge = EndpointMerge()
     for source in ("roster", "consul"):
         merge.add(source)
-        merge.heard(1.0, source, [Observation(_address(n), Precedence.READY) for n in range(count)])
-    merge.changes(1.0)
+        merge.observe(1.0, source, [Observation(_address(n), Precedence.READY) for n in range(count)])
+    merge.take_changes(1.0)
 
     def work() -> None:
-        merge.changed(2.0, "consul", [Observation(_address(7), flip)])
-        told = merge.changes(2.0)
+        merge.observe_changes(2.0, "consul", [Observation(_address(7), flip)])
+        told = merge.take_changes(2.0)
         assert told is not None and len(told.entries) == 1
 
     return work
@@ -88,8 +89,8 @@
 @pytest.mark.parametrize(
     "made",
     [
-        lambda count: _merge(count, Precedence.DRAINS),
-        lambda count: _merge(count, Precedence.DOUBTFUL),
+        lambda count: _merge(count, Precedence.DRAINING),
+        lambda count: _merge(count, Precedence.UNHEALTHY),
         _decisions,
     ],
     ids=["a drain in the merge", "a doubt in the merge", "a drain and a cold return in the decisions"],
@@ -101,22 +102,24 @@
 
 def test_of_a_list_told_again_only_the_entry_that_changed_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
     read: list[Any] = []
-    parse = ServiceView._parsed
+    parse = ServiceView._parse_entry
 
     def noted(view: ServiceView, raw: Any, number: int) -> Any:
         read.append(number)
         return parse(view, raw, number)
 
-    monkeypatch.setattr(ServiceView, "_parsed", noted)
+    monkeypatch.setattr(ServiceView, "_parse_entry", noted)
     view = ServiceView()
     steps = sum(1 for _ in view.read(_body(MANY)))
-    assert steps == 1 + MANY // ENTRIES_AT_ONCE and len(read) == MANY
-    assert len(list(view.taken(1).sightings)) == MANY
+    assert steps == 1 + MANY // ENTRIES_PER_STEP and len(read) == MANY
+    assert len(list(view.take_change(1).observations)) == MANY
     read.clear()
     assert sum(1 for _ in view.read(_body(MANY, critical=9))) == steps
-    news = view.taken(2)
-    assert len(read) == 1 and not news.gone and not news.is_whole
-    assert [(each.address, each.caution) for each in news.sightings] == [(_address(9), Precedence.DOUBTFUL)]
+    news = view.take_change(2)
+    assert len(read) == 1 and not news.removed and not news.is_complete
+    assert [(each.address, each.precedence) for each in news.observations] == [
+        (_address(9), Precedence.UNHEALTHY)
+    ]
 
 
 def test_a_list_of_the_view_and_a_whole_one_come_to_the_same() -> None:
@@ -126,13 +129,13 @@
     for turn in range(60):
         body = json.dumps(_drawn(turn)).encode()
         list(view.read(body))
-        news = view.taken(turn)
-        for address in news.gone:
+        news = view.take_change(turn)
+        for address in news.removed:
             del held[address]
-        held.update({each.address: each.caution for each in news.sightings})
+        held.update({each.address: each.precedence for each in news.observations})
         fresh = ServiceView()
         list(fresh.read(body))
-        assert held == {each.address: each.caution for each in fresh.taken(turn).sightings}
+        assert held == {each.address: each.precedence for each in fresh.take_change(turn).observations}
 
 
 def _drawn(turn: int) -> list[dict[str, Any]]:
--- a/tests/test_consul_choices.py
+++ b/tests/test_consul_choices.py
@@ -13,27 +13,32 @@
 
 from micadeck.http.h1 import Headers, Response
 from micadeck.membership.consul import (
-    Ask,
     BlockingQuery,
     ConsulError,
     Instance,
-    Meta,
-    Names,
-    Verdict,
-    Word,
+    InstanceMapping,
+    InstanceStatus,
+    ReplyCheck,
+    RequestOptions,
+    ResponseMeta,
+    RestartTracker,
+    ServiceView,
     parse_catalog,
     parse_health,
-    words,
 )
-from micadeck.membership.consul.protocol import read_body, read_meta, redirected
-from micadeck.membership.consul.states import Health, Restarts
+from micadeck.membership.consul.protocol import read_body, read_meta, redirect_target
+from micadeck.membership.consul.states import instance_status, merge_registrations
+from micadeck.membership.endpoint_observation import Precedence
+from micadeck.network import Address
 
 # ---------------------------------------------------------------------------------------------------
 # Asking and reading
 
 
 def test_a_call_is_worded_with_all_that_was_configured_and_its_token_in_a_header_alone() -> None:
-    ask = Ask("s3cret", "dc2", "team", "part", "stale", ("blue", "v 2"), 'Service.Meta.zone == "a"')
+    ask = RequestOptions(
+        "s3cret", "dc2", "team", "part", "stale", ("blue", "v 2"), 'Service.Meta.zone == "a"'
+    )
     request = ask.request("/v1/health/service/tariff s", "10.0.0.1:8500", index=7, wait_s=2.5)
     assert request.target == (
         b"/v1/health/service/tariff%20s?dc=dc2&ns=team&partition=part&filter="
@@ -41,7 +46,10 @@
     )
     assert (b"x-consul-token", b"s3cret") in request.headers
     assert "s3cret" not in repr(ask) and b"s3cret" not in request.target
-    assert Ask(mode="consistent").request("/v1/status/leader", "x").target == b"/v1/status/leader?consistent"
+    assert (
+        RequestOptions(mode="consistent").request("/v1/status/leader", "x").target
+        == b"/v1/status/leader?consistent"
+    )
 
 
 def _answer(body: bytes = b"[]", status: int = 200, **headers: str) -> Response:
@@ -71,18 +79,18 @@
     packed = _answer(gzip.compress(b'[{"a": 1}]'), content_encoding="gzip")
     assert read_body(packed) == read_body(_answer(b'[{"a": 1}]')) == [{"a": 1}]
     meta = read_meta(_answer(x_consul_index="42", x_consul_lastcontact="1500", x_consul_knownleader="false"))
-    assert meta == Meta(42, 1.5, False)
+    assert meta == ResponseMeta(42, 1.5, False)
     with pytest.raises(ConsulError, match="x-consul-index"):
         read_meta(_answer(x_consul_index="-1"))
 
 
 def test_where_an_answer_sends_to_must_be_a_place_that_can_be_called() -> None:
-    sent = redirected(_answer(status=307, location="http://10.0.0.2:8500/v1/x?index=3"))
+    sent = redirect_target(_answer(status=307, location="http://10.0.0.2:8500/v1/x?index=3"))
     assert sent == (("10.0.0.2", 8500), b"/v1/x?index=3")
-    assert redirected(_answer()) is None
+    assert redirect_target(_answer()) is None
     for place in ("https://10.0.0.2:8501/", "http://consul.local:8500/", "", "http://10.0.0.2/"):
         with pytest.raises(ConsulError, match="sent on"):
-            redirected(_answer(status=307, location=place))
+            redirect_target(_answer(status=307, location=place))
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -95,64 +103,64 @@
 
 def test_the_first_call_reads_everything_and_the_next_waits_on_its_index() -> None:
     query = _query()
-    assert (query.plan(0.0).index, query.plan(0.0).wait_s) == (0, 0.0)
-    assert query.answered(0.1, Meta(42)) is Verdict.NEWS
-    plan = query.plan(0.1)
+    assert (query.next_poll(0.0).index, query.next_poll(0.0).wait_s) == (0, 0.0)
+    assert query.record_answer(0.1, ResponseMeta(42)) is ReplyCheck.CHANGED
+    plan = query.next_poll(0.1)
     assert plan.index == 42 and plan.delay_s == 0.0
-    assert 10.0 * 15 / 16 <= plan.wait_s <= 10.0 and plan.within_s > plan.wait_s * 17 / 16
-    assert query.answered(10.0, Meta(42)) is Verdict.SAME
-    assert query.plan(10.0).delay_s == 0.0
+    assert 10.0 * 15 / 16 <= plan.wait_s <= 10.0 and plan.timeout_s > plan.wait_s * 17 / 16
+    assert query.record_answer(10.0, ResponseMeta(42)) is ReplyCheck.UNCHANGED
+    assert query.next_poll(10.0).delay_s == 0.0
 
 
 @pytest.mark.parametrize("index", [41, 1, 0])
 def test_an_index_that_goes_back_is_forgotten(index: int) -> None:
     query = _query()
-    query.plan(0.0)
-    query.answered(0.1, Meta(42))
-    query.plan(0.1)
-    assert query.answered(0.2, Meta(index)) is Verdict.BEGUN_ANEW
-    assert query.plan(0.2).index == 0
+    query.next_poll(0.0)
+    query.record_answer(0.1, ResponseMeta(42))
+    query.next_poll(0.1)
+    assert query.record_answer(0.2, ResponseMeta(index)) is ReplyCheck.INDEX_RESET
+    assert query.next_poll(0.2).index == 0
 
 
 def _calls_in_a_minute(answer: Any) -> int:
     """How often it asks when each answer comes at once."""
     query, now, calls = _query(), 0.0, 0
     while now < 60.0:
-        plan = query.plan(now)
+        plan = query.next_poll(now)
         now += plan.delay_s + 0.001
         calls += 1
-        query.answered(now, answer(calls))
+        query.record_answer(now, answer(calls))
     return calls
 
 
 def test_nothing_that_an_agent_answers_makes_it_spin() -> None:
-    assert _calls_in_a_minute(lambda n: Meta(42)) <= 75  # never moves, and does not wait
-    assert _calls_in_a_minute(lambda n: Meta(0)) <= 75
-    assert _calls_in_a_minute(lambda n: Meta(n)) <= 700  # news without end
-    assert _calls_in_a_minute(lambda n: Meta(100 - n % 2)) <= 700
+    assert _calls_in_a_minute(lambda n: ResponseMeta(42)) <= 75  # never moves, and does not wait
+    assert _calls_in_a_minute(lambda n: ResponseMeta(0)) <= 75
+    assert _calls_in_a_minute(lambda n: ResponseMeta(n)) <= 700  # news without end
+    assert _calls_in_a_minute(lambda n: ResponseMeta(100 - n % 2)) <= 700
 
 
 def test_a_burst_of_news_is_heard_without_delay() -> None:
     query = _query()
     for number in range(8):
-        assert query.plan(0.01 * number).delay_s == 0.0
-        query.answered(0.01 * number, Meta(number + 1))
+        assert query.next_poll(0.01 * number).delay_s == 0.0
+        query.record_answer(0.01 * number, ResponseMeta(number + 1))
 
 
 def test_failures_back_off_with_jitter_keep_the_index_and_heed_retry_after() -> None:
     query = _query()
-    query.plan(0.0)
-    query.answered(0.1, Meta(42))
+    query.next_poll(0.0)
+    query.record_answer(0.1, ResponseMeta(42))
     delays = []
     for _ in range(10):
-        query.failed(1.0)
-        delays.append(query.plan(1.0).delay_s)
-        assert query.plan(1.0).index == 42
+        query.record_failure()
+        delays.append(query.next_poll(1.0).delay_s)
+        assert query.next_poll(1.0).index == 42
     assert delays[0] <= 0.1 and 2.5 <= delays[-1] <= 5.0
-    query.failed(1.0, retry_after_s=20.0)
-    assert query.plan(1.0).delay_s == 20.0
-    query.answered(2.0, Meta(43))
-    assert query.plan(2.0).delay_s == 0.0
+    query.record_failure(retry_after_s=20.0)
+    assert query.next_poll(1.0).delay_s == 20.0
+    query.record_answer(2.0, ResponseMeta(43))
+    assert query.next_poll(2.0).delay_s == 0.0
 
 
 def test_a_hundred_that_start_together_do_not_ask_in_step() -> None:
@@ -191,11 +199,26 @@
     return instances
 
 
-def word(*entries: dict[str, Any], names: Names | None = None) -> Word:
-    (only,), _ = words(read(*entries), names)
+def statuses(instances: list[Instance], mapping: InstanceMapping | None = None) -> list[InstanceStatus]:
+    """One status for each address."""
+    by_address: dict[Address, list[InstanceStatus]] = {}
+    for each in instances:
+        status = instance_status(each, mapping or InstanceMapping())
+        by_address.setdefault(status.address, []).append(status)
+    return [merge_registrations(each) for each in by_address.values()]
+
+
+def status(*entries: dict[str, Any], mapping: InstanceMapping | None = None) -> InstanceStatus:
+    (only,) = statuses(read(*entries), mapping)
     return only
 
 
+def warnings(*entries: dict[str, Any]) -> tuple[str, ...]:
+    view = ServiceView()
+    list(view.read(json.dumps(entries).encode()))
+    return view.take_change(1).warnings
+
+
 @pytest.mark.parametrize(
     ("change", "named"),
     [
@@ -238,84 +261,117 @@
     for parse in (parse_health, parse_catalog):
         try:
             instances, _ = parse(json.loads(json.dumps(given_)))
-            words(instances)
+            statuses(instances)
         except ConsulError:
             pass
 
 
 @pytest.mark.parametrize(
-    ("given_", "health", "why", "weight"),
+    ("given_", "precedence", "why", "weight"),
     [
-        (entry(), Health.READY, "passing", 1),
-        (entry(checks=(("c", "passing"),), Weights={"Passing": 7, "Warning": 2}), Health.READY, "passing", 7),
-        (entry(checks=(("c", "warning"),), Weights={"Passing": 7, "Warning": 2}), Health.READY, "warning", 2),
-        (entry(checks=(("c", "warning"),), Weights={"Passing": 7, "Warning": 0}), Health.DRAINS, "weight", 0),
-        (entry(Weights={"Passing": 0, "Warning": 1}), Health.DRAINS, "weight", 0),
-        (entry(checks=(("a", "passing"), ("b", "critical"))), Health.DOUBTFUL, "critical: b", 1),
-        (entry(node_checks=(("serfHealth", "critical"),)), Health.DOUBTFUL, "serfHealth", 1),
-        (entry(checks=(("a", "warning"), ("b", "critical"))), Health.DOUBTFUL, "critical: b", 1),
-        (entry(node_checks=(("_node_maintenance", "critical"),)), Health.DRAINS, "_node_maintenance", 1),
-        (entry(checks=(("_service_maintenance:t-1", "critical"),)), Health.DRAINS, "maintenance", 1),
+        (entry(), Precedence.READY, "passing", 1),
+        (
+            entry(checks=(("c", "passing"),), Weights={"Passing": 7, "Warning": 2}),
+            Precedence.READY,
+            "passing",
+            7,
+        ),
+        (
+            entry(checks=(("c", "warning"),), Weights={"Passing": 7, "Warning": 2}),
+            Precedence.READY,
+            "warning",
+            2,
+        ),
+        (
+            entry(checks=(("c", "warning"),), Weights={"Passing": 7, "Warning": 0}),
+            Precedence.DRAINING,
+            "weight",
+            0,
+        ),
+        (entry(Weights={"Passing": 0, "Warning": 1}), Precedence.DRAINING, "weight", 0),
+        (entry(checks=(("a", "passing"), ("b", "critical"))), Precedence.UNHEALTHY, "critical: b", 1),
+        (entry(node_checks=(("serfHealth", "critical"),)), Precedence.UNHEALTHY, "serfHealth", 1),
+        (entry(checks=(("a", "warning"), ("b", "critical"))), Precedence.UNHEALTHY, "critical: b", 1),
+        (
+            entry(node_checks=(("_node_maintenance", "critical"),)),
+            Precedence.DRAINING,
+            "_node_maintenance",
+            1,
+        ),
+        (entry(checks=(("_service_maintenance:t-1", "critical"),)), Precedence.DRAINING, "maintenance", 1),
         (
             entry(checks=(("b", "critical"), ("_service_maintenance:t-1", "critical"))),
-            Health.DRAINS,
+            Precedence.DRAINING,
             "maintenance",
             1,
         ),
         # Maintenance of another service on the same node is none of this one's.
-        (entry(node_checks=(("_service_maintenance:t-2", "critical"),)), Health.DOUBTFUL, "critical", 1),
+        (entry(node_checks=(("_service_maintenance:t-2", "critical"),)), Precedence.UNHEALTHY, "critical", 1),
     ],
 )
-def test_what_checks_mean(given_: dict[str, Any], health: Health, why: str, weight: int) -> None:
-    got = word(given_)
-    assert (got.health, got.weight) == (health, weight)
-    assert why in got.why
+def test_what_checks_mean(given_: dict[str, Any], precedence: Precedence, why: str, weight: int) -> None:
+    got = status(given_)
+    assert (got.precedence, got.weight) == (precedence, weight)
+    assert why in got.reason
 
 
 def test_which_address_counts() -> None:
     tagged = {"wan": {"Address": "198.51.100.7", "Port": 8080}}
-    assert word(entry(TaggedAddresses=tagged)).address == ("10.0.0.1", 80)
-    assert word(entry(TaggedAddresses=tagged), names=Names(tagged="wan")).address == ("198.51.100.7", 8080)
-    assert word(entry(TaggedAddresses=tagged), names=Names(tagged="lan")).address == ("10.0.0.1", 80)
-    assert word(entry(address="")).address == ("10.9.9.9", 80)  # the node's
-    six = word(entry(address="2001:DB8::0:1"))
+    assert status(entry(TaggedAddresses=tagged)).address == ("10.0.0.1", 80)
+    assert status(entry(TaggedAddresses=tagged), mapping=InstanceMapping(tagged_address="wan")).address == (
+        "198.51.100.7",
+        8080,
+    )
+    assert status(entry(TaggedAddresses=tagged), mapping=InstanceMapping(tagged_address="lan")).address == (
+        "10.0.0.1",
+        80,
+    )
+    assert status(entry(address="")).address == ("10.9.9.9", 80)  # the node's
+    six = status(entry(address="2001:DB8::0:1"))
     assert (six.server, six.address) == ("[2001:db8::1]:80", ("2001:db8::1", 80))
 
 
 def test_meta_tells_zone_kind_cell_and_start_under_configured_names() -> None:
     meta = {"zone": "a", "kind": "m2", "cell": "3", "started_ms": "1700000000123"}
-    got = word(entry(Meta=meta))
+    got = status(entry(Meta=meta))
     assert (got.zone, got.kind, got.cell, got.started_at) == ("a", "m2", 3, 1_700_000_000_123_000)
-    other = word(entry(Meta={"az": "b", "cell": "x", "started_ms": "-1"}), names=Names(zone="az"))
+    other = status(
+        entry(Meta={"az": "b", "cell": "x", "started_ms": "-1"}), mapping=InstanceMapping(zone_key="az")
+    )
     assert (other.zone, other.cell, other.started_at) == ("b", 0, None)
 
 
 def test_the_same_id_on_two_nodes_is_two_servers_and_one_address_is_one() -> None:
-    both, doubts = words(read(entry(node="n-1"), entry(node="n-2", address="10.0.0.2")))
-    assert len(both) == 2 and doubts == []
+    two = (entry(node="n-1"), entry(node="n-2", address="10.0.0.2"))
+    assert len(statuses(read(*two))) == 2 and warnings(*two) == ()
     twice = (entry("t-1"), entry("t-2", node="n-2", checks=(("c", "critical"),)))
     for order in (twice, twice[::-1]):
-        (only,), (doubt,) = words(read(*order))
-        assert only.health is Health.DOUBTFUL and "registered as" in doubt
+        (only,) = statuses(read(*order))
+        assert only.precedence is Precedence.UNHEALTHY
+        assert warnings(*order) == ("10.0.0.1:80 is registered 2 times",)
 
 
 def test_the_catalogue_tells_no_health() -> None:
     given_ = {"Node": "n-1", "ID": "x", "Address": "10.9.9.9", "ServiceID": "t-1", "ServicePort": 80}
     instances, faults = parse_catalog([given_, {**given_, "ServicePort": "80"}])
     assert len(faults) == 1 and "ServicePort" in faults[0]
-    (only,), _ = words(instances)
-    assert (only.server, only.health, only.why) == ("10.9.9.9:80", Health.READY, "in the catalogue")
+    (only,) = statuses(instances)
+    assert (only.server, only.precedence, only.reason) == (
+        "10.9.9.9:80",
+        Precedence.READY,
+        "in the catalogue",
+    )
 
 
 # ---------------------------------------------------------------------------------------------------
-# Restarts
+# RestartTracker
 
 
-def _heard(restarts: Restarts, now: int, *entries: dict[str, Any]) -> dict[str, int]:
-    told = words(read(*entries))[0]
-    restarts.left({("10.0.0.1", 80)} - {each.address for each in told})
-    starts = {each.server: restarts.heard(now, each) for each in told}
-    restarts.has_looked()
+def _heard(restarts: RestartTracker, now: int, *entries: dict[str, Any]) -> dict[str, int]:
+    told = statuses(read(*entries))
+    restarts.forget({("10.0.0.1", 80)} - {each.address for each in told})
+    starts = {each.server: restarts.observe(now, each) for each in told}
+    restarts.complete_list()
     return {name: start for name, start in starts.items() if start is not None}
 
 
@@ -324,7 +380,7 @@
 
 
 def test_who_is_there_at_the_first_look_has_not_restarted() -> None:
-    assert _heard(Restarts(), 5, entry()) == {}
+    assert _heard(RestartTracker(), 5, entry()) == {}
 
 
 @pytest.mark.parametrize(
@@ -342,14 +398,14 @@
 def test_what_counts_as_a_restart(
     before: list[dict[str, Any]], after: list[dict[str, Any]], restarted: bool
 ) -> None:
-    restarts = Restarts()
+    restarts = RestartTracker()
     _heard(restarts, 5, *before)
     assert _heard(restarts, 9, *after) == ({NAME: 9} if restarted else {})
     assert _heard(restarts, 12, *after) == ({NAME: 9} if restarted else {})
 
 
 def test_a_told_start_holds_over_a_seen_one_and_absence_forgets() -> None:
-    restarts = Restarts()
+    restarts = RestartTracker()
     _heard(restarts, 5)
     assert _heard(restarts, 9, entry(Meta={"started_ms": "1"})) == {NAME: 1_000}
     assert _heard(restarts, 10, entry()) == {NAME: 9}
--- a/tests/test_consul_client.py
+++ b/tests/test_consul_client.py
@@ -13,16 +13,16 @@
 import pytest
 from loopback import HOST, play, soon
 
-from micadeck.membership.consul import Agents, Ask, ConsulClient, ConsulError, parse_health
+from micadeck.membership.consul import Agents, ConsulClient, ConsulError, RequestOptions, parse_health
 from micadeck.network import LoopNetwork, parse_address
 from micadeck.stand_ins.consul import NODE, Fault, StandInConsul
 
 TARIFF = "/v1/health/service/tariff"
 
 
-def _client(*agents: StandInConsul, **ask: Any) -> ConsulClient:
+def _client(*agents: StandInConsul, **options: Any) -> ConsulClient:
     addresses = tuple(parse_address(each.address) for each in agents)
-    return ConsulClient(LoopNetwork(), Agents(addresses), Ask(**ask))
+    return ConsulClient(LoopNetwork(), Agents(addresses), RequestOptions(**options))
 
 
 def _register(agent: StandInConsul, ident: str = "t-1", port: int = 80, status: str = "passing") -> None:
@@ -56,7 +56,7 @@
         client = _client(agent)
         given, meta = await client.get(TARIFF)
         assert _ids(given) == ["t-1"] and meta.index > 0
-        waiting = asyncio.ensure_future(client.get(TARIFF, index=meta.index, wait_s=10, within_s=15))
+        waiting = asyncio.ensure_future(client.get(TARIFF, index=meta.index, wait_s=10, timeout_s=15))
         agent.change(lambda state: state.put_service(NODE, {"Name": "other", "Port": 1}))
         await asyncio.sleep(0.05)
         assert not waiting.done()  # another service's change
@@ -106,7 +106,7 @@
         agent.faults.append(fault)
         client = _client(agent, other)
         with pytest.raises(ConsulError, match=text) as caught:
-            await client.get(TARIFF, within_s=0.5)
+            await client.get(TARIFF, timeout_s=0.5)
         assert str(caught.value).startswith(agent.address)
         assert _ids((await client.get(TARIFF))[0]) == ["t-other"]
         client.close()
@@ -120,9 +120,9 @@
         client = _client(agent)
         nodes, meta = await client.get("/v1/catalog/nodes")
         assert [each["Node"] for each in nodes] == [NODE] and meta.index > 0
-        assert (await client.about()).startswith(f"{NODE} in dc1, Consul standin, leader ")
+        assert (await client.describe_agent()).startswith(f"{NODE} in dc1, Consul standin, leader ")
         agent.has_leader = False
-        assert (await client.about()).endswith("without a leader")
+        assert (await client.describe_agent()).endswith("without a leader")
         client.close()
 
     played(work)
@@ -149,7 +149,7 @@
         assert _ids((await good.get(TARIFF))[0]) == ["t-1"]
         with pytest.raises(ConsulError, match="403") as caught:
             await bad.get(TARIFF)
-        assert caught.value.is_denied and "s3cret" not in str(caught.value)
+        assert caught.value.is_forbidden and "s3cret" not in str(caught.value)
         assert agent.tokens is not None
         agent.tokens.clear()  # revoked in service
         with pytest.raises(ConsulError, match="403"):
@@ -186,7 +186,7 @@
         with pytest.raises(ConsulError, match="No cluster leader"):
             await firm.get(TARIFF)
         given, meta = await loose.get(TARIFF)
-        assert _ids(given) == ["t-1"] and not meta.known_leader
+        assert _ids(given) == ["t-1"] and not meta.has_leader
         firm.close()
         loose.close()
 
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -18,7 +18,7 @@
 from micadeck.config import ConfigError, parse
 from micadeck.engine import EndpointEntry, EndpointUpdate
 from micadeck.membership.consul.config import load
-from micadeck.membership.sources import EndpointSources
+from micadeck.membership.sources import DiscoveryState, EndpointSources
 from micadeck.network import LoopNetwork
 from micadeck.policy.events import ListedServer, ServerState
 from micadeck.sidecar import Sidecar
@@ -170,7 +170,7 @@
     async def work() -> None:
         async with fleet(200, in_use=0.0) as scene:
             loop, chance = asyncio.get_running_loop(), random.Random(7)
-            await until(lambda: len(scene.sidecar._core.sources.merge.whole().entries) == 200)  # type: ignore[union-attr]
+            await until(lambda: len(scene.sidecar._core.sources.merge.snapshot().entries) == 200)  # type: ignore[union-attr]
             out: dict[int, float] = {}  # who is drained, and since when
             spans: list[tuple[int, float, float]] = []
             answers: list[int] = []
@@ -288,7 +288,7 @@
             ):  # its word is told anew to the decisions, each time with another weight
                 scene.change(lambda state, weight=weight: register(state, 2, hung.address, weight))  # type: ignore[misc]
                 await until(
-                    lambda weight=weight: weight in [e.listed.nominal for e in merge.whole().entries]  # type: ignore[misc]
+                    lambda weight=weight: weight in [e.listed.nominal for e in merge.snapshot().entries]  # type: ignore[misc]
                 )
                 assert set(await scene.statuses(5)) == {200}
             assert len(hung.heard) <= heard + 1  # a trial, if one fell due
@@ -323,7 +323,7 @@
     async def work() -> None:
         async with fleet(4, in_roster=lambda n: n < 3, in_consul=lambda n: n > 1) as scene:
             await scene.uses(0, 1, 2, 3)
-            entries = scene.sidecar._core.sources.merge.whole().entries  # type: ignore[union-attr]
+            entries = scene.sidecar._core.sources.merge.snapshot().entries  # type: ignore[union-attr]
             last = scene.servers[3].address
             assert sorted(each.listed.server for each in entries) == sorted(["s-0", "s-1", "s-2", last])
 
@@ -360,7 +360,7 @@
             asking = asyncio.ensure_future(client.ask("lodge"))
             await until(lambda: len(server.heard) == heard + 1)
             scene.drop(0)
-            await until(lambda: scene.sidecar._core.sources.merge.whole().entries == ())  # type: ignore[union-attr]
+            await until(lambda: scene.sidecar._core.sources.merge.snapshot().entries == ())  # type: ignore[union-attr]
             assert (await soon(asking)).status == 200
             assert len(server.heard) == heard + 1
             assert (await (await scene.client()).ask()).status == 503
@@ -458,7 +458,11 @@
         lists: list[int] = [0] * 100
         made = [
             EndpointSources(
-                NotedNetwork(pauses), None, EndpointUpdate(0, True, ()), config, 5, f"n-{n}", lambda _: None
+                NotedNetwork(pauses),
+                DiscoveryState(None, EndpointUpdate(0, True, ())),
+                config,
+                f"5 n-{n}",
+                lambda _: None,
             )
             for n in range(100)
         ]
@@ -500,14 +504,18 @@
             states.update({each.listed.server: each.listed.state for each in listing.entries})
 
         sources = EndpointSources(
-            LoopNetwork(), None, EndpointUpdate(1, True, tuple(known)), config, 1, "n", lambda _: None
+            LoopNetwork(),
+            DiscoveryState(None, EndpointUpdate(1, True, tuple(known))),
+            config,
+            "1 n",
+            lambda _: None,
         )
         consul.faults.append(Fault("status", 2))  # one of both is heard later, whichever it is
         consul.change(lambda state: state.put_service(NODE, {"Name": "roster", "Address": HOST, "Port": 2}))
         sources.start(heard, lambda: None)
-        await until(lambda: len(sources.unheard) == 1)
+        await until(lambda: len(sources.unanswered) == 1)
         assert set(states.values()) == {ServerState.READY}
-        await until(lambda: not sources.unheard and states[f"{HOST}:3"] is ServerState.REMOVED)
+        await until(lambda: not sources.unanswered and states[f"{HOST}:3"] is ServerState.REMOVED)
         assert states[f"{HOST}:1"] is states[f"{HOST}:2"] is ServerState.READY
         sources.close()
         consul.stop()
--- a/tests/test_consul_show.py
+++ b/tests/test_consul_show.py
@@ -40,11 +40,15 @@
     path.write_text(json.dumps({**GOOD, "services": [service], "token_file": str(token), "wait_s": 5}))
     config = load(path)
     (only,) = config.services
-    assert (only.ask.token, only.ask.mode, only.ask.tags) == ("s3cret", "stale", ("blue",))
-    assert (only.names.zone, only.names.tagged) == ("az", "wan")
-    assert (only.trust.keep_s, only.trust.in_use) == (60, 0.25)
+    assert (only.request_options.token, only.request_options.mode, only.request_options.tags) == (
+        "s3cret",
+        "stale",
+        ("blue",),
+    )
+    assert (only.mapping.zone_key, only.mapping.tagged_address) == ("az", "wan")
+    assert (only.trust.max_silence_s, only.trust.panic_threshold) == (60, 0.25)
     assert config.wait_s == 5 and "s3cret" not in repr(config)
-    lent = only.trust.lent
+    lent = only.trust.is_available_at
     assert lent is not None
     day = 86_400 * 20_000
     assert [lent(day + hour * 3_600.0) for hour in (0, 3.9, 4, 22, 22.5, 23.9)] == [
@@ -171,13 +175,13 @@
 def test_the_example_can_be_used_and_a_file_may_be_toml(tmp_path: Path) -> None:
     example = load(ROOT / "deploy" / "consul.json")
     (service,) = example.services
-    assert (service.name, service.names.in_zone) == (
+    assert (service.name, service.mapping.default_zone) == (
         "tariff",
         "other-site",
-    ) and service.trust.lent is not None
+    ) and service.trust.is_available_at is not None
     path = tmp_path / "consul.toml"
     path.write_text('agents = ["127.0.0.1:8500"]\n[[services]]\nname = "tariff"\nfrom = "catalog"\n')
-    assert load(path).services[0].of_catalog
+    assert load(path).services[0].is_catalog
     path.write_text('agents = "127.0.0.1:8500"\n')
     with pytest.raises(ConsulConfigError, match=r"^agents"):
         load(path)
--- a/tests/test_consul_source.py
+++ b/tests/test_consul_source.py
@@ -10,8 +10,18 @@
 
 from loopback import play, soon, until
 
-from micadeck.membership.consul import Agents, Ask, ConsulClient, Heard, ServiceWatch, watch
-from micadeck.membership.endpoint_merge import EndpointMerge, SourceTrust
+from micadeck.membership.consul import (
+    Agents,
+    BlockingQuery,
+    ConsulClient,
+    RequestOptions,
+    ServiceUpdate,
+    ServiceWatch,
+    WatchCallbacks,
+    WatchTarget,
+)
+from micadeck.membership.endpoint_merge import EndpointMerge
+from micadeck.membership.endpoint_observation import SourceTrust
 from micadeck.network import LoopNetwork, parse_address
 from micadeck.policy.events import ServerState
 from micadeck.stand_ins.consul import NODE, Fault, StandInConsul
@@ -33,29 +43,28 @@
         self.failures: list[str] = []
         self.lists = 0
         client = ConsulClient(
-            self.network, Agents(tuple(parse_address(each.address) for each in agents)), Ask()
+            self.network, Agents(tuple(parse_address(each.address) for each in agents)), RequestOptions()
         )
-        self.watch: ServiceWatch = watch(
+        self.watch = ServiceWatch(
             self.network,
             client,
-            "tariff",
-            self._believes_empty,
-            self._heard,
-            self.failures.append,
-            seed=3,
-            wait_s=wait_s,
+            WatchTarget("tariff"),
+            BlockingQuery(random.Random(3), wait_s),
+            WatchCallbacks(self._accepts_empty, self._updated, self.failures.append),
         )
         self.watch.start()
 
-    def _believes_empty(self, agent: str) -> bool:
+    def _accepts_empty(self, agent: str) -> bool:
         self.lists += 1
-        return self.merge.believes_empty(self.network.now() / 1e6, "consul", agent)
+        return self.merge.accepts_empty(self.network.now() / 1e6, "consul", agent)
 
-    async def _heard(self, heard: Heard) -> None:
-        self.lists += heard.news.count > 0
+    async def _updated(self, update: ServiceUpdate) -> None:
+        self.lists += update.change.count > 0
         now = self.network.now() / 1e6
-        self.merge.changed(now, "consul", heard.news.sightings, heard.news.gone, lag_s=heard.lag_s)
-        changes = self.merge.changes(now)
+        self.merge.observe_changes(
+            now, "consul", update.change.observations, update.change.removed, lag_s=update.lag_s
+        )
+        changes = self.merge.take_changes(now)
         for entry in changes.entries if changes is not None else ():
             self.states[entry.listed.server] = (entry.listed.state, time.monotonic())
             self.starts[entry.listed.server] = entry.listed.started_at
@@ -137,7 +146,7 @@
         other = await StandInConsul().start()
         for each in (agent, other):
             put(each, 80)
-        listener = Listener(agent, other, trust=SourceTrust(doubt_s=60.0))
+        listener = Listener(agent, other, trust=SourceTrust(empty_confirm_s=60.0))
         await until(lambda: listener.used() == {"10.0.0.1:80"})
         seen = listener.lists
         agent.restart_empty()
--- a/tests/test_endpoint_merge.py
+++ b/tests/test_endpoint_merge.py
@@ -8,16 +8,17 @@
 import pytest
 
 from micadeck.engine import EndpointEntry, EndpointUpdate
-from micadeck.membership.endpoint_merge import EndpointMerge, Observation, Precedence, SourceTrust
+from micadeck.membership.endpoint_merge import EndpointMerge
+from micadeck.membership.endpoint_observation import Observation, Precedence, SourceTrust
 from micadeck.policy.events import ListedServer, ServerState
 
-READY, DOUBTFUL, DRAINS = Precedence
+READY, UNHEALTHY, DRAINING = Precedence
 A, B = ("10.0.0.1", 80), ("10.0.0.2", 80)
 USED = ServerState.READY
 
 
-def sight(caution: Precedence = READY, address: tuple[str, int] = A, **how: Any) -> Observation:
-    return Observation(address, caution, **how)
+def sight(precedence: Precedence = READY, address: tuple[str, int] = A, **how: Any) -> Observation:
+    return Observation(address, precedence, **how)
 
 
 def merge(*sources: str, **trust: Any) -> EndpointMerge:
@@ -29,8 +30,8 @@
 
 def states(made: EndpointMerge, now: float) -> dict[str, ServerState]:
     """What has been told by now, from changes alone."""
-    made.changes(now)
-    return {each.listed.server: each.listed.state for each in made.whole().entries}
+    made.take_changes(now)
+    return {each.listed.server: each.listed.state for each in made.snapshot().entries}
 
 
 def used(made: EndpointMerge, now: float) -> set[str]:
@@ -41,51 +42,51 @@
     ("roster", "consul", "expected"),
     [
         (READY, READY, ServerState.READY),
-        (READY, DOUBTFUL, ServerState.DRAINING),
-        (DOUBTFUL, READY, ServerState.DRAINING),
-        (READY, DRAINS, ServerState.DRAINING),
-        (DRAINS, READY, ServerState.DRAINING),
+        (READY, UNHEALTHY, ServerState.DRAINING),
+        (UNHEALTHY, READY, ServerState.DRAINING),
+        (READY, DRAINING, ServerState.DRAINING),
+        (DRAINING, READY, ServerState.DRAINING),
         (None, READY, ServerState.READY),
         (READY, None, ServerState.READY),
-        (None, DRAINS, ServerState.DRAINING),
+        (None, DRAINING, ServerState.DRAINING),
     ],
 )
 def test_the_more_cautious_word_holds(
     roster: Precedence | None, consul: Precedence | None, expected: ServerState
 ) -> None:
-    made = merge(in_use=0.0)
-    made.heard(1.0, "roster", [sight(roster, name="s-1")] if roster is not None else [])
-    made.heard(1.0, "consul", [sight(consul)] if consul is not None else [])
+    made = merge(panic_threshold=0.0)
+    made.observe(1.0, "roster", [sight(roster, name="s-1")] if roster is not None else [])
+    made.observe(1.0, "consul", [sight(consul)] if consul is not None else [])
     assert list(states(made, 1.0).values()) == [expected]
 
 
 def test_a_server_that_two_sources_see_is_one_and_keeps_its_first_name() -> None:
     made = merge()
-    made.heard(1.0, "consul", [sight(weight=2.0, started_at=5)])
+    made.observe(1.0, "consul", [sight(weight=2.0, started_at=5)])
     assert list(states(made, 1.0)) == ["10.0.0.1:80"]
-    made.heard(2.0, "roster", [sight(name="s-1", zone="a", weight=3.0, started_at=9)])
-    (entry,) = made.changes(2.0).entries  # type: ignore[union-attr]
+    made.observe(2.0, "roster", [sight(name="s-1", zone="a", weight=3.0, started_at=9)])
+    (entry,) = made.take_changes(2.0).entries  # type: ignore[union-attr]
     assert entry.listed.server == "10.0.0.1:80" and entry.listed.zone == "a"
     assert (entry.listed.nominal, entry.listed.started_at) == (2.0, 9)  # the more cautious of each
     other = merge()
-    other.heard(1.0, "roster", [sight(name="s-1")])
-    other.heard(1.0, "consul", [sight()])
+    other.observe(1.0, "roster", [sight(name="s-1")])
+    other.observe(1.0, "consul", [sight()])
     assert list(states(other, 1.0)) == ["s-1"]
 
 
 def test_only_changes_are_told_and_one_version_counts_them() -> None:
     made = merge()
-    made.heard(1.0, "consul", [sight(), sight(address=B)])
-    first = made.changes(1.0)
+    made.observe(1.0, "consul", [sight(), sight(address=B)])
+    first = made.take_changes(1.0)
     assert isinstance(first, EndpointUpdate) and (first.version, len(first.entries)) == (1, 2)
-    made.heard(2.0, "consul", [sight(), sight(address=B)])
-    assert made.changes(2.0) is None
-    made.heard(3.0, "consul", [sight(DRAINS), sight(address=B)])
-    second = made.changes(3.0)
+    made.observe(2.0, "consul", [sight(), sight(address=B)])
+    assert made.take_changes(2.0) is None
+    made.observe(3.0, "consul", [sight(DRAINING), sight(address=B)])
+    second = made.take_changes(3.0)
     assert second is not None and second.version == 2
     assert [each.listed.state for each in second.entries] == [ServerState.DRAINING]
-    made.heard(4.0, "consul", [sight(address=B)])
-    gone = made.changes(4.0)
+    made.observe(4.0, "consul", [sight(address=B)])
+    gone = made.take_changes(4.0)
     assert gone is not None and [(e.listed.state, e.address) for e in gone.entries] == [
         (ServerState.REMOVED, None)
     ]
@@ -93,73 +94,73 @@
 
 def test_a_drain_holds_until_its_own_source_takes_it_back() -> None:
     made = merge()
-    made.heard(1.0, "roster", [sight(name="s-1")])
-    made.heard(1.0, "consul", [sight(DRAINS), sight(address=B)])
+    made.observe(1.0, "roster", [sight(name="s-1")])
+    made.observe(1.0, "consul", [sight(DRAINING), sight(address=B)])
     assert used(made, 1.0) == {"10.0.0.2:80"}
-    made.heard(2.0, "roster", [sight(name="s-1")])  # another's word
-    made.heard(3.0, "consul", [sight(address=B)])  # absence is no word
+    made.observe(2.0, "roster", [sight(name="s-1")])  # another's word
+    made.observe(3.0, "consul", [sight(address=B)])  # absence is no word
     assert "s-1" not in used(made, 3.0)
-    made.heard(4.0, "consul", [sight(), sight(address=B)])
+    made.observe(4.0, "consul", [sight(), sight(address=B)])
     assert "s-1" in used(made, 4.0)
 
 
 def test_a_drain_is_forgotten_once_nobody_lists_the_server() -> None:
     made = merge("consul")
-    made.heard(1.0, "consul", [sight(DRAINS), sight(address=B)])
-    made.heard(2.0, "consul", [sight(address=B)])
+    made.observe(1.0, "consul", [sight(DRAINING), sight(address=B)])
+    made.observe(2.0, "consul", [sight(address=B)])
     assert "10.0.0.1:80" not in states(made, 2.0)
-    made.heard(3.0, "consul", [sight(), sight(address=B)])
+    made.observe(3.0, "consul", [sight(), sight(address=B)])
     assert "10.0.0.1:80" in used(made, 3.0)
 
 
 def test_an_answer_older_than_a_drain_cannot_undo_it() -> None:
     made = merge("consul")
-    made.heard(10.0, "consul", [sight(DRAINS)])
-    made.heard(11.0, "consul", [sight()], lag_s=5.0)  # a server that lags
+    made.observe(10.0, "consul", [sight(DRAINING)])
+    made.observe(11.0, "consul", [sight()], lag_s=5.0)  # a server that lags
     assert used(made, 11.0) == set()
-    made.heard(16.0, "consul", [sight()], lag_s=5.0)
+    made.observe(16.0, "consul", [sight()], lag_s=5.0)
     assert used(made, 16.0) == {"10.0.0.1:80"}
 
 
 def test_silence_keeps_the_last_list_within_its_bound_and_then_drains_it() -> None:
-    made = merge(keep_s=60.0)
-    made.heard(1.0, "roster", [sight(name="s-1")])
-    made.heard(1.0, "consul", [sight(address=B)])
-    made.heard(50.0, "roster", [sight(name="s-1")])
+    made = merge(max_silence_s=60.0)
+    made.observe(1.0, "roster", [sight(name="s-1")])
+    made.observe(1.0, "consul", [sight(address=B)])
+    made.observe(50.0, "roster", [sight(name="s-1")])
     assert used(made, 61.0) == {"s-1", "10.0.0.2:80"}
     assert used(made, 62.0) == {"s-1"}
     assert states(made, 62.0)["10.0.0.2:80"] is ServerState.DRAINING
-    made.heard(63.0, "consul", [sight(address=B)])
+    made.observe(63.0, "consul", [sight(address=B)])
     assert used(made, 63.0) == {"s-1", "10.0.0.2:80"}
 
 
 def test_an_empty_list_after_a_full_one_is_doubted_until_seen_again() -> None:
-    made = merge("consul", doubt_s=2.0)
-    made.heard(1.0, "consul", [sight()])
-    assert not made.heard(2.0, "consul", [], agent="one")
-    assert not made.heard(3.0, "consul", [], agent="one")
+    made = merge("consul", empty_confirm_s=2.0)
+    made.observe(1.0, "consul", [sight()])
+    assert not made.observe(2.0, "consul", [], agent="one")
+    assert not made.observe(3.0, "consul", [], agent="one")
     assert used(made, 3.0) == {"10.0.0.1:80"}
-    assert made.heard(4.0, "consul", [], agent="one")
+    assert made.observe(4.0, "consul", [], agent="one")
     assert states(made, 4.0) == {}
 
 
 def test_an_empty_list_is_believed_when_a_second_agent_says_so_and_a_full_one_ends_the_doubt() -> None:
-    made = merge("consul", doubt_s=60.0)
-    made.heard(1.0, "consul", [sight()])
-    assert not made.heard(2.0, "consul", [], agent="one")
-    assert made.heard(2.1, "consul", [sight()], agent="two")
-    assert not made.heard(3.0, "consul", [], agent="two")
-    assert made.heard(3.1, "consul", [], agent="one")
+    made = merge("consul", empty_confirm_s=60.0)
+    made.observe(1.0, "consul", [sight()])
+    assert not made.observe(2.0, "consul", [], agent="one")
+    assert made.observe(2.1, "consul", [sight()], agent="two")
+    assert not made.observe(3.0, "consul", [], agent="two")
+    assert made.observe(3.1, "consul", [], agent="one")
     assert states(made, 3.1) == {}
 
 
 def test_a_first_list_that_is_empty_is_believed() -> None:
     made = merge("consul")
-    assert made.heard(1.0, "consul", [])
+    assert made.observe(1.0, "consul", [])
 
 
-def _many(count: int, caution: Precedence) -> list[Observation]:
-    return [sight(caution, (f"10.0.1.{number}", 80), why="critical") for number in range(count)]
+def _many(count: int, precedence: Precedence) -> list[Observation]:
+    return [sight(precedence, (f"10.0.1.{number}", 80), reason="critical") for number in range(count)]
 
 
 @pytest.mark.parametrize(
@@ -178,12 +179,12 @@
 def test_mass_critical_keeps_the_stated_share_in_use_and_no_draining_one(
     ready: int, doubtful: int, draining: int, in_use: int
 ) -> None:
-    made = merge("consul", in_use=0.5)
-    cautions = [READY] * ready + [DOUBTFUL] * doubtful + [DRAINS] * draining
-    made.heard(1.0, "consul", [sight(c, (f"10.0.1.{n}", 80)) for n, c in enumerate(cautions)])
+    made = merge("consul", panic_threshold=0.5)
+    precedences = [READY] * ready + [UNHEALTHY] * doubtful + [DRAINING] * draining
+    made.observe(1.0, "consul", [sight(c, (f"10.0.1.{n}", 80)) for n, c in enumerate(precedences)])
     now_used = used(made, 1.0)
     assert len(now_used) == in_use
-    assert not {f"10.0.1.{n}:80" for n, c in enumerate(cautions) if c is DRAINS} & now_used
+    assert not {f"10.0.1.{n}:80" for n, c in enumerate(precedences) if c is DRAINING} & now_used
 
 
 def test_sidecars_differ_in_which_doubtful_servers_they_use() -> None:
@@ -191,32 +192,32 @@
     for salt in range(30):
         made = EndpointMerge(salt)
         made.add("consul")
-        made.heard(1.0, "consul", _many(10, DOUBTFUL))
+        made.observe(1.0, "consul", _many(10, UNHEALTHY))
         chosen.append(frozenset(used(made, 1.0)))
     assert len(set(chosen)) > 10
     assert frozenset.union(*chosen) == {f"10.0.1.{number}:80" for number in range(10)}
 
 
 def test_a_flapping_server_is_damped_and_its_drain_is_not() -> None:
-    made = merge("consul", flaps=4, flap_s=30.0, in_use=0.0)
+    made = merge("consul", flap_threshold=4, flap_window_s=30.0, panic_threshold=0.0)
     now = 1.0
-    made.heard(now, "consul", [sight(), sight(address=B)])
+    made.observe(now, "consul", [sight(), sight(address=B)])
     for _ in range(2):
-        for caution in (DOUBTFUL, READY):
+        for precedence in (UNHEALTHY, READY):
             now += 1.0
-            made.heard(now, "consul", [sight(caution), sight(address=B)])
+            made.observe(now, "consul", [sight(precedence), sight(address=B)])
     assert used(made, now) == {"10.0.0.2:80"}
     assert used(made, now + 31.0) == {"10.0.0.1:80", "10.0.0.2:80"}
-    made.heard(now + 32.0, "consul", [sight(DRAINS), sight(address=B)])
+    made.observe(now + 32.0, "consul", [sight(DRAINING), sight(address=B)])
     assert used(made, now + 32.0) == {"10.0.0.2:80"}
 
 
 def test_lent_nodes_are_used_in_their_hours_alone() -> None:
     made = EndpointMerge()
     made.add("own")
-    made.add("lent", SourceTrust(lent=lambda now: 100.0 <= now < 200.0))
-    made.heard(1.0, "own", [sight(name="s-1")])
-    made.heard(1.0, "lent", [sight(address=B)])
+    made.add("lent", SourceTrust(is_available_at=lambda now: 100.0 <= now < 200.0))
+    made.observe(1.0, "own", [sight(name="s-1")])
+    made.observe(1.0, "lent", [sight(address=B)])
     assert used(made, 50.0) == {"s-1"}
     assert used(made, 150.0) == {"s-1", "10.0.0.2:80"}
     assert used(made, 250.0) == {"s-1"}
@@ -225,39 +226,40 @@
 
 def test_changes_alone_do_the_same_as_whole_lists() -> None:
     made = merge("roster")
-    made.heard(1.0, "roster", [sight(name="s-1"), sight(address=B, name="s-2")])
-    made.changed(2.0, "roster", [sight(DRAINS, name="s-1")])
+    made.observe(1.0, "roster", [sight(name="s-1"), sight(address=B, name="s-2")])
+    made.observe_changes(2.0, "roster", [sight(DRAINING, name="s-1")])
     assert used(made, 2.0) == {"s-2"}
-    made.changed(3.0, "roster", [], gone=[B])
+    made.observe_changes(3.0, "roster", [], removed=[B])
     assert used(made, 3.0) == set()
 
 
 def test_rows_say_who_says_what() -> None:
-    made = merge(in_use=0.0)
-    made.heard(1.0, "roster", [sight(name="s-1", why="active")])
-    made.heard(1.0, "consul", [sight(DOUBTFUL, why="critical: http")])
-    (row,) = made.rows(1.0)
+    made = merge(panic_threshold=0.0)
+    made.observe(1.0, "roster", [sight(name="s-1", reason="active")])
+    made.observe(1.0, "consul", [sight(UNHEALTHY, reason="critical: http")])
+    (row,) = made.endpoints(1.0)
     assert (row.name, row.state) == ("s-1", ServerState.DRAINING)
-    assert row.says == (("roster", READY, "active"), ("consul", DOUBTFUL, "critical: http"))
+    reports = [(source, each.precedence, each.reason) for source, each in row.observations]
+    assert reports == [("roster", READY, "active"), ("consul", UNHEALTHY, "critical: http")]
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_whatever_is_heard_no_source_that_drains_a_server_sees_it_used(seed: int) -> None:
     chance = random.Random(seed)
-    made = merge("one", "two", in_use=chance.random(), flaps=2)
+    made = merge("one", "two", panic_threshold=chance.random(), flap_threshold=2)
     places = [(f"10.0.2.{number}", 80) for number in range(6)]
     drains: dict[str, set[tuple[str, int]]] = {"one": set(), "two": set()}
     now = 0.0
     for _ in range(200):
         now += chance.random()
         source = chance.choice(["one", "two"])
-        heard = [sight(chance.choice([READY, READY, DOUBTFUL, DRAINS]), each) for each in places]
+        heard = [sight(chance.choice([READY, READY, UNHEALTHY, DRAINING]), each) for each in places]
         heard = [each for each in heard if chance.random() < 0.8]
         if not heard:
             continue
-        made.heard(now, source, heard)
+        made.observe(now, source, heard)
         for each in heard:
-            if each.caution is DRAINS:
+            if each.precedence is DRAINING:
                 drains[source].add(each.address)
             else:
                 drains[source].discard(each.address)
@@ -267,39 +269,39 @@
 
 
 def test_what_a_source_dropped_is_not_brought_back_by_one_that_lags() -> None:
-    made = merge(forget_s=60.0)
+    made = merge(removal_hold_s=60.0)
     for source in ("roster", "consul"):
-        made.heard(1.0, source, [sight(name="s-1"), sight(address=B)])
-    made.changed(2.0, "roster", [], [A])
-    made.heard(3.0, "consul", [sight(), sight(address=B)])
+        made.observe(1.0, source, [sight(name="s-1"), sight(address=B)])
+    made.observe_changes(2.0, "roster", [], [A])
+    made.observe(3.0, "consul", [sight(), sight(address=B)])
     assert used(made, 3.0) == {"10.0.0.2:80"}
     assert used(made, 61.0) == {"10.0.0.2:80"} and used(made, 63.0) == {"10.0.0.2:80", "s-1"}
-    made.changed(64.0, "roster", [], [B])
-    made.heard(65.0, "consul", [sight()])
+    made.observe_changes(64.0, "roster", [], [B])
+    made.observe(65.0, "consul", [sight()])
     assert list(states(made, 65.0)) == ["s-1"]  # both have dropped it
 
 
 def test_a_fresh_answer_that_says_nothing_new_takes_up_a_word_that_was_too_old() -> None:
     made = merge("consul")
-    made.heard(10.0, "consul", [sight(DRAINS)])
-    made.changed(11.0, "consul", [sight()], lag_s=5.0)
+    made.observe(10.0, "consul", [sight(DRAINING)])
+    made.observe_changes(11.0, "consul", [sight()], lag_s=5.0)
     assert used(made, 11.0) == set()
-    made.changed(12.0, "consul", [], lag_s=5.0)
+    made.observe_changes(12.0, "consul", [], lag_s=5.0)
     assert used(made, 12.0) == set()
-    made.changed(16.0, "consul", [], lag_s=5.0)
+    made.observe_changes(16.0, "consul", [], lag_s=5.0)
     assert used(made, 16.0) == {"10.0.0.1:80"}
 
 
 def test_a_name_goes_with_its_server_to_another_address() -> None:
     made = merge("roster")
-    made.heard(1.0, "roster", [sight(name="s-1")])
-    made.changes(1.0)
-    made.changed(2.0, "roster", [sight(address=B, name="s-1")], [A])
-    told = made.changes(2.0)
+    made.observe(1.0, "roster", [sight(name="s-1")])
+    made.take_changes(1.0)
+    made.observe_changes(2.0, "roster", [sight(address=B, name="s-1")], [A])
+    told = made.take_changes(2.0)
     assert told is not None
     last = {each.listed.server: each for each in told.entries}
     assert list(last) == ["s-1"] and last["s-1"].address == B
-    made.heard(
+    made.observe(
         3.0, "roster", [sight(address=B, name="s-1"), sight(name="s-1")]
     )  # two at once: one name is left
     assert sorted(states(made, 3.0)) == ["10.0.0.1:80", "s-1"]
@@ -309,30 +311,30 @@
     made = merge("roster", "consul")
     lines = [EndpointEntry(ListedServer(f"s-{n}", state=USED), (f"10.0.0.{n}", 80)) for n in (1, 2)]
     twin = EndpointEntry(ListedServer("s-9", state=USED), ("10.0.0.1", 80))
-    made.remembered("roster", EndpointUpdate(4, True, (*lines, twin)))
-    told = made.changes(1.0)
+    made.restore("roster", EndpointUpdate(4, True, (*lines, twin)))
+    told = made.take_changes(1.0)
     assert told is not None  # of two ids at one address, one is told to be gone
     assert [(each.listed.server, each.listed.state) for each in told.entries] == [
         ("s-9", ServerState.REMOVED)
     ]
-    made.heard(2.0, "consul", [sight(address=B)])
+    made.observe(2.0, "consul", [sight(address=B)])
     assert used(made, 2.0) == {"s-1", "s-2"}
-    made.heard(3.0, "roster", [sight(name="s-1")])
+    made.observe(3.0, "roster", [sight(name="s-1")])
     assert used(made, 3.0) == {"s-1"}
 
 
 def test_slices_tell_first_who_must_be_left() -> None:
-    made = merge("consul", in_use=0.0)
+    made = merge("consul", panic_threshold=0.0)
     many = [(f"10.0.1.{n}", 80) for n in range(1, 251)]
-    made.heard(1.0, "consul", [sight(address=each) for each in many])
+    made.observe(1.0, "consul", [sight(address=each) for each in many])
     slices = []
-    while made.is_behind:
-        told = made.changes(1.0, 100)
+    while made.has_pending:
+        told = made.take_changes(1.0, 100)
         slices.append(len(told.entries) if told is not None else 0)
     assert slices == [100, 100, 50]
-    made.changed(2.0, "consul", [sight(address=each, weight=2.0) for each in many])
-    made.changed(2.0, "consul", [sight(DRAINS, many[200])], [many[201]])
-    first = made.changes(2.0, 2)
+    made.observe_changes(2.0, "consul", [sight(address=each, weight=2.0) for each in many])
+    made.observe_changes(2.0, "consul", [sight(DRAINING, many[200])], [many[201]])
+    first = made.take_changes(2.0, 2)
     assert first is not None and {each.listed.state for each in first.entries} == {
         ServerState.DRAINING,
         ServerState.REMOVED,
@@ -340,11 +342,11 @@
 
 
 def test_a_source_that_is_removed_or_weighed_anew_changes_what_holds() -> None:
-    made = merge(in_use=0.0)
-    made.heard(1.0, "roster", [sight(name="s-1")])
-    made.heard(1.0, "consul", [sight(DOUBTFUL), sight(DOUBTFUL, B)])
+    made = merge(panic_threshold=0.0)
+    made.observe(1.0, "roster", [sight(name="s-1")])
+    made.observe(1.0, "consul", [sight(UNHEALTHY), sight(UNHEALTHY, B)])
     assert used(made, 1.0) == set()
-    made.trust("consul", SourceTrust(in_use=0.5))
+    made.set_trust("consul", SourceTrust(panic_threshold=0.5))
     assert len(used(made, 2.0)) == 1
     made.remove("consul")
     assert used(made, 3.0) == {"s-1"} and len(states(made, 3.0)) == 1
@@ -354,7 +356,15 @@
 def test_what_is_told_by_changes_is_what_a_merge_of_the_last_words_would_tell(seed: int) -> None:
     """Differential: the running sets against every server judged anew, over drawn days."""
     chance = random.Random(seed)
-    made = merge("roster", "consul", in_use=0.6, flaps=3, flap_s=5.0, keep_s=40.0, forget_s=7.0)
+    made = merge(
+        "roster",
+        "consul",
+        panic_threshold=0.6,
+        flap_threshold=3,
+        flap_window_s=5.0,
+        max_silence_s=40.0,
+        removal_hold_s=7.0,
+    )
     places = [(f"10.0.0.{n}", 80) for n in range(1, 13)]
     held: dict[str, ServerState] = {}
     now = 1.0
@@ -364,13 +374,13 @@
         some = chance.sample(places, chance.randrange(0, 4))
         said = [sight(chance.choice(tuple(Precedence)), each) for each in some]
         gone = [each for each in chance.sample(places, 2) if each not in some]
-        made.changed(now, source, said, gone, lag_s=chance.choice((0.0, 0.0, 3.0)))
+        made.observe_changes(now, source, said, gone, lag_s=chance.choice((0.0, 0.0, 3.0)))
         while True:
-            told = made.changes(now, chance.choice((1, 3, None)))
+            told = made.take_changes(now, chance.choice((1, 3, None)))
             for entry in told.entries if told is not None else ():
                 held[entry.listed.server] = entry.listed.state
                 if entry.listed.state is ServerState.REMOVED:
                     del held[entry.listed.server]
-            if not made.is_behind:
+            if not made.has_pending:
                 break
-        assert held == {row.name: row.state for row in made.rows(now)}
+        assert held == {row.name: row.state for row in made.endpoints(now)}
--- a/tests/test_stale_list_refresh.py
+++ b/tests/test_stale_list_refresh.py
@@ -9,12 +9,11 @@
 from loopback import ScriptedDiscovery, line, play, until
 
 from micadeck.engine import EndpointUpdate
-from micadeck.membership.consul import Ask, Heard, Names
+from micadeck.membership.consul import EntriesChange, InstanceMapping, RequestOptions, ServiceUpdate
 from micadeck.membership.consul.config import ConsulConfig, Service
-from micadeck.membership.consul.view import News
 from micadeck.membership.discovery_watcher import DiscoveryWatcher
-from micadeck.membership.endpoint_merge import Observation, Precedence, SourceTrust
-from micadeck.membership.sources import EndpointSources
+from micadeck.membership.endpoint_observation import Observation, Precedence, SourceTrust
+from micadeck.membership.sources import DiscoveryState, EndpointSources
 from micadeck.network import LoopNetwork, parse_address
 
 HERE = ("127.0.0.2", 80)
@@ -34,7 +33,7 @@
     [
         ([], [], 0),
         ([Observation(HERE, Precedence.READY)], [], 0),
-        ([Observation(HERE, Precedence.DRAINS)], [], 1),
+        ([Observation(HERE, Precedence.DRAINING)], [], 1),
         ([], [HERE], 1),
     ],
 )
@@ -44,13 +43,13 @@
     async def work() -> None:
         network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
         roster = Asked(network, nobody, 1)
-        services = (Service("tariff", Ask(), Names(), SourceTrust()),)
+        services = (Service("tariff", RequestOptions(), InstanceMapping(), SourceTrust()),)
         config = ConsulConfig((nobody,), services, 1.0, 0.0)
         known = EndpointUpdate(1, True, ())
-        sources = EndpointSources(network, roster, known, config, 1, "n", lambda text: None, greets=False)
+        sources = EndpointSources(network, DiscoveryState(roster, known), config, "1 n", lambda text: None)
         addresses = {each.address for each in sightings}
-        news = News(False, len(sightings), iter(sightings), gone, addresses, ())
-        await sources._consul_heard("tariff", Heard(news, 0.0, "agent"))
+        change = EntriesChange(False, len(sightings), iter(sightings), gone, addresses, ())
+        await sources._service_updated("tariff", ServiceUpdate(change, 0.0, "agent"))
         assert roster.doubts == doubts
         sources.close()
 
@@ -64,11 +63,11 @@
         await server.start()
         network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
         roster = DiscoveryWatcher(network, nobody, 1)
-        services = (Service("tariff", Ask(), Names(), SourceTrust()),)
+        services = (Service("tariff", RequestOptions(), InstanceMapping(), SourceTrust()),)
         config = ConsulConfig((nobody,), services, 1.0, 0.0)
-        sources = EndpointSources(
-            network, roster, EndpointUpdate(1, True, ()), config, 1, "n", lambda text: None, greets=False
-        )
+        discovery = DiscoveryState(roster, EndpointUpdate(1, True, ()))
+        sources = EndpointSources(network, discovery, config, "1 n", lambda text: None)
+        sources.logs_agent = False
         heard: list[EndpointUpdate] = []
         failed: list[None] = []
         sources.start(heard.append, lambda: failed.append(None))
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -53,7 +53,7 @@
     "micadeck/mysql/statements.py": 551,
     "micadeck/mysql/transport.py": 681,
     "micadeck/policy/balancer.py": 1380,
-    "micadeck/sidecar.py": 541,
+    "micadeck/sidecar.py": 548,
     "micadeck/simulation/simulated_day.py": 573,
     "micadeck/stand_ins/mysql/server.py": 616,
 }
