--- a/micadeck/membership/discovery_client.py
+++ b/micadeck/membership/discovery_client.py
@@ -79,16 +79,16 @@
             done, _ = await asyncio.wait(self._calls, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
             for task in [task for task in self._calls if task in done]:
                 connection = self._calls.pop(task)
-                if task.exception() is not None:
-                    connection.close()
-                    error = DiscoveryCallError(str(task.exception()))
-                elif connection.is_watch or not self._has_watch_call():
+                failure = task.exception()
+                if failure is None and (connection.is_watch or not self._has_watch_call()):
                     self._current = connection
                     self._cancel_calls()
                     return task.result(), connection.is_watch
-                else:
-                    connection.close()
+                connection.close()
+                if failure is None:
                     on_early_result(task.result())
+                else:
+                    error = DiscoveryCallError(str(failure))
             now = self._network.time()
             if now >= started_at + timeout.give_up_s - _TIMER_TOLERANCE_S:
                 self._cancel_calls()
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -135,15 +135,18 @@
         self.on_partial_list: Callable[[], None] = lambda: None
         self._on_list: Callable[[EndpointUpdate], None] = lambda _: None
         self._on_failed: Callable[[], None] = lambda: None
-        if discovery.watcher is not None:
+        self._add_sources(discovery.known)
+
+    def _add_sources(self, known: EndpointUpdate) -> None:
+        has_discovery = self._discovery is not None
+        if has_discovery:
             self.merge.add(DISCOVERY, FULL_TRUST)
-            self._discovery_observations.apply(discovery.known.entries)
-        for service in config.services:
+            self._discovery_observations.apply(known.entries)
+        for service in self._config.services:
             self.merge.add(service.name, service.trust)
-        if discovery.watcher is None:
+        if not has_discovery:
             self.merge.add(BEFORE_RESTART, FULL_TRUST)  # until all services have answered
-        restored = DISCOVERY if discovery.watcher is not None else BEFORE_RESTART
-        self.merge.restore(restored, discovery.known)
+        self.merge.restore(DISCOVERY if has_discovery else BEFORE_RESTART, known)
 
     # Calls of the engine
 
