--- a/micadeck/network/__init__.py
+++ b/micadeck/network/__init__.py
@@ -16,8 +16,6 @@
 )
 from micadeck.network.loop import LoopNetwork, LoopScheduler
 
-place = format_address  # the name that micadeck.membership still imports
-
 __all__ = [
     "Address",
     "Listener",
@@ -29,5 +27,4 @@
     "Timer",
     "format_address",
     "parse_address",
-    "place",
 ]
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -15,7 +15,7 @@
 from micadeck.http.connection_limits import DownstreamLimits
 from micadeck.http.listener import HttpListener
 from micadeck.http.upstream import ConnectionPool
-from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.membership.discovery_watcher import DiscoveryWatcher, WatchOptions
 from micadeck.memory.budget import MemoryBudget, MemoryUse, PressureLevel
 from micadeck.memory.resident import MB, open_descriptors
 from micadeck.network import Address, Network, format_address
@@ -90,17 +90,10 @@
         self.budget = BufferBudget(config.memory_mb * _PASSED_ON_OF_MEMORY, self.memory)
         self.upstream = ConnectionPool(network, settings, self.budget)
         is_pushed = settings.discovery is DiscoveryMode.PUSHED
+        rules, seed = settings.rules, f"{config.seed} {config.name}"
+        options = WatchOptions(is_pushed, rules.max_poll_interval_us, rules.drain_grace_us, seed)
         self.roster = (
-            DiscoveryWatcher(
-                network,
-                config.discovery,
-                config.known.version,
-                is_pushed,
-                allowed_us=settings.rules.max_poll_interval_us,
-                grace_us=settings.rules.drain_grace_us,
-                seed=f"{config.seed} {config.name}",
-                log=log,
-            )
+            DiscoveryWatcher(network, config.discovery, config.known.version, options, log)
             if config.discovery
             else None
         )
@@ -169,10 +162,11 @@
         """The roster and Consul as one source; without Consul, nothing of it is loaded."""
         if config.consul is None:
             return None
-        from micadeck.membership.sources import EndpointSources
+        from micadeck.membership.sources import DiscoveryState, EndpointSources
 
+        discovery = DiscoveryState(self.roster, config.known)
         return EndpointSources(
-            self.network, self.roster, config.known, config.consul, config.seed, config.name, self._log
+            self.network, discovery, config.consul, f"{config.seed} {config.name}", self._log
         )
 
     async def start(self) -> None:
@@ -191,7 +185,7 @@
         self.config = replace(self.config, settings=settings)
         self.upstream.retune(settings)
         if self.roster is not None:
-            self.roster.allow(settings.rules.max_poll_interval_us, settings.rules.drain_grace_us)
+            self.roster.update_limits(settings.rules.max_poll_interval_us, settings.rules.drain_grace_us)
         self.engine.retune(settings)
 
     def reload(self, config: Config, announce: Callable[[Settings], object] | None = None) -> None:
@@ -212,7 +206,7 @@
             if (getattr(config, key) is None) != (getattr(before, key) is None)
         ]
         if self.roster is not None and config.discovery not in (None, before.discovery):
-            self.roster.move(config.discovery)
+            self.roster.change_address(config.discovery)
         if self.sources is not None and config.consul not in (None, before.consul):
             self.sources.reload(config.consul)
         self.peers.rename(config.peers, config.peers_all)
@@ -282,7 +276,7 @@
         self._engine = self._core.engine
         if self._core.sources is not None:
             # A list of thousands comes after the start: a collection that looks at all of it takes 50 ms.
-            self._core.sources.settle = gc.freeze
+            self._core.sources.on_partial_list = gc.freeze
         client_limits = client_limits or DownstreamLimits(max_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
         self.frontend = HttpListener(config.settings, client_limits, self._engine, network, self._core.budget)
         self.frontend.connections.max_connections = self._core.for_clients
