--- a/benchmarks/consul_lists.py
+++ b/benchmarks/consul_lists.py
@@ -34,7 +34,7 @@
 from micadeck.membership.consul.protocol import unpacked
 from micadeck.membership.consul.view import ServiceView
 from micadeck.network import LoopNetwork
-from micadeck.sidecar import Core
+from micadeck.runtime import Core
 
 NODES = 20
 
--- a/micadeck/library/background_loop.py
+++ b/micadeck/library/background_loop.py
@@ -20,7 +20,7 @@
 from micadeck.library.loop_inbox import LoopInbox
 from micadeck.network import LoopNetwork
 from micadeck.operations import Lifecycle, Phase
-from micadeck.sidecar import Core
+from micadeck.runtime import Core
 
 _JOIN_SPARE_S = 1.0  # beyond the longest deadline, for the thread to end
 
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -21,7 +21,7 @@
 from micadeck.fleet.settings import FleetSettings
 from micadeck.peer_datagrams import PeerDatagrams
 from micadeck.policy.events import ListedServer, ServerState
-from micadeck.sidecar import Core
+from micadeck.runtime import Core
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Wire
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -17,7 +17,7 @@
 from test_program import program, started
 
 from micadeck.operations import HotRestart, RequestIdRegistry, share_of
-from micadeck.sidecar import _LEAST_ROOM, _RESERVED
+from micadeck.runtime import _LEAST_ROOM, _RESERVED
 
 ROOT = Path(__file__).parent.parent
 _OTHER = """
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -17,7 +17,7 @@
 from micadeck.memory.resident import MB
 from micadeck.network import LoopNetwork
 from micadeck.policy.outcomes import Outcome
-from micadeck.sidecar import Core
+from micadeck.runtime import Core
 
 LIMIT = 100 * MB
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -24,6 +24,7 @@
     ("micadeck.mysql",),
     ("micadeck.traces", "micadeck.incidents"),
     ("micadeck.config", "micadeck.simulator_adapter"),
+    ("micadeck.runtime",),
     ("micadeck.sidecar",),
     ("micadeck.library",),
     ("micadeck.asgi", "micadeck.httpx", "micadeck.daemon", "micadeck.__main__", "micadeck"),
@@ -53,7 +54,6 @@
     "micadeck/mysql/statements.py": 551,
     "micadeck/mysql/transport.py": 681,
     "micadeck/policy/balancer.py": 1380,
-    "micadeck/sidecar.py": 548,
     "micadeck/simulation/simulated_day.py": 573,
     "micadeck/stand_ins/mysql/server.py": 616,
 }
