--- a/benchmarks/consul_lists.py
+++ b/benchmarks/consul_lists.py
@@ -34,7 +34,7 @@
 from micadeck.membership.consul.protocol import unpacked
 from micadeck.membership.consul.view import ServiceView
 from micadeck.network import LoopNetwork
-from micadeck.runtime import Core
+from micadeck.runtime import Runtime
 
 NODES = 20
 
@@ -200,13 +200,13 @@
     with consul(2, size) as address, tempfile.TemporaryDirectory() as folder:
         reading = Spent(ServiceView, "taken")
         telling = Spent(sources_module.EndpointSources, "_tell")
-        core = Core(parse(config(folder, address, spread_s=0)), LoopNetwork(), lambda _: None)
-        assert core.sources is not None
-        core.sources.settle = gc.freeze  # as the daemon does
-        merge, held = core.sources.merge, Held()
+        runtime = Runtime(parse(config(folder, address, spread_s=0)), LoopNetwork(), lambda _: None)
+        assert runtime.sources is not None
+        runtime.sources.settle = gc.freeze  # as the daemon does
+        merge, held = runtime.sources.merge, Held()
         before = resident_mb()
         began = time.perf_counter()
-        await core.start()
+        await runtime.start()
         while len(merge.whole().entries) < size:
             await asyncio.sleep(0.01)
         measured = {"s until listed": time.perf_counter() - began, "ms held, list": held.taken() * 1e3}
@@ -229,7 +229,7 @@
         measured["ms held, change"] = held.taken() * 1e3
         measured["ms from change to told"] = sorted(spans)[10] * 1e3
         measured["ms of it in merge and decisions"] = sorted(told)[10] * 1e3
-        core.engine.close()
+        runtime.engine.close()
     return measured
 
 
@@ -245,12 +245,12 @@
     setattr(client_module, "unpacked", counted)  # noqa: B010
     wait_s = 2.0
     with consul(2, 100) as address, tempfile.TemporaryDirectory() as folder:
-        core = Core(parse(config(folder, address, wait_s=wait_s)), LoopNetwork(), lambda _: None)
-        await core.start()
+        runtime = Runtime(parse(config(folder, address, wait_s=wait_s)), LoopNetwork(), lambda _: None)
+        await runtime.start()
         await asyncio.sleep(1.0)
         calls = size = 0
         await asyncio.sleep(seconds)
-        core.engine.close()
+        runtime.engine.close()
     a_minute = calls / seconds * 60 * wait_s / 30
     print(
         f"at rest, 100 instances: {a_minute:.1f} queries and {size / max(calls, 1) * a_minute / 1e3:.0f} kB "
--- a/micadeck/config.py
+++ b/micadeck/config.py
@@ -64,7 +64,7 @@
     records_mb: int = _DEFAULT_RECORDS_MB  # that all its files of this sidecar may take
     keys: frozenset[str] = frozenset()  # that the file has, as far as a later file may not lack them
 
-    def replaces(self, before: Config) -> None:
+    def check_replaces(self, before: Config) -> None:
         """Raise ConfigError if this can't take another's place: it lacks a key that the other has.
 
         Guards against a file that lost a key: most have a default, which nobody asked for.
--- a/micadeck/daemon.py
+++ b/micadeck/daemon.py
@@ -58,7 +58,7 @@
     try:
         sidecar.reload(load(os.environ))
     except ConfigError as fault:
-        sidecar.turned_down()
+        sidecar.count_rejected_config()
         log(f"reload: the old configuration stays in force: {fault}".replace("\n", " "))
 
 
@@ -78,7 +78,7 @@
         _called_off(signals, log)
         return
     end = asyncio.Event()
-    sidecar = Sidecar(config, network, log, beside=HotRestart(os.environ.get("TMPDIR"), config.name))
+    sidecar = Sidecar(config, network, log, hot_restart=HotRestart(os.environ.get("TMPDIR"), config.name))
 
     def read_anew() -> None:
         if not end.is_set():  # a process that ends has no use for it
@@ -86,14 +86,14 @@
 
     signals.attach(loop.call_soon_threadsafe, end.set, read_anew)
     keeper = MemoryMonitor(network, sidecar.memory, log, sidecar.count_memory)
-    sidecar.on_memory_stage = keeper.told_stage
+    sidecar.memory_relief.on_level = keeper.told_stage
     try:
         await sidecar.start(end.is_set)
     except StartCancelledError:
         sidecar.close()
         _called_off(signals, log)
         return
-    door = sidecar.door
+    door = sidecar.admin
     staff = f", operators on {config.operator[0]}:{door.port}" if door and config.operator else ""
     how = ", decisions compiled" if IS_COMPILED else ""
     log(f"{config.name} serves on {config.listen[0]}:{sidecar.frontend.port}{staff}{how}")
--- a/micadeck/engine/__init__.py
+++ b/micadeck/engine/__init__.py
@@ -1,8 +1,7 @@
 """The engine: a request in, exactly one answer out.
 
-It owns the decision module, its timers, the open requests, their attempts and the list of servers.  Fronts
-bring requests, a carrier takes attempts to servers, a source tells who the servers are; `ports` says what
-each must do.
+It owns the decisions, their timers, the open requests and their attempts.  Listeners bring requests, a
+transport carries attempts to servers, a source reports the endpoint list; `ports` defines what each must do.
 """
 
 from micadeck.engine.engine import Engine, RequestIdInUseError
--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -1,5 +1,4 @@
-"""The engine: what happens outside becomes events here, and what the decisions answer is carried out from
-here.
+"""The engine: outside events go to the decisions from here, and their actions are carried out here.
 
 `Balancer.handle` is called nowhere else.
 """
@@ -10,7 +9,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from micadeck.engine.outcome_counters import OutcomeCounters
+from micadeck.engine.final_answers import FinalAnswers
+from micadeck.engine.open_requests import OpenRequests
 from micadeck.engine.ports import (
     EndpointSource,
     EndpointUpdate,
@@ -20,7 +20,8 @@
     ResponseHandler,
     Transport,
 )
-from micadeck.engine.send_guard import LATE_US, InvariantLog, InvariantViolation
+from micadeck.engine.send_guard import InvariantLog, InvariantViolation
+from micadeck.errors import OperatorError
 from micadeck.memory.budget import MemoryBudget, PressureLevel
 from micadeck.network import Network
 from micadeck.policy import Balancer, Settings
@@ -56,232 +57,240 @@
 from micadeck.policy.outcomes import Outcome
 from micadeck.policy.statistics import BalancerStatistics
 
-_PROBE_WITHIN_US = 1_000_000
-_SHED_RETRY_US = 500_000  # when a request that was refused for memory may come again
+_PROBE_TIMEOUT_US = 1_000_000
+_MEMORY_RETRY_AFTER_US = 500_000  # for a request that was refused for memory
 
 
-class RequestIdInUseError(Exception):
+class RequestIdInUseError(OperatorError):
     """A request came with the id of one that is open."""
 
+    advice = "Have clients give each open request an id of its own."
 
-class _Open:
-    """A request that was taken: until it is answered and its attempts have ended."""
-
-    __slots__ = (
-        "attempts",
-        "due",
-        "last_outcome",
-        "may_have_run",
-        "out",
-        "request",
-        "sent",
-        "started",
-        "waiter",
-        "whole_at",
-    )
 
-    def __init__(self, waiter: ResponseHandler, request: Request, due: int) -> None:
-        self.waiter: ResponseHandler | None = waiter  # None: it has its answer, or nobody waits for it
+class _Attempt:
+    """An attempt in flight; the transport calls it once, with how it ended."""
+
+    __slots__ = ("_engine", "index", "request", "sent_at", "server")
+
+    def __init__(self, engine: Engine, request: int, index: int, server: str, sent_at: int) -> None:
+        self._engine = engine
         self.request = request
-        self.due = due  # when its time is over
-        self.attempts: list[Any] = []
-        self.out = 0
-        self.last_outcome: Outcome | None = None
-        self.may_have_run = False  # by the attempts that have ended
-        self.sent: tuple[str, int] = ("", 0)  # the last attempt's server and time
-        self.whole_at = 0  # when its last byte came, if that was after it was taken
-        self.started: int | None = None  # how long its answer took to begin on its way to the waiter
+        self.index = index
+        self.server = server
+        self.sent_at = sent_at
+
+    def __call__(self, outcome: Outcome, response: Any, report: Mapping[str, float] | None) -> None:
+        self._engine._attempt_ended(self, outcome, response, report)
 
 
 class Engine:
-    """One balancer from its start to its end."""
+    """One balancer from its start to its end.
+
+    Owns the decisions, the queue of their events, their timers and the open requests.
+
+    Attributes:
+        invariants: Counts and logs what must never happen.
+        outcomes: How requests ended, by service class.
+        shed_requests: How many requests were refused for memory.
+        on_endpoint_update: Gets each endpoint update, as the decisions do.
+        has_list: Whether an endpoint list came since the start.
+        memory: The memory budget by which new requests are refused; None: they never are.
+    """
 
-    def __init__(
+    def __init__(  # one argument for each port
         self,
         settings: Settings,
         seed: int,
         network: Network,
-        carrier: Transport,
+        transport: Transport,
         source: EndpointSource,
-        messages: PeerTransport,
+        peers: PeerTransport,
         log: Callable[[str], None],
     ) -> None:
+        """Connect the decisions to the ports; `start` makes them run.
+
+        Args:
+            settings: The settings of the decisions.
+            seed: The seed of their random numbers.
+            network: The clock and timers.
+            transport: Carries attempts to servers.
+            source: Reports the endpoint list.
+            peers: Carries messages to other sidecars.
+            log: Takes one line at a time.
+        """
         self._settings = settings
         self._network = network
-        self._carrier = carrier
+        self._transport = transport
         self._source = source
-        self._messages = messages
+        self._peers = peers
         self._log = log
-        self._decisions = Balancer(settings, seed)
-        self._balancer = self._decisions  # or what hears in its place
+        self._policy = Balancer(settings, seed)
+        self._balancer = self._policy  # or what wraps it
         self.invariants = InvariantLog(log)
-        self.account = OutcomeCounters()
-        self.shed = 0  # requests refused for memory
-        self.on_listed: Callable[[EndpointUpdate], None] | None = (
-            None  # hears each list, beside the decisions
-        )
-        self.has_list = False  # whether a list was heard since the start
-        self.memory: MemoryBudget | None = None  # where it is short, new requests are refused
+        self.shed_requests = 0
+        self.on_endpoint_update: Callable[[EndpointUpdate], None] | None = None
+        self.has_list = False
+        self.memory: MemoryBudget | None = None
         self._events: deque[Event] = deque()
         self._is_handling = False
-        self._open: dict[int, _Open] = {}
-        self._owed: set[bytes] = set()  # ids of the requests without their final answer
-        self._next_request = 1
-        self._stop_by: int | None = None  # when all must be answered, once it drains
+        self._open = OpenRequests()
+        self._answers = FinalAnswers(network, transport, self._open, self.invariants)
+        self.outcomes = self._answers.outcomes
+        self._drain_deadline_us: int | None = None  # when all must be answered, once it drains
 
     def start(self, known: EndpointUpdate) -> None:
-        """Take up the last known list, and begin to hear of newer ones."""
-        self._carrier.update_endpoints(known)
+        """Use the last known endpoint list, and have the source report newer ones."""
+        self._transport.update_endpoints(known)
         self._post(known.event(ListKind.REMEMBERED))
-        self._source.start(self._listed, lambda: self._post(ServersListed(ListKind.FAILED)))
+        self._source.start(self._endpoints_updated, lambda: self._post(ServersListed(ListKind.FAILED)))
 
     def request_id(self, request: int) -> bytes:
-        """The client's name for an open request; empty if it is over."""
-        held = self._open.get(request)
-        return held.request.request_id if held is not None else b""
+        """The client's id of an open request; empty if it is over."""
+        opened = self._open.get(request)
+        return opened.request.request_id if opened is not None else b""
 
-    def figures(self) -> BalancerStatistics:
-        """How the decisions stand."""
-        return self._decisions.figures()
+    def statistics(self) -> BalancerStatistics:
+        """The statistics of the decisions."""
+        return self._policy.figures()
 
-    def record(self, around: Callable[[Balancer], Balancer]) -> None:
-        """Put something round the decisions that hears what they hear; before `start`."""
-        self._balancer = around(self._balancer)
+    def wrap_balancer(self, wrap: Callable[[Balancer], Balancer]) -> None:
+        """Put something round the decisions that gets their events; before `start`."""
+        self._balancer = wrap(self._balancer)
 
-    def retune(self, settings: Settings) -> None:
-        """Put other settings in force; requests that are open keep their class."""
+    def apply_settings(self, settings: Settings) -> None:
+        """Put other settings in force; open requests keep their class."""
         self._settings = settings
         self._post(SettingsChanged(settings))
 
-    def hold_ids(self, ids: set[bytes]) -> None:
-        """Keep the ids of open requests here from now on, the present ones too; an id in there is in use."""
-        for each in self._owed:
-            ids.add(each)
-        self._owed = ids
+    def share_request_ids(self, ids: set[bytes]) -> None:
+        """Keep the ids of unanswered requests in this set, which other processes add theirs to.
+
+        An id in it is in use.
+        """
+        self._open.keep_ids_in(ids)
 
     def close(self) -> None:
+        """Close all ports."""
         self._source.close()
-        self._messages.close()
-        self._carrier.close()
+        self._peers.close()
+        self._transport.close()
 
     @property
     def open_requests(self) -> int:
-        """Requests that are not over: unanswered, or with an attempt still out."""
+        """Number of requests that are unanswered, or have an attempt in flight."""
         return len(self._open)
 
     @property
-    def owed_answers(self) -> int:
-        """Requests without their final answer."""
-        return len(self._owed)
+    def unanswered_requests(self) -> int:
+        """Number of requests without their final answer."""
+        return len(self._open.unanswered_ids)
 
     @property
     def in_progress(self) -> int:
-        """Requests whose last byte came and that have no final answer; any thread may ask."""
-        return sum(each.waiter is not None and each.request.is_complete for each in list(self._open.values()))
+        """Number of complete requests without their final answer; safe to call from any thread."""
+        return sum(
+            opened.handler is not None and opened.request.is_complete for opened in list(self._open.values())
+        )
 
     @property
     def known_servers(self) -> int:
-        """Servers on the list."""
-        return self._decisions.known()
+        """Number of servers on the list."""
+        return self._policy.known()
 
     @property
     def skipped_servers(self) -> int:
-        """Of these, those that are avoided now: they drain, or were ejected."""
-        return self._decisions.avoided()
+        """Number of listed servers that get no new requests: they drain, or are ejected."""
+        return self._policy.avoided()
+
+    # What listeners call
 
-    # What fronts call
+    def submit(self, request: Request, handler: ResponseHandler) -> int | None:
+        """Accept a request; from here on its handler gets exactly one answer, unless the client disconnects.
 
-    def take(self, request: Request, waiter: ResponseHandler) -> int | None:
-        """Owe the waiter one answer from here on; give the request's number, or None if it has its answer.
+        Returns:
+            The request's number; None if it was answered within this call.
 
-        Raises IdInUse, and owes nothing, if the id is that of an open request: servers tell requests apart
-        by it.
+        Raises:
+            RequestIdInUseError: Another open request has this id, by which servers tell requests apart.  The
+                handler gets no answer.
         """
-        if request.request_id in self._owed:
-            raise RequestIdInUseError
-        most = self._settings.limits.max_open
-        has_room = most is None or len(self._owed) < most
-        if not has_room or request.remaining_us <= 0:  # or its time was over before it came here
-            self.account[request.service_class].refused += 1
-            waiter.refused(0)
+        if request.request_id in self._open.unanswered_ids:
+            raise RequestIdInUseError(request.request_id.decode("latin-1"))
+        max_open = self._settings.limits.max_open
+        is_full = max_open is not None and self.unanswered_requests >= max_open
+        if is_full or request.remaining_us <= 0:
+            self._answers.reject(request, handler, 0)
             return None
         if self.memory is not None and self.memory.stage >= PressureLevel.SHED:
-            self.account[request.service_class].refused += 1
-            self.shed += 1
-            limits = self._settings.limits
-            waiter.refused(min(limits.max_retry_after_us, _SHED_RETRY_US) if limits.retry_after else 0)
+            self.shed_requests += 1
+            self._answers.reject(request, handler, self._memory_retry_after_us())
             return None
-        if self._stop_by is not None:
+        if self._drain_deadline_us is not None:
             request.remaining_us = self._time_left(request.remaining_us)
-        number = self._next_request
-        self._next_request += 1
-        self._open[number] = _Open(waiter, request, self._network.now() + request.remaining_us)
-        self._owed.add(request.request_id)
-        self._post(
-            RequestArrived(
-                request=number,
-                service_class=request.service_class,
-                tenant=request.tenant,
-                key=request.key,
-                remaining_us=request.remaining_us,
-                cost_us=request.cost_us,
-                client_retry=request.client_retry,
-                write=request.write,
-                sticky_server=request.sticky_server,
-                kind=request.retired_class,
-                is_complete=request.is_complete,
-            )
-        )
-        return number if not self._is_answered(number) else None
+        number = self._open.add(handler, request, self._network.now() + request.remaining_us)
+        self._post(_arrival_of(number, request))
+        return None if self._open.is_answered(number) else number
+
+    def _memory_retry_after_us(self) -> int:
+        limits = self._settings.limits
+        return min(limits.max_retry_after_us, _MEMORY_RETRY_AFTER_US) if limits.retry_after else 0
 
     def request_completed(self, request: int, remaining_us: int) -> None:
-        """The last byte came of a request that was taken before; its time runs from here."""
-        held = self._open.get(request)
-        if held is None or held.waiter is None or held.request.is_complete:
+        """Take note that the last byte of a request came; its time runs from here."""
+        opened = self._open.get(request)
+        if opened is None or opened.handler is None or opened.request.is_complete:
             return
-        held.request.is_complete = True
-        held.whole_at = self._network.now()
-        held.due = held.whole_at + remaining_us
+        opened.request.is_complete = True
+        opened.completed_at = self._network.now()
+        opened.deadline_us = opened.completed_at + remaining_us
         self._post(RequestCompleted(request, self._time_left(remaining_us)))
 
     def _time_left(self, remaining_us: int) -> int:
-        if self._stop_by is None:
+        if self._drain_deadline_us is None:
             return remaining_us
-        return max(min(remaining_us, self._stop_by - self._network.now()), 1)
+        return max(min(remaining_us, self._drain_deadline_us - self._network.now()), 1)
 
     def client_disconnected(self, request: int) -> None:
-        """The one who waits went away; nothing is owed any more."""
-        if self._settle(request) is None:
+        """Take note that the client went away; its handler gets no answer any more."""
+        if self._answers.settle(request) is None:
             return
         self._post(ClientDisconnected(request))
-        self._forget_if_over(request)
+        self._open.remove_if_over(request)
 
-    def started(self, request: int) -> bool:
-        """A part of an attempt's answer goes to the waiter now; say whether it may.
+    def response_started(self, request: int) -> bool:
+        """Take note that a part of an attempt's answer goes to the client now.
 
         From here on no other attempt follows: should this one not deliver the rest, the request has failed.
+
+        Returns:
+            Whether it may go there: false if the request has its answer.
         """
-        held = self._open.get(request)
-        if held is None or held.waiter is None:
+        opened = self._open.get(request)
+        if opened is None or opened.handler is None:
             return False
-        server, sent_at = held.sent
-        held.started = self._network.now() - max(sent_at, held.whole_at)
-        self._post(AnswerStarted(request, len(held.attempts) - 1, server, held.started))
+        server, sent_at = opened.last_sent
+        delay_us = self._network.now() - max(sent_at, opened.completed_at)
+        opened.response_delay_us = delay_us
+        self._post(AnswerStarted(request, len(opened.attempts) - 1, server, delay_us))
         return True
 
-    def stop_by(self, when: int) -> None:
-        """Give no request taken from now on more time than up to this point."""
-        self._stop_by = when
+    def set_drain_deadline(self, deadline_us: int) -> None:
+        """Give no request that is accepted from now on more time than up to this point."""
+        self._drain_deadline_us = deadline_us
 
     def fail_open_requests(self) -> None:
-        """Fail what is unanswered; for the end, when the decisions had no word on it in time."""
+        """Fail all unanswered requests; for the end of a drain, when the decisions did not answer in time."""
         for request in list(self._open):
-            self._fail(request, FailureCause.TIME)
+            self._answers.fail(request, FailureCause.TIME)
 
     def receive_peer_message(self, sender: int, payload: bytes) -> None:
-        """A message came from another sidecar."""
+        """Take a message from another sidecar."""
         self._post(MessageReceived(sender, payload))
 
+    def report_defect(self, text: str) -> None:
+        """Log a defect that a listener survived."""
+        self._log(f"internal error: {text}")
+
     # Events
 
     def _post(self, event: Event) -> None:
@@ -294,180 +303,160 @@
             while self._events:
                 event = self._events.popleft()
                 if isinstance(event, AttemptEnded):
-                    event.answered = self._is_answered(event.request)
+                    event.answered = self._open.is_answered(event.request)
                 try:
                     for action in self._balancer.handle(self._network.now(), event):
-                        self._carry_out(action)
-                except Exception as fault:
-                    self._defect(event, fault)
+                        _CARRY_OUT[type(action)](self, action)
+                except Exception as error:
+                    self._survive_defect(event, error)
                 if isinstance(event, AttemptEnded):
-                    self._forget_if_over(event.request)
+                    self._open.remove_if_over(event.request)
         finally:
             self._is_handling = False
 
-    def defect(self, text: str) -> None:
-        """Tell of a defect that a front met, and lived on after."""
-        self._log(f"internal error: {text}")
-
-    def _defect(self, event: Event, fault: Exception) -> None:
-        """Live on after a defect in the decisions, and owe nobody an answer because of it."""
-        self._log(f"internal error: {type(event).__name__}: {fault!r}")
+    def _survive_defect(self, event: Event, error: Exception) -> None:
+        """Log a defect in the decisions, and fail the request that it left unanswered."""
+        self._log(f"internal error: {type(event).__name__}: {error!r}")
         if isinstance(event, (RequestArrived, AttemptEnded)):
-            self._fail(event.request, FailureCause.DEFECT)
+            self._answers.fail(event.request, FailureCause.DEFECT)
 
-    def _listed(self, listing: EndpointUpdate) -> None:
+    def _endpoints_updated(self, update: EndpointUpdate) -> None:
         self.has_list = True
-        self._carrier.update_endpoints(listing)
-        if self.on_listed is not None:
-            self.on_listed(listing)
-        self._post(listing.event())
+        self._transport.update_endpoints(update)
+        if self.on_endpoint_update is not None:
+            self.on_endpoint_update(update)
+        self._post(update.event())
 
     def _attempt_ended(
-        self,
-        request: int,
-        attempt: int,
-        server: str,
-        sent_at: int,
-        outcome: Outcome,
-        response: Any,
-        report: Mapping[str, float] | None,
+        self, attempt: _Attempt, outcome: Outcome, response: Any, report: Mapping[str, float] | None
     ) -> None:
-        held = self._open[request]
-        if outcome is not Outcome.DELIVERED and held.waiter is not None:
-            held.request.check_client()  # no further attempt for nobody
-        held.out -= 1
-        held.last_outcome = outcome
-        held.may_have_run = held.may_have_run or not self._settings.rules.never_ran(outcome)
+        request = attempt.request
+        opened = self._open[request]
+        is_delivered = outcome is Outcome.DELIVERED
+        if not is_delivered and opened.handler is not None:
+            opened.request.check_client()  # no further attempt for a client that has left
+        opened.in_flight -= 1
+        opened.last_outcome = outcome
+        opened.may_have_run = opened.may_have_run or not self._settings.rules.never_ran(outcome)
         if outcome is Outcome.CONNECTION_REFUSED:
             self._source.suspect_stale()
-        if outcome is Outcome.DELIVERED:
-            waiter = self._settle(request)
-            if waiter is not None:
-                self.account[held.request.service_class].served += 1
-                waiter.served(response)
-        if held.whole_at > sent_at:
-            sent_at = held.whole_at  # it was whole only then, and its time counts from there
-        elapsed = self._network.now() - sent_at
-        if held.started is not None:
-            # What follows its begin takes as long as the waiter reads, and says nothing of the server.
-            elapsed = held.started
-            if outcome is not Outcome.DELIVERED:
-                self._fail(request, FailureCause.SERVERS)
-        # Whether it is answered is looked up when the event's turn comes.
-        again = outcome is Outcome.DELIVERED or held.request.can_go_again()
-        self._post(AttemptEnded(request, attempt, server, outcome, elapsed, False, report, again))
-
-    # Actions
-
-    def _carry_out(self, action: Action) -> None:
-        match action:
-            case Send():
-                self._send(action)
-            case SetTimer():
-                self._set_timer(self._network.now() + action.in_us, action.token)
-            case Refuse():
-                self._refuse(action)
-            case Fail():
-                held = self._open.get(action.request)
-                late = held is not None and held.last_outcome in (None, Outcome.TIMED_OUT)
-                self._fail(action.request, FailureCause.TIME if late else FailureCause.SERVERS)
-            case Cancel():
-                held = self._open.get(action.request)
-                if held is not None and action.attempt < len(held.attempts):
-                    self._carrier.cancel(held.attempts[action.attempt])
-            case SetAttemptDeadline():
-                held = self._open.get(action.request)
-                if held is not None and action.attempt < len(held.attempts):
-                    self._carrier.set_deadline(held.attempts[action.attempt], action.until)
-            case CloseIdle():
-                self._carrier.close_idle(action.server)
-            case WatchEndpoints():
-                self._source.watch(action.wanted)
-            case FetchList():
-                self._source.fetch()
-            case Probe():
-                self._probe(action.server)
-            case SendPeerMessage():
-                if not self._messages.send(action.receiver, action.payload):
-                    self._log("a message to other sidecars could not be sent")
-            case Log():
-                self._log(action.text)
-
-    def _send(self, action: Send) -> None:
-        number = action.request
-        held = self._open[number]
-        attempt, sent_at = len(held.attempts), self._network.now()
-
-        def done(outcome: Outcome, response: Any, report: Mapping[str, float] | None) -> None:
-            self._attempt_ended(number, attempt, action.server, sent_at, outcome, response, report)
-
-        if held.out and not self._settings.limits.allow_hedging:
-            self.invariants.broken(
-                InvariantViolation.TWO_ATTEMPTS, held.request.request_id, f"{held.out} out"
+        if is_delivered:
+            self._answers.serve(request, opened, response)
+        # A request that was completed after the attempt was sent is timed from its completion.
+        elapsed_us = self._network.now() - max(attempt.sent_at, opened.completed_at)
+        if opened.response_delay_us is not None:
+            # The rest of an answer takes as long as the client reads, which says nothing about the server.
+            elapsed_us = opened.response_delay_us
+            if not is_delivered:
+                self._answers.fail(request, FailureCause.SERVERS)
+        # Whether the request is answered is filled in when the event's turn comes.
+        can_retry = is_delivered or opened.request.can_go_again()
+        self._post(
+            AttemptEnded(
+                request, attempt.index, attempt.server, outcome, elapsed_us, False, report, can_retry
             )
-        held.out += 1
-        held.sent = (action.server, sent_at)
-        attempts = held.attempts
-        attempts.append(self._carrier.start(action.server, action.until, held.request, done, action.write_by))
+        )
 
-    def _probe(self, server: str) -> None:
-        sent_at = self._network.now()
+    # Actions, each called through `_CARRY_OUT`
 
-        def done(outcome: Outcome, response: Any, report: Mapping[str, float] | None) -> None:
-            self._post(ProbeEnded(server, outcome, self._network.now() - sent_at, report))
+    def _send(self, action: Send) -> None:
+        opened = self._open[action.request]
+        sent_at = self._network.now()
+        if opened.in_flight and not self._settings.limits.allow_hedging:
+            self.invariants.record(
+                InvariantViolation.TWO_ATTEMPTS, opened.request.request_id, f"{opened.in_flight} out"
+            )
+        opened.in_flight += 1
+        opened.last_sent = (action.server, sent_at)
+        attempts = opened.attempts
+        on_done = _Attempt(self, action.request, len(attempts), action.server, sent_at)
+        attempts.append(
+            self._transport.start(action.server, action.until, opened.request, on_done, action.write_by)
+        )
 
-        self._carrier.probe(server, sent_at + _PROBE_WITHIN_US, done)
+    def _set_timer(self, action: SetTimer) -> None:
+        self._arm_timer(self._network.now() + action.in_us, action.token)
 
-    def _refuse(self, action: Refuse) -> None:
-        held = self._open.get(action.request)
-        waiter = self._settle(action.request)
-        if held is not None and waiter is not None:
-            self.account[held.request.service_class].refused += 1
-            waiter.refused(action.retry_after_us if self._settings.limits.retry_after else 0)
-        self._forget_if_over(action.request)
-
-    def _set_timer(self, due: int, token: str) -> None:
+    def _arm_timer(self, due_us: int, token: str) -> None:
         def fire() -> None:
-            if self._network.now() < due:
-                self._set_timer(due, token)  # guards against a timer that fires early: it would fire in vain
+            if self._network.now() < due_us:
+                self._arm_timer(due_us, token)  # it fired early, when nothing is due yet
             else:
                 self._post(TimerFired(token))
 
-        self._network.call_later(max((due - self._network.now()) / 1e6, 0.0), fire)
+        self._network.call_later(max((due_us - self._network.now()) / 1e6, 0.0), fire)
 
-    # Open requests
+    def _refuse(self, action: Refuse) -> None:
+        retry_after_us = action.retry_after_us if self._settings.limits.retry_after else 0
+        self._answers.refuse(action.request, retry_after_us)
 
-    def _is_answered(self, request: int) -> bool:
-        held = self._open.get(request)
-        return held is None or held.waiter is None
+    def _fail(self, action: Fail) -> None:
+        opened = self._open.get(action.request)
+        is_timeout = opened is not None and opened.last_outcome in (None, Outcome.TIMED_OUT)
+        self._answers.fail(action.request, FailureCause.TIME if is_timeout else FailureCause.SERVERS)
 
-    def _fail(self, request: int, cause: FailureCause) -> None:
-        held = self._open.get(request)
-        waiter = self._settle(request)
-        if held is not None and waiter is not None:
-            self.account[held.request.service_class].failed += 1
-            waiter.failed(cause, held.may_have_run or held.out > 0)
-        self._forget_if_over(request)
+    def _cancel(self, action: Cancel) -> None:
+        opened = self._open.get(action.request)
+        if opened is not None and action.attempt < len(opened.attempts):
+            self._transport.cancel(opened.attempts[action.attempt])
 
-    def _settle(self, request: int) -> ResponseHandler | None:
-        """Nothing is owed from here on; give the one who waits, if something was."""
-        held = self._open.get(request)
-        if held is None or held.waiter is None:
-            return None
-        late_us = self._network.now() - held.due
-        is_timed = held.request.is_complete and held.started is None  # its carrier sees to one that has begun
-        if late_us > LATE_US and is_timed:
-            detail = f"by {late_us / 1e6:.3f} s, {len(held.attempts)} attempts, {held.out} out"
-            self.invariants.broken(InvariantViolation.ANSWERED_LATE, held.request.request_id, detail)
-        waiter, held.waiter = held.waiter, None
-        self._owed.discard(held.request.request_id)
-        if held.out:
-            # Guards servers against work for nobody, where calling off what was sent is not permitted.
-            for attempt in held.attempts:
-                self._carrier.withdraw(attempt)
-        return waiter
-
-    def _forget_if_over(self, request: int) -> None:
-        held = self._open.get(request)
-        if held is not None and held.waiter is None and held.out == 0:
-            del self._open[request]
+    def _set_attempt_deadline(self, action: SetAttemptDeadline) -> None:
+        opened = self._open.get(action.request)
+        if opened is not None and action.attempt < len(opened.attempts):
+            self._transport.set_deadline(opened.attempts[action.attempt], action.until)
+
+    def _close_idle(self, action: CloseIdle) -> None:
+        self._transport.close_idle(action.server)
+
+    def _watch_endpoints(self, action: WatchEndpoints) -> None:
+        self._source.watch(action.wanted)
+
+    def _fetch_list(self, _: FetchList) -> None:
+        self._source.fetch()
+
+    def _probe(self, action: Probe) -> None:
+        server, sent_at = action.server, self._network.now()
+
+        def on_done(outcome: Outcome, _: Any, report: Mapping[str, float] | None) -> None:
+            self._post(ProbeEnded(server, outcome, self._network.now() - sent_at, report))
+
+        self._transport.probe(server, sent_at + _PROBE_TIMEOUT_US, on_done)
+
+    def _send_peer_message(self, action: SendPeerMessage) -> None:
+        if not self._peers.send(action.receiver, action.payload):
+            self._log("a message to other sidecars could not be sent")
+
+    def _write_log(self, action: Log) -> None:
+        self._log(action.text)
+
+
+def _arrival_of(number: int, request: Request) -> RequestArrived:
+    return RequestArrived(
+        request=number,
+        service_class=request.service_class,
+        tenant=request.tenant,
+        key=request.key,
+        remaining_us=request.remaining_us,
+        cost_us=request.cost_us,
+        client_retry=request.client_retry,
+        write=request.write,
+        sticky_server=request.sticky_server,
+        kind=request.retired_class,
+        is_complete=request.is_complete,
+    )
+
+
+_CARRY_OUT: dict[type[Action], Callable[[Engine, Any], None]] = {
+    Send: Engine._send,
+    SetTimer: Engine._set_timer,
+    Refuse: Engine._refuse,
+    Fail: Engine._fail,
+    Cancel: Engine._cancel,
+    SetAttemptDeadline: Engine._set_attempt_deadline,
+    CloseIdle: Engine._close_idle,
+    WatchEndpoints: Engine._watch_endpoints,
+    FetchList: Engine._fetch_list,
+    Probe: Engine._probe,
+    SendPeerMessage: Engine._send_peer_message,
+    Log: Engine._write_log,
+}
--- /dev/null
+++ b/micadeck/engine/open_requests.py
@@ -0,0 +1,93 @@
+"""Open requests: those that were accepted and are unanswered, or still have an attempt in flight.  No I/O."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from micadeck.engine.ports import Request, ResponseHandler
+from micadeck.policy.outcomes import Outcome
+
+
+class OpenRequest:
+    """A request from its acceptance until it is answered and its attempts have ended.
+
+    Attributes:
+        handler: Gets the final answer; None once that was given, or nobody waits for it.
+        request: The request as the listener made it.
+        deadline_us: When its time is over, on the network's clock.
+        attempts: The transport's names of its attempts, in the order they were sent.
+        in_flight: How many of these have not ended.
+        last_outcome: How the last one that ended did so.
+        may_have_run: Whether a server may have begun it, by the attempts that have ended.
+        last_sent: The server and the time in microseconds of the last attempt.
+        completed_at: When its last byte came, if that was after its acceptance; else 0.
+        response_delay_us: How long its answer took to begin on its way to the handler; None: it has not.
+    """
+
+    __slots__ = (
+        "attempts",
+        "completed_at",
+        "deadline_us",
+        "handler",
+        "in_flight",
+        "last_outcome",
+        "last_sent",
+        "may_have_run",
+        "request",
+        "response_delay_us",
+    )
+
+    def __init__(self, handler: ResponseHandler, request: Request, deadline_us: int) -> None:
+        """Take up a request that has no attempt yet."""
+        self.handler: ResponseHandler | None = handler
+        self.request = request
+        self.deadline_us = deadline_us
+        self.attempts: list[Any] = []
+        self.in_flight = 0
+        self.last_outcome: Outcome | None = None
+        self.may_have_run = False
+        self.last_sent: tuple[str, int] = ("", 0)
+        self.completed_at = 0
+        self.response_delay_us: int | None = None
+
+
+class OpenRequests(dict[int, OpenRequest]):
+    """The open requests by number; owns their numbering and the ids of the unanswered ones."""
+
+    def __init__(self) -> None:
+        """Start with no request."""
+        super().__init__()
+        self.unanswered_ids: set[bytes] = set()
+        self._next_number = 1
+
+    def add(self, handler: ResponseHandler, request: Request, deadline_us: int) -> int:
+        """Open a request, and return its number."""
+        number = self._next_number
+        self._next_number += 1
+        self[number] = OpenRequest(handler, request, deadline_us)
+        self.unanswered_ids.add(request.request_id)
+        return number
+
+    def is_answered(self, number: int) -> bool:
+        """Whether a request has its final answer, or nobody waits for one."""
+        opened = self.get(number)
+        return opened is None or opened.handler is None
+
+    def take_handler(self, opened: OpenRequest) -> ResponseHandler | None:
+        """Mark a request as answered; return who gets the answer, None if it was answered before."""
+        handler, opened.handler = opened.handler, None
+        if handler is not None:
+            self.unanswered_ids.discard(opened.request.request_id)
+        return handler
+
+    def remove_if_over(self, number: int) -> None:
+        """Forget a request once it is answered and has no attempt in flight."""
+        opened = self.get(number)
+        if opened is not None and opened.handler is None and opened.in_flight == 0:
+            del self[number]
+
+    def keep_ids_in(self, ids: set[bytes]) -> None:
+        """Keep the ids of unanswered requests in this set from now on, the present ones too."""
+        for request_id in self.unanswered_ids:
+            ids.add(request_id)
+        self.unanswered_ids = ids
--- a/micadeck/engine/outcome_counters.py
+++ b/micadeck/engine/outcome_counters.py
@@ -1,25 +1,27 @@
-"""How requests ended, by class: the one account, kept where a request ends.  No input or output."""
+"""Outcome counters: how requests ended, by service class.  No I/O."""
 
 from __future__ import annotations
 
 
 class OutcomeCounts:
-    """One class's requests that ended, each under exactly one of these."""
+    """The ended requests of one class, each under exactly one of these."""
 
     __slots__ = ("failed", "refused", "served")
 
     def __init__(self) -> None:
+        """Start at zero."""
         self.served = 0
         self.refused = 0
         self.failed = 0
 
 
 class OutcomeCounters(dict[str, OutcomeCounts]):
-    """Ends by class; one that was not asked for is there with its first mention.
+    """Outcome counts by class since the start of the process; a class appears when it is first named.
 
-    What ended after its client had left stands nowhere; counts begin with the process.
+    Requests whose client disconnected are counted nowhere.
     """
 
     def __missing__(self, name: str) -> OutcomeCounts:
-        ends = self[name] = OutcomeCounts()
-        return ends
+        """Add a class that is named for the first time."""
+        counts = self[name] = OutcomeCounts()
+        return counts
--- a/micadeck/engine/ports.py
+++ b/micadeck/engine/ports.py
@@ -1,4 +1,4 @@
-"""What meets the engine: requests and those who wait for their answers, carriers, sources, messages.
+"""Ports of the engine: requests and who handles their answers, transports, endpoint sources and peers.
 
 Times are whole microseconds; `deadline_us` is a point on the network's clock.
 """
@@ -16,12 +16,12 @@
 from micadeck.policy.settings import ServiceClass
 
 # ---------------------------------------------------------------------------------------------------
-# Towards fronts
+# Towards listeners
 
 
 @dataclass(slots=True)
 class Request:
-    """What the decisions need to know of a request.  What a carrier needs beside it, a subclass holds."""
+    """What the decisions need to know of a request.  Subclasses hold what their transport needs too."""
 
     service_class: str
     tenant: str | None
@@ -29,22 +29,21 @@
     remaining_us: int
     cost_us: int | None
     client_retry: bool
-    request_id: bytes  # the client's name for it; no two open requests share one
+    request_id: bytes  # the client's; no two open requests share one
     write: bool
-    sticky_server: str | None = field(default=None, kw_only=True)  # the one server that can serve it
+    sticky_server: str | None = field(default=None, kw_only=True)  # the only server that can serve it
     is_complete: bool = field(default=True, kw_only=True)  # False: its body is still coming
     retired_class: ServiceClass | None = field(default=None, kw_only=True)  # its class, if no longer in force
 
     def can_go_again(self) -> bool:
-        """Whether all of it is kept; it is asked when an attempt has ended."""
+        """Whether all of it is buffered for another attempt; called when an attempt has ended."""
         return True
 
     def check_client(self) -> None:
-        """Find out whether the client has left, where that may lie unread.
+        """Find out whether the client has left, where that may lie unread on its connection.
 
-        It then calls `Engine.client_disconnected`.
-
-        It is asked before another attempt begins, and before one is written after its dial.
+        If so, it calls `Engine.client_disconnected`.  It is called before another attempt begins, and before
+        one is written after its dial.
         """
 
 
@@ -58,16 +57,16 @@
 
 
 class ResponseHandler(Protocol):
-    """Whoever waits for the one answer of a request: exactly one of these is called, once."""
+    """Gets the one final answer of a request: exactly one of these is called, once."""
 
     def served(self, response: Any) -> None:
-        """Take a server's answer, as the carrier made it."""
+        """Take a server's answer, as the transport made it."""
 
     def refused(self, retry_after_us: int) -> None:
-        """Trying again is harmless; not before so long, if that is above 0."""
+        """Take a refusal: a retry is harmless, but not before so long, if that is above 0."""
 
     def failed(self, cause: FailureCause, may_have_run: bool) -> None:
-        """Nothing is promised; `may_have_run` is false only if no server can have begun it."""
+        """Take a failure; `may_have_run` is false only if no server can have begun the request."""
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -81,7 +80,7 @@
     """Carries attempts to servers.  Calls each `on_done` exactly once, never from within these methods."""
 
     def update_endpoints(self, listing: EndpointUpdate) -> None:
-        """Take over a list or its changes, before any action that follows from it."""
+        """Take over an endpoint list or its changes, before any action that follows from it."""
 
     def start(
         self,
@@ -91,25 +90,37 @@
         on_done: AttemptCallback,
         write_deadline_us: int | None = None,
     ) -> Any:
-        """Begin an attempt; the result names it to `cancel`.
-
-        What has not been written whole at `write_deadline_us` is not written at all, and ends unsent.
+        """Begin an attempt.
+
+        Args:
+            server: The server's name on the endpoint list.
+            deadline_us: When the attempt is given up.
+            request: The request, as the listener made it.
+            on_done: Is called with how the attempt ended.
+            write_deadline_us: What has not been written in full by then is not written at all, and ends as
+                unsent; None: any time.
+
+        Returns:
+            The attempt's name for `set_deadline`, `cancel` and `withdraw`.
         """
 
     def set_deadline(self, attempt: Any, deadline_us: int) -> None:
         """Give the attempt up at another time than was said at its start."""
 
     def cancel(self, attempt: Any) -> None:
-        """Stop waiting.  Nothing is written for it from here on, and what is out has ended on return."""
+        """Stop waiting.  Nothing is written for it from here on, and on return it is over."""
 
     def withdraw(self, attempt: Any) -> None:
-        """Nobody waits for it: if it is not written whole yet, it never is, and ends unsent."""
+        """Nobody waits for it: if it is not written in full yet, it never is, and ends as unsent."""
 
-    def probe(self, server: str, deadline_us: int, on_done: AttemptCallback) -> None: ...
+    def probe(self, server: str, deadline_us: int, on_done: AttemptCallback) -> None:
+        """Send a health check to a server."""
 
-    def close_idle(self, server: str) -> None: ...
+    def close_idle(self, server: str) -> None:
+        """Close the idle connections to a server."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close all connections."""
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -118,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """A line of the list, with where the server can be reached from here."""
+    """One server of an endpoint list, with where it can be reached from here."""
 
     listed: ListedServer
     address: Address | None  # None: it left
@@ -126,32 +137,35 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """The list of servers, or what changed in it."""
+    """An endpoint list, or the changes of one."""
 
     version: int
     full: bool
     entries: tuple[EndpointEntry, ...]
 
     def event(self, kind: ListKind | None = None) -> ServersListed:
-        by_form = ListKind.COMPLETE if self.full else ListKind.CHANGES
-        return ServersListed(kind or by_form, [each.listed for each in self.entries], self.version)
+        """The event for the decisions; its kind follows from `full` unless it is given."""
+        default_kind = ListKind.COMPLETE if self.full else ListKind.CHANGES
+        return ServersListed(kind or default_kind, [entry.listed for entry in self.entries], self.version)
 
 
 class EndpointSource(Protocol):
-    """Tells who the servers are.  Every `follow` and `fetch` is answered by a list or by a failure."""
+    """Reports the endpoint list.  Every `watch` and `fetch` is answered by an update or a failure."""
 
-    def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None: ...
+    def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None:
+        """Report updates and failed calls to these from now on."""
 
     def watch(self, wanted: bool) -> None:
-        """Tell changes from now on, or no longer."""
+        """Report changes from now on, or no longer."""
 
     def fetch(self) -> None:
-        """Tell the whole list once."""
+        """Report the complete list once."""
 
     def suspect_stale(self) -> None:
-        """Nobody listens where the list has a server: see whether the list is still discovery's own."""
+        """Check whether the list is still discovery's own: a listed server refused a connection."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Report nothing any more, and close all connections."""
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -159,9 +173,10 @@
 
 
 class PeerTransport(Protocol):
-    """Short messages between the sidecars of a tier."""
+    """Carries short messages between the sidecars of a tier."""
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
-        """Send to one sidecar, or to all; say whether it could be sent at all."""
+        """Send to one sidecar, or to all (None); return whether it could be sent at all."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close the socket."""
--- a/micadeck/engine/send_guard.py
+++ b/micadeck/engine/send_guard.py
@@ -1,7 +1,7 @@
-"""The one place that decides whether an attempt may be written now, and that counts broken invariants.
+"""Send guard: the one place that decides whether an attempt may be written now; counts broken invariants.
 
 Everything here is a function of one snapshot and one reading of the clock, taken in the step that then acts.
-What is done after an await asks again.  No input or output but the log that it is given.
+What is done after an await asks again.  No I/O but the log that it is given.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 from collections.abc import Callable
 from enum import Enum, unique
 
-LATE_US = 500_000  # an answer that comes so long after its request's time counts as lost
+ANSWER_SLACK_US = 500_000  # an answer that is later than this counts as lost
 
 
 @unique
 class SendDenial(Enum):
     """Why an attempt is not written."""
 
-    CALLED_OFF = "called off"  # its request is over, its client left, or it was given up
-    SERVER_LEAVING = "server leaving"  # it drains, is gone, or is another process by now
+    CALLED_OFF = "called off"  # its request is over, its client left, or it was cancelled
+    SERVER_LEAVING = "server leaving"  # it drains, has left, or is another process by now
     TIME_OVER = "time over"  # of the attempt
     REPEAT_TOO_LATE = "repeat too late"  # servers may have forgotten the first attempt
-    CONNECTION_ENDED = "connection ended"  # or brought what nobody asked for
+    CONNECTION_ENDED = "connection ended"  # or brought data that was not requested
 
 
 @unique
@@ -33,7 +33,7 @@
     CLOSED_UNANSWERED = "closed with a request unanswered"
 
 
-def send_denial(
+def send_denial(  # one snapshot: each argument is a fact of its own, given by keyword
     now: int,
     *,
     deadline_us: int,
@@ -42,7 +42,19 @@
     is_server_leaving: bool,
     is_connection_usable: bool,
 ) -> SendDenial | None:
-    """Why an attempt may not be written at this time; None if it may.  Times are microseconds."""
+    """Decide whether an attempt may be written.  All times are microseconds on the network's clock.
+
+    Args:
+        now: The time.
+        deadline_us: When the attempt is given up.
+        write_deadline_us: When it must be written in full; None: at any time.
+        is_called_off: Whether nobody waits for it any more.
+        is_server_leaving: Whether its server takes no new requests.
+        is_connection_usable: Whether its connection can carry it.
+
+    Returns:
+        Why it may not be written now; None if it may.
+    """
     if is_called_off:
         return SendDenial.CALLED_OFF
     if is_server_leaving:
@@ -57,15 +69,16 @@
 
 
 class InvariantLog:
-    """Counts broken invariants, and logs each with the request that it befell."""
+    """Counts broken invariants, and logs each with its request; owns the counts."""
 
     def __init__(self, log: Callable[[str], None]) -> None:
+        """Start at zero; `log` takes one line at a time."""
         self._log = log
         self.counts: Counter[InvariantViolation] = Counter()
 
-    def broken(self, violation: InvariantViolation, ident: bytes, detail: str = "") -> None:
-        """Take note of one; it changes nothing else."""
+    def record(self, violation: InvariantViolation, request_id: bytes, detail: str = "") -> None:
+        """Count and log a violation; it changes nothing else."""
         self.counts[violation] += 1
         self._log(
-            f"invariant violated: {violation.value}: request {ident.decode('latin-1')} {detail}".rstrip()
+            f"invariant violated: {violation.value}: request {request_id.decode('latin-1')} {detail}".rstrip()
         )
--- a/micadeck/fleet/host.py
+++ b/micadeck/fleet/host.py
@@ -45,7 +45,7 @@
         self.fleet = Fleet(name, network.now(), place, config.keys, seed, config.settings, self._now())
         self.fleet.tell(self._now(), Facts(config.region))
         self.fleet.join(others)
-        peers.hear_raw(self._heard)
+        peers.receive_raw(self._heard)
 
     def start(self) -> None:
         self._arm()
--- /dev/null
+++ b/micadeck/graceful_shutdown.py
@@ -0,0 +1,120 @@
+"""Graceful shutdown: the ordered stop of the HTTP daemon, and the drain of the clients' connections."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
+
+from micadeck.engine import Engine
+from micadeck.http.listener import HttpListener
+from micadeck.network import Network
+from micadeck.operations import ConnectionsToClose, Lifecycle
+from micadeck.operations.shutdown_budget import FLUSH_S, KILLED_AFTER_S, answered_by
+
+if TYPE_CHECKING:
+    from micadeck.mysql.service import MysqlService
+
+_POLL_S = 0.01
+_NEW_CONNECTIONS_S = 0.4  # after SIGTERM, clients may go on opening connections
+_QUIET_S = 0.05  # without a new connection, before the listener closes
+
+
+async def drain_engine(network: Network, engine: Engine, timeout_s: float) -> None:
+    """Wait until all open requests are answered; those without an answer after `timeout_s` have failed."""
+    deadline = network.time() + timeout_s
+    engine.set_drain_deadline(network.now() + int(timeout_s * 1e6))
+    while engine.unanswered_requests and network.time() < deadline:
+        await network.sleep(_POLL_S)
+    engine.fail_open_requests()
+
+
+class ConnectionDrain:
+    """Closes the clients' connections while the process is draining; owns the task that does it."""
+
+    def __init__(self, network: Network, lifecycle: Lifecycle, listener: HttpListener) -> None:
+        """Drain the connections of `listener` for as long as `lifecycle` says so."""
+        self._network = network
+        self._lifecycle = lifecycle
+        self._listener = listener
+        self._task: asyncio.Task[None] | None = None
+
+    def start(self) -> None:
+        """Begin, unless connections are being drained already."""
+        if self._task is None or self._task.done():
+            self._task = self._network.spawn(self._run())
+
+    def close(self) -> None:
+        """Stop closing connections."""
+        if self._task is not None:
+            self._task.cancel()
+
+    async def _run(self) -> None:
+        while self._lifecycle.is_leaving:
+            which = self._lifecycle.lets_go(self._network.time())
+            if which is ConnectionsToClose.IDLE:
+                self._listener.close_idle()
+            elif which is ConnectionsToClose.RESTING:
+                self._listener.close_resting()
+            await self._network.sleep(_POLL_S)
+
+
+class GracefulShutdown:
+    """Answers all that was taken and is still coming, then closes the clients' connections.
+
+    The phase of the process is the lifecycle's; this holds no state between its steps.
+    """
+
+    def __init__(
+        self, network: Network, engine: Engine, listener: HttpListener, mysql: MysqlService | None
+    ) -> None:
+        """Stop these, in the order that `run` keeps."""
+        self._network = network
+        self._engine = engine
+        self._listener = listener
+        self._mysql = mysql
+
+    async def run(
+        self,
+        requested_at: float | None,
+        deadlines_s: Iterable[float],
+        enter_stopping: Callable[[float], None],
+    ) -> None:
+        """Run all steps.
+
+        Args:
+            requested_at: When the end was requested, on the network's clock in seconds; None: now.  SIGKILL
+                follows so long after that, whenever the event loop came to see the request.
+            deadlines_s: The deadlines of the service classes, in seconds.
+            enter_stopping: Moves the process to its stopping phase, given the time of the request.
+        """
+        network, engine, listener = self._network, self._engine, self._listener
+        started = network.time() if requested_at is None else requested_at
+        answers_due = answered_by(started, deadlines_s)
+        left_s = max(answers_due - network.time(), 0.0)
+        engine.set_drain_deadline(network.now() + int(left_s * 1e6))
+        enter_stopping(started)
+        mysql_drain = network.spawn(self._mysql.drain(left_s)) if self._mysql is not None else None
+        await self._await_last_connections(started, min(started + KILLED_AFTER_S, answers_due))
+        listener.stop_listening()
+        while self._has_work() and network.time() < answers_due:
+            await network.sleep(_POLL_S)
+        engine.fail_open_requests()
+        if mysql_drain is not None:
+            await mysql_drain
+        listener.close_all()
+        # Until clients have their last answers, and ended their side.
+        while listener.open_connections and network.time() < answers_due + FLUSH_S:
+            await network.sleep(_POLL_S)
+
+    async def _await_last_connections(self, started: float, latest: float) -> None:
+        """Wait until clients open no more connections, no longer than to `latest`."""
+        network = self._network
+        await network.sleep(max(started + _NEW_CONNECTIONS_S - network.time(), 0.0))
+        while network.time() < min(self._listener.last_opened + _QUIET_S, latest):
+            await network.sleep(_QUIET_S / 2)
+
+    def _has_work(self) -> bool:
+        """Whether a request is unanswered, or a client may still send one."""
+        listener = self._listener
+        return bool(self._engine.unanswered_requests or listener.open_connections or listener.is_accepting)
--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -163,7 +163,7 @@
         owed, stream, request = self._owed, response.stream, self._request
         if owed is None or stream is None or request is None or self._transport is None:
             return False
-        if self._transport.is_closing() or not self._frontend.engine.started(owed):
+        if self._transport.is_closing() or not self._frontend.engine.response_started(owed):
             return False
         self._download = response
         headers = error_responses.begun(response)
@@ -244,7 +244,7 @@
         is_whole = self._upload is None and self._download is None  # else the client can tell that it failed
         if self._owed is not None and is_whole and not self.has_gone:
             ident = self._frontend.engine.request_id(self._owed)
-            self._frontend.engine.invariants.broken(InvariantViolation.CLOSED_UNANSWERED, ident)
+            self._frontend.engine.invariants.record(InvariantViolation.CLOSED_UNANSWERED, ident)
         if self._transport is not None:
             self._transport.abort()
 
@@ -285,7 +285,7 @@
             self._read(nbytes)
         except Exception as defect:
             # Guards against a connection that the event loop closes for it, its request without an answer.
-            self._frontend.engine.defect(f"a client's connection: {defect!r}")
+            self._frontend.engine.report_defect(f"a client's connection: {defect!r}")
             self.reject(500)
 
     def _read(self, nbytes: int) -> None:
@@ -588,7 +588,7 @@
             upload_s = limits.request_timeout_s + length / limits.least_bytes_per_s
             incoming.remaining_us += int(upload_s * 1e6)  # its own time counts from its last byte
         try:
-            return self.engine.take(incoming, client)
+            return self.engine.submit(incoming, client)
         except RequestIdInUseError:
             raise BadRequestError("request-id is that of an open request", 409) from None
 
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -118,7 +118,7 @@
     def __init__(self, network: Network, settings: Settings, budget: BufferBudget | None = None) -> None:
         self._budget = budget  # of answers that are passed on as they come; None: they are kept
         self._network = network
-        self.retune(settings)
+        self.apply_settings(settings)
         self.most = 0  # connections; set by whoever knows how many descriptors there are
         self._servers: dict[str, _Server] = {}
         self._owners: dict[ClientConnection, _Server] = {}  # of every open connection
@@ -129,7 +129,7 @@
         self.denials: Counter[SendDenial] = Counter()
         self.tries = 0  # attempts written whole; probes are none
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Follow these settings from now on."""
         self._dial_within_s = settings.limits.dial_timeout_us / 1e6
         self._use_within_us = int(settings.limits.idle_close_us * (1.0 - _IDLE_MARGIN))
--- a/micadeck/incidents/observer.py
+++ b/micadeck/incidents/observer.py
@@ -71,7 +71,7 @@
     def request_id(self, request: int) -> bytes:
         """The client's name for an open request."""
 
-    def figures(self) -> BalancerStatistics:
+    def statistics(self) -> BalancerStatistics:
         """How the decisions stand."""
 
 
@@ -310,7 +310,7 @@
     def take(self, now: int, wall: int, lag_us: int) -> list[Record]:
         """All since the last time: first what happened, then the span that it happened in."""
         told, self._waiting = self._waiting, []
-        figures = self._look.figures()
+        figures = self._look.statistics()
         classes, servers = [], []
         for each in self._classes.values():
             counts = (each.arrived, each.served, each.late, each.refused, each.failed, each.gone)
--- a/micadeck/library/background_loop.py
+++ b/micadeck/library/background_loop.py
@@ -20,7 +20,7 @@
 from micadeck.library.loop_inbox import LoopInbox
 from micadeck.network import LoopNetwork
 from micadeck.operations import Lifecycle, Phase
-from micadeck.runtime import Core
+from micadeck.runtime import Runtime
 
 _JOIN_SPARE_S = 1.0  # beyond the longest deadline, for the thread to end
 
@@ -67,7 +67,7 @@
 
 
 class BackgroundLoop:
-    """A core on a thread of its own.  All but `_main` and what it names runs on any thread."""
+    """A runtime on a thread of its own.  All but `_main` and what it names runs on any thread."""
 
     def __init__(self, config: Config, log: Callable[[str], None]) -> None:
         self._config = config
@@ -78,7 +78,7 @@
         # To take a call out of one of these decides a race between threads: `pop` is atomic.
         self._owed: dict[Call, None] = {}  # its answer; who takes it out delivers that
         self._handed: dict[Call, None] = {}  # not yet to the engine; who takes it out decides if it runs
-        self._core: Core | None = None
+        self._runtime: Runtime | None = None
         self._inbox: LoopInbox | None = None
         self._drain: asyncio.Event | None = None
         self._is_up = threading.Event()
@@ -90,19 +90,19 @@
         """Return once requests are taken; raise what kept the engine from starting (OSError, ...)."""
         self._thread.start()
         self._is_up.wait()
-        if self._core is None:
+        if self._runtime is None:
             self._thread.join()
             assert self._fault is not None
             raise self._fault
 
     def now(self) -> int:
-        assert self._core is not None
-        return self._core.network.now()
+        assert self._runtime is not None
+        return self._runtime.network.now()
 
     @property
     def open_requests(self) -> int:
         """Requests that are not over: unanswered, or with an attempt still out."""
-        return self._core.engine.open_requests if self._core is not None else 0
+        return self._runtime.engine.open_requests if self._runtime is not None else 0
 
     @property
     def is_here(self) -> bool:
@@ -150,8 +150,8 @@
         return self._handed.pop(call, self) is None
 
     def reload(self, config: Config) -> None:
-        assert self._core is not None and self._inbox is not None
-        self._inbox.post(self._core.reload, config)
+        assert self._runtime is not None and self._inbox is not None
+        self._inbox.post(self._runtime.reload, config)
 
     def stop(self, on_end: Callable[[], object] | None = None) -> None:
         """Take nothing new, answer all that was taken, end.  `on_end` is called once that is done."""
@@ -204,32 +204,32 @@
     async def _main(self) -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._unhandled)
-        core = Core(self._config, LoopNetwork(), self._log, HandlerFirstEngine)
-        await core.start()
-        self._inbox, self._drain, self._core = LoopInbox(loop), asyncio.Event(), core
+        runtime = Runtime(self._config, LoopNetwork(), self._log, HandlerFirstEngine)
+        await runtime.start()
+        self._inbox, self._drain, self._runtime = LoopInbox(loop), asyncio.Event(), runtime
         self._life.started(0.0)
         self._is_up.set()
         try:
             await self._drain.wait()
-            await core.drain(self.longest_s)
+            await runtime.drain(self.longest_s)
         finally:
-            core.close()
+            runtime.close()
         await asyncio.sleep(0)  # connections end in a later round of the loop
 
     def _unhandled(self, loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
         self._log(f"internal error: {what['message']}: {what.get('exception')!r}")
 
     def _take(self, call: Call) -> None:
-        assert self._core is not None
+        assert self._runtime is not None
         if not self._take_back(call):
             return  # withdrawn, or ended, before its turn came
         # Its time has run since the host handed it over, however long this thread had to wait.
-        call.incoming.remaining_us = max(call.due - self._core.network.now(), 1)
+        call.incoming.remaining_us = max(call.due - self._runtime.network.now(), 1)
         try:
-            call.number = self._core.engine.take(call.incoming, call)
+            call.number = self._runtime.engine.submit(call.incoming, call)
         except RequestIdInUseError:
             call.end(answers.rejected(409, "request-id is that of an open request"))
 
     def _gone(self, call: Call) -> None:
-        if call.number is not None and self._core is not None:
-            self._core.engine.client_disconnected(call.number)
+        if call.number is not None and self._runtime is not None:
+            self._runtime.engine.client_disconnected(call.number)
--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -167,7 +167,7 @@
         Raises ConfigError, and keeps the old one, on nonsense.
         """
         read = read_config(config)
-        read.replaces(self._config)
+        read.check_replaces(self._config)
         self._running().reload(read)
         self._reader = Reader(read.settings)  # a host words its requests by what it has just given
 
--- /dev/null
+++ b/micadeck/memory_relief.py
@@ -0,0 +1,62 @@
+"""Memory relief: frees what owes nobody an answer while the process is short of memory."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from micadeck.http.listener import HttpListener
+from micadeck.http.upstream import ConnectionPool
+from micadeck.memory.budget import MemoryBudget, PressureLevel
+from micadeck.network import Network
+
+_RETRY_S = 0.1
+_REJECTED_FRACTION = 4  # one in so many of the half-sent requests is given up at a time
+
+
+class MemoryRelief:
+    """Gives up half-sent requests and closes idle connections, step by step, until memory suffices.
+
+    Owns whether a step is scheduled.  A step frees only a part: the resident memory is only seen to shrink
+    a moment later.
+    """
+
+    def __init__(
+        self, network: Network, budget: MemoryBudget, listener: HttpListener, upstream: ConnectionPool
+    ) -> None:
+        """Take over `budget.on_stage`.
+
+        Args:
+            network: The clock and timers.
+            budget: The memory budget, whose pressure level decides what is freed.
+            listener: The clients' connections.
+            upstream: The connections to servers.
+        """
+        self._network = network
+        self._budget = budget
+        self._listener = listener
+        self._upstream = upstream
+        self._is_scheduled = False
+        self.on_level: Callable[[PressureLevel], object] = _ignore
+        budget.on_stage = self._level_entered
+
+    def _level_entered(self, level: PressureLevel) -> None:
+        """React to a pressure level, but not within the call that has just booked memory."""
+        self.on_level(level)
+        if level >= PressureLevel.GIVE_UP and not self._is_scheduled:
+            self._is_scheduled = True
+            self._network.call_soon(self._run_step)
+
+    def _run_step(self) -> None:
+        for _ in range(self._listener.half_sent // _REJECTED_FRACTION + 1):
+            if self._budget.stage < PressureLevel.GIVE_UP or not self._listener.give_up_oldest():
+                break
+        if self._budget.stage >= PressureLevel.CLOSE_IDLE:
+            self._listener.close_idle()
+            self._upstream.close_all_idle()
+        self._is_scheduled = self._budget.stage >= PressureLevel.GIVE_UP
+        if self._is_scheduled:
+            self._network.call_later(_RETRY_S, self._run_step)
+
+
+def _ignore(_: PressureLevel) -> None:
+    """No monitor is attached."""
--- a/micadeck/mysql/listener.py
+++ b/micadeck/mysql/listener.py
@@ -204,7 +204,7 @@
     # Sink
 
     def begin(self, call: Call) -> bool:
-        if self.number is None or not self.client.front.engine.started(self.number):
+        if self.number is None or not self.client.front.engine.response_started(self.number):
             return False
         self.has_begun = True
         self.call = call
@@ -648,7 +648,7 @@
         )
         self._running = running
         # The engine may answer before it gives the number, but never begins to stream before.
-        number = front.engine.take(request, running)
+        number = front.engine.submit(request, running)
         running.number = number
         return running if self._running is running else None
 
--- a/micadeck/mysql/service.py
+++ b/micadeck/mysql/service.py
@@ -124,7 +124,7 @@
         """Answer what was taken, let transactions end, then let go of everything."""
         network = self._network
         until = network.time() + within_s
-        self.engine.stop_by(network.now() + int(max(within_s - _SPARE_S, 0.0) * 1e6))
+        self.engine.set_drain_deadline(network.now() + int(max(within_s - _SPARE_S, 0.0) * 1e6))
         self.front.drain()
         while self.front.busy and network.time() < until - _SPARE_S:
             await network.sleep(_LOOK_AGAIN_S)
--- a/micadeck/peer_datagrams.py
+++ b/micadeck/peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between sidecars."""
+"""Datagrams between the sidecars of a tier."""
 
 from __future__ import annotations
 
@@ -9,79 +9,93 @@
 
 from micadeck.network import Address, Network
 
-MOST_BYTES = 256  # of a datagram; a longer one is never sent
+MAX_DATAGRAM_BYTES = 256  # a longer one is never sent
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """Sends to sidecars of the tier by number, and tells who a datagram came from."""
+    """Sends to the sidecars of the tier by number, and reports who a datagram came from.
+
+    Owns the socket and the addresses of the peers.
+    """
 
     def __init__(
-        self, network: Network, peers: tuple[Address, ...], everyone: Address | None, me: int
+        self, network: Network, peers: tuple[Address, ...], broadcast: Address | None, own_number: int
     ) -> None:
+        """Set the peers up; `listen` opens the socket.
+
+        Args:
+            network: Opens the socket.
+            peers: The addresses of all sidecars of the tier, this one's too, by number.
+            broadcast: An address that reaches all of them; None: each gets a datagram of its own.
+            own_number: The number of this sidecar.
+        """
         self._network = network
-        self.rename(peers, everyone)
-        self._me = me
+        self.set_peers(peers, broadcast)
+        self._own_number = own_number
         self._on_message: Callable[[int, bytes], None] = _ignore
         self._transport: asyncio.DatagramTransport | None = None
-        self._on_raw: Callable[[Address, bytes], None] | None = None
+        self._on_datagram: Callable[[Address, bytes], None] | None = None
 
-    def hear_raw(self, on_raw: Callable[[Address, bytes], None]) -> None:
-        """Give all that comes to this in place of `on_message`: it knows by itself who is a member."""
-        self._on_raw = on_raw
+    def receive_raw(self, on_datagram: Callable[[Address, bytes], None]) -> None:
+        """Give each datagram to this in place of `on_message`: it knows by itself who is a member."""
+        self._on_datagram = on_datagram
 
     def send_raw(self, to: Address, payload: bytes) -> None:
-        """Send to an address; it may be lost, also here."""
+        """Send to an address; the datagram may be lost, also here."""
         if self._transport is not None:
             with suppress(OSError, ValueError):  # no such address
                 self._transport.sendto(payload, to)
 
-    def rename(self, peers: tuple[Address, ...], everyone: Address | None) -> None:
+    def set_peers(self, peers: tuple[Address, ...], broadcast: Address | None) -> None:
         """Reach the tier's sidecars at these addresses from now on."""
         self._peers = peers
-        self._everyone = everyone
+        self._broadcast = broadcast
         self._numbers = {address: number for number, address in enumerate(peers)}
 
     async def listen(self, address: Address, on_message: Callable[[int, bytes], None]) -> None:
-        """Hear from the others; `on_message` gets the sender's number and what it said."""
+        """Receive datagrams at an address; `on_message` gets the sender's number and the payload."""
         self._on_message = on_message
         await self._network.datagrams(lambda: self, address)
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
-        """Send to one sidecar, or to all; say whether it could be sent at all."""
-        if self._transport is None or len(payload) > MOST_BYTES:
+        """Send to one sidecar, or to all (None); return whether it could be sent at all."""
+        if self._transport is None or len(payload) > MAX_DATAGRAM_BYTES:
             return False
         if receiver is not None:
             if not 0 <= receiver < len(self._peers):
                 return False
             self._transport.sendto(payload, self._peers[receiver])
-        elif self._everyone is not None:
-            self._transport.sendto(payload, self._everyone)
+        elif self._broadcast is not None:
+            self._transport.sendto(payload, self._broadcast)
         else:
             for number, address in enumerate(self._peers):
-                if number != self._me:
+                if number != self._own_number:
                     self._transport.sendto(payload, address)
         return True
 
     def close(self) -> None:
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the open socket."""
         # The event loop's own class is none of DatagramTransport, so there is nothing to check.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        if self._on_raw is not None:
-            self._on_raw((addr[0], addr[1]), data)
+        """Report a datagram, unless it is from no sidecar of the tier."""
+        if self._on_datagram is not None:
+            self._on_datagram((addr[0], addr[1]), data)
             return
         number = self._numbers.get((addr[0], addr[1]))
-        if number is None or number == self._me or len(data) > MOST_BYTES:
-            return  # not from a sidecar of the tier
+        if number is None or number == self._own_number or len(data) > MAX_DATAGRAM_BYTES:
+            return
         self._on_message(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """A datagram may be lost; that is all an error says."""
+        """Ignore errors: any datagram may be lost."""
 
 
 def _ignore(number: int, payload: bytes) -> None:
-    """Nobody listens yet."""
+    """Drop a datagram; `listen` was not called yet."""
--- /dev/null
+++ b/micadeck/reload.py
@@ -0,0 +1,68 @@
+"""Configuration reload: which keys a running process takes over, and which only a restart does.
+
+Decides only; `Runtime.reload` carries the plan out.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+
+from micadeck.config import Config
+from micadeck.policy import Settings
+
+_RESTART_ONLY_KEYS = (
+    "trace",
+    "records",
+    "records_mb",
+    "name",
+    "listen",
+    "operator",
+    "peer_listen",
+    "seed",
+    "memory_mb",
+)
+_RESTART_ONLY_SETTINGS = ("zone", "me", "discovery")
+# Their values may change, but not whether there is one.
+_OPTIONAL_PARTS = ("discovery", "consul", "mysql", "fleet")
+
+
+@dataclass(frozen=True, slots=True)
+class ReloadPlan:
+    """What a reload changes.
+
+    Attributes:
+        config: The configuration in force from now on, still with the settings from before.
+        settings: The settings to put in force, with their restart-only values as they were.
+        restart_keys: Keys that differ in the file, and that only a restart takes up.
+    """
+
+    config: Config
+    settings: Settings
+    restart_keys: tuple[str, ...]
+
+
+def plan_reload(running: Config, loaded: Config) -> ReloadPlan:
+    """Compare a loaded configuration with the running one.
+
+    Args:
+        running: The configuration in force.
+        loaded: The one that was read anew.
+
+    Raises:
+        ConfigError: `loaded` lacks keys that the running configuration has.
+    """
+    loaded.check_replaces(running)
+    kept_keys = [key for key in _RESTART_ONLY_KEYS if getattr(loaded, key) != getattr(running, key)]
+    kept_keys += [
+        key for key in _OPTIONAL_PARTS if (getattr(loaded, key) is None) != (getattr(running, key) is None)
+    ]
+    kept_settings = {key: getattr(running.settings, key) for key in _RESTART_ONLY_SETTINGS}
+    differing_settings = [
+        f"settings.{key}" for key, value in kept_settings.items() if getattr(loaded.settings, key) != value
+    ]
+    kept_values = {key: getattr(running, key) for key in kept_keys}
+    return ReloadPlan(
+        config=replace(loaded, settings=running.settings, **kept_values),
+        settings=replace(loaded.settings, **kept_settings),
+        restart_keys=(*kept_keys, *differing_settings),
+    )
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -1,4 +1,4 @@
-"""The HTTP daemon: the engine between an HTTP front, an HTTP carrier, the roster and the tier's messages."""
+"""The HTTP daemon: a runtime with its listeners, admin server, memory relief and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -8,13 +8,15 @@
 from typing import TYPE_CHECKING
 
 from micadeck.config import Config
+from micadeck.errors import OperatorError
+from micadeck.graceful_shutdown import ConnectionDrain, GracefulShutdown
 from micadeck.http.listener import DownstreamLimits, HttpListener
-from micadeck.memory.budget import MemoryBudget, MemoryUse, PressureLevel
+from micadeck.memory.budget import MemoryBudget, MemoryUse
 from micadeck.memory.resident import open_descriptors
+from micadeck.memory_relief import MemoryRelief
 from micadeck.network import Address, Network, place
 from micadeck.operations import (
     AdminThread,
-    ConnectionsToClose,
     HotRestart,
     Lifecycle,
     Phase,
@@ -22,26 +24,30 @@
     RuntimeStatistics,
     report,
 )
-from micadeck.operations.shutdown_budget import FLUSH_S, KILLED_AFTER_S, answered_by
 from micadeck.operations.startup_retry import StartCancelledError, StartupRetry
-from micadeck.runtime import Core
+from micadeck.runtime import Runtime
 
 if TYPE_CHECKING:
     from micadeck.mysql.service import MysqlService
 
-_REQUESTS_OF_MEMORY = (1 << 20) // 8  # for each MB of the limit: what unanswered requests may take of it
-_LOOK_AGAIN_S = 0.01  # while it drains
-_LIST_WITHIN_S = 2.0  # of the start; after that the list in the configuration has to do
-_LOOK_BESIDE_S = 0.1  # for another process of this sidecar
-_NEW_FOR_S = 0.4  # how long after SIGTERM new connections may go on coming
-_QUIET_S = 0.05  # and how long none must have come before the listener closes
-_RELIEVE_EVERY_S = 0.1  # while memory is so short that half-sent requests are given up
-_GIVEN_UP_AT_ONCE = 4  # one of so many of them
-_SHOWN_BESIDE_S = 0.1  # beyond a look, until another process of this sidecar shows what it has open
+_REQUEST_BYTES_PER_MB = (1 << 20) // 8  # for unanswered requests, per MB of the memory limit
+_LIST_TIMEOUT_S = 2.0  # after the start; then the list in the configuration has to do
+_SIBLING_POLL_S = 0.1
+_SIBLING_IDS_S = 0.1  # beyond a poll, until a sibling shows the ids of its open requests
 
 
 class Sidecar:
-    """One daemon from its start to its end."""
+    """One daemon from its start to its end.
+
+    Owns the listeners, the phase of the process and the tasks that run beside requests.
+
+    Attributes:
+        frontend: The listener for the application's HTTP connections.
+        mysql: The MySQL service; None if it is not configured.
+        lifecycle: The phase of the process.
+        admin: The admin server; None if it is not configured.
+        memory_relief: Frees memory while there is too little.
+    """
 
     def __init__(
         self,
@@ -49,36 +55,43 @@
         network: Network,
         log: Callable[[str], None],
         client_limits: DownstreamLimits | None = None,
-        beside: HotRestart | None = None,
+        hot_restart: HotRestart | None = None,
     ) -> None:
-        self._beside = beside
-        self._watching: asyncio.Task[None] | None = None
-        self._ids: RequestIdRegistry | None = None  # only while there are others
+        """Put all parts together; `start` makes them run.
+
+        Args:
+            config: The configuration.
+            network: The clock, timers and sockets.
+            log: Takes one line at a time.
+            client_limits: Limits of the application's connections; None: the usual ones.
+            hot_restart: Finds other processes of this sidecar; None: there are none.
+        """
         self._network = network
         self._log = log
-        self._core = Core(config, network, log)
-        self._engine = self._core.engine
-        if self._core.sources is not None:
-            # A list of thousands comes after the start: a collection that looks at all of it takes 50 ms.
-            self._core.sources.settle = gc.freeze
-        client_limits = client_limits or DownstreamLimits(most_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
-        self.frontend = HttpListener(config.settings, client_limits, self._engine, network, self._core.budget)
-        self.frontend.most = self._core.for_clients
-        self.frontend.on_settings = self._core.retune
-        self._engine.memory = self._core.memory  # a host's own memory is not this library's to ration
-        self._core.memory.on_stage = self._relieve_soon
-        self.mysql = self._with_mysql(config, network, log)
-        self.life = Lifecycle()
-        self.door = AdminThread(network, self) if config.operator is not None else None
-        self._leaving: asyncio.Task[None] | None = None
-        self.on_memory_stage: Callable[[PressureLevel], object] = _nothing
-        self._is_relieving = False
-        self._loads = self._load_errors = 0
+        self._hot_restart = hot_restart
+        self._sibling_watch: asyncio.Task[None] | None = None
+        self._request_ids: RequestIdRegistry | None = None  # only while there are siblings
+        runtime = self._runtime = Runtime(config, network, log)
+        engine = self._engine = runtime.engine
+        if runtime.sources is not None:
+            # A list of thousands comes after the start: a collection that visits all of it takes 50 ms.
+            runtime.sources.settle = gc.freeze
+        client_limits = client_limits or DownstreamLimits(most_bytes=config.memory_mb * _REQUEST_BYTES_PER_MB)
+        self.frontend = HttpListener(config.settings, client_limits, engine, network, runtime.buffer_budget)
+        self.frontend.most = runtime.max_client_connections
+        self.frontend.on_settings = runtime.apply_settings
+        engine.memory = runtime.memory  # the library leaves its host's memory alone
+        self.memory_relief = MemoryRelief(network, runtime.memory, self.frontend, runtime.upstream)
+        self.mysql = self._make_mysql(config, network, log)
+        self.lifecycle = Lifecycle()
+        self.admin = AdminThread(network, self) if config.operator is not None else None
+        self._connection_drain = ConnectionDrain(network, self.lifecycle, self.frontend)
+        self._config_loads = self._config_load_errors = 0
         self._started_at = 0.0
 
     @staticmethod
-    def _with_mysql(config: Config, network: Network, log: Callable[[str], None]) -> MysqlService | None:
-        """A second front with an engine of its own; without it, nothing of it is loaded."""
+    def _make_mysql(config: Config, network: Network, log: Callable[[str], None]) -> MysqlService | None:
+        """A second listener with an engine of its own; without the key, nothing of it is loaded."""
         if config.mysql is None:
             return None
         from micadeck.mysql.service import MysqlService
@@ -86,242 +99,210 @@
         return MysqlService(config.mysql, network, config.seed, log)
 
     async def start(self, is_ending: Callable[[], bool] = lambda: False) -> None:
-        """Take up the last known list, then listen, clients last.
+        """Start the runtime, then listen, to clients last.
 
-        Raises CannotListen once that can't pass, and StartCalledOff if the process is to end while it waits.
+        Args:
+            is_ending: Whether the process is to end; asked while listening is retried.
+
+        Raises:
+            ListenError: An address can't be listened at, and a retry won't help.
+            StartCancelledError: The process is to end.
         """
-        await self._core.start()
-        if self._beside is not None:
-            self._beside.enter()
-            self._share()
-            if self._beside.others:
-                # Guards rule 2: by then the others show which requests they have open.
-                await self._network.sleep(_LOOK_BESIDE_S + _SHOWN_BESIDE_S)
-            self._watching = self._network.spawn(self._watch_beside(self._beside))
-        config = self._core.config
-        if self.door is not None and config.operator is not None:
-            await self._listen("operator", config.operator, self.door.listen, is_ending)
+        await self._runtime.start()
+        if self._hot_restart is not None:
+            await self._join_siblings(self._hot_restart)
+        config = self._runtime.config
+        if self.admin is not None and config.operator is not None:
+            await self._listen("operator", config.operator, self.admin.listen, is_ending)
         await self._listen("listen", config.listen, self.frontend.listen, is_ending)
         if self.mysql is not None:
             self.mysql.start()
         self._started_at = self._network.time()
-        self.life.started(self._started_at)
-        self._live_on()
+        self.lifecycle.started(self._started_at)
+        self._apply_phase()
 
     async def _listen(
         self, key: str, address: Address, listen: Callable[[Address], None], is_ending: Callable[[], bool]
     ) -> None:
-        """Listen at the address of this key, and wait out what fails for a moment."""
-        wait = StartupRetry(self._network.time())
+        """Listen at the address of this key, and retry what fails temporarily."""
+        retry = StartupRetry(self._network.time())
         while True:
             try:
                 listen(address)
+            except OSError as error:
+                is_first = retry.is_first
+                retry_s = retry.retry_in_s(error, self._network.time())
+                failure = f"{key}: {place(address)}: {error}"
+            else:
                 return
-            except OSError as fault:
-                is_first = wait.is_first
-                retry_s = wait.retry_in_s(fault, self._network.time())
-                told = f"{key}: {place(address)}: {fault}"
             if retry_s is None:
-                raise ListenError(told)
+                raise ListenError(failure)
             if is_first:
-                self._log(f"waits to listen: {told}")
+                self._log(f"waits to listen: {failure}")
             await self._network.sleep(retry_s)
             if is_ending():
                 raise StartCancelledError
 
     @property
     def open_requests(self) -> int:
-        """Requests that are not over: unanswered, or with an attempt still out."""
+        """Number of requests that are unanswered, or have an attempt in flight."""
         return self._engine.open_requests
 
+    # Configuration
+
     def reload(self, config: Config) -> None:
-        """Take over what a new configuration may change in a running sidecar; name what it may not."""
-        self._core.reload(config, self.frontend.announce)
-        self._loads += 1
-        self.frontend.most = self._core.for_clients
+        """Take over what a new configuration may change in a running sidecar; log what it may not.
+
+        Raises:
+            ConfigError: Keys are missing that the running configuration has; nothing has changed.
+        """
+        self._runtime.reload(config, self.frontend.announce)
+        self._config_loads += 1
+        self.frontend.most = self._runtime.max_client_connections
         if self.mysql is not None and config.mysql is not None:
             self.mysql.reload(config.mysql)
 
-    async def _watch_beside(self, beside: HotRestart) -> None:
+    def count_rejected_config(self) -> None:
+        """Count a configuration that can't be used."""
+        self._config_load_errors += 1
+
+    # Other processes of this sidecar, as in a hot restart
+
+    async def _join_siblings(self, hot_restart: HotRestart) -> None:
+        hot_restart.enter()
+        self._share_limits()
+        if hot_restart.others:
+            # A request must not run twice: by then the siblings show the ids of their open requests.
+            await self._network.sleep(_SIBLING_POLL_S + _SIBLING_IDS_S)
+        self._sibling_watch = self._network.spawn(self._watch_siblings(hot_restart))
+
+    async def _watch_siblings(self, hot_restart: HotRestart) -> None:
         while True:
-            await self._network.sleep(_LOOK_BESIDE_S)
-            if beside.look():
-                self._share()
-
-    def _share(self) -> None:
-        """Share with the other processes: the limits, and which requests are open."""
-        assert self._beside is not None
-        ids = self._beside.ids() if self._beside.others else None
-        self._engine.hold_ids(set() if ids is None else ids)
-        if self._ids is not None:
-            self._ids.close(keeps_file=ids is not None)
-        self._ids = ids
-        self._core.beside(self._beside.others)
-        self.frontend.most = self._core.for_clients
+            await self._network.sleep(_SIBLING_POLL_S)
+            if hot_restart.look():
+                self._share_limits()
+
+    def _share_limits(self) -> None:
+        """Share the limits, and the ids of open requests, with the siblings."""
+        assert self._hot_restart is not None
+        request_ids = self._hot_restart.ids() if self._hot_restart.others else None
+        self._engine.share_request_ids(set() if request_ids is None else request_ids)
+        if self._request_ids is not None:
+            self._request_ids.close(keeps_file=request_ids is not None)
+        self._request_ids = request_ids
+        self._runtime.share_limits(self._hot_restart.others)
+        self.frontend.most = self._runtime.max_client_connections
         self.frontend.trim()
 
-    def turned_down(self) -> None:
-        """Count a configuration that can't be used."""
-        self._load_errors += 1
-
     # Memory
 
     @property
     def memory(self) -> MemoryBudget:
-        """What is kept of what others send."""
-        return self._core.memory
+        """The memory budget of the process."""
+        return self._runtime.memory
 
     def count_memory(self) -> None:
-        """Book what is not counted with each message."""
+        """Book the memory uses that are not booked with each message."""
         self.memory.set(MemoryUse.UNSENT, self.frontend.unsent_bytes)
-        self.memory.set(MemoryUse.BODIES, self._core.budget.held)
-
-    def _relieve_soon(self, stage: PressureLevel) -> None:
-        """Act on a stage, but not within whatever booked something just now."""
-        self.on_memory_stage(stage)
-        if stage >= PressureLevel.GIVE_UP and not self._is_relieving:
-            self._is_relieving = True
-            self._network.call_soon(self._relieve)
-
-    def _relieve(self) -> None:
-        """Free what may be freed, for as long as memory is short: nothing that is owed an answer.
+        self.memory.set(MemoryUse.BODIES, self._runtime.buffer_budget.held)
 
-        A part at a time: what is resident is only seen to shrink a moment later.
-        """
-        for _ in range(self.frontend.half_sent // _GIVEN_UP_AT_ONCE + 1):
-            if self.memory.stage < PressureLevel.GIVE_UP or not self.frontend.give_up_oldest():
-                break
-        if self.memory.stage >= PressureLevel.CLOSE_IDLE:
-            self.frontend.close_idle()
-            self._core.upstream.close_all_idle()
-        self._is_relieving = self.memory.stage >= PressureLevel.GIVE_UP
-        if self._is_relieving:
-            self._network.call_later(_RELIEVE_EVERY_S, self._relieve)
-
-    # What the operators' door asks, on a thread of its own
+    # What the admin server calls, on a thread of its own
 
     @property
     def phase(self) -> Phase:
-        return self.life.phase
+        """The phase of the process."""
+        return self.lifecycle.phase
 
     def is_ready(self) -> str | None:
-        if not self.life.can_serve:
-            return self.life.phase.value
-        waited = self._network.time() >= self._started_at + _LIST_WITHIN_S
-        return None if self._engine.has_list or waited else "no list of servers yet"
+        """None once it can serve, else why it can't."""
+        if not self.lifecycle.can_serve:
+            return self.lifecycle.phase.value
+        is_list_overdue = self._network.time() >= self._started_at + _LIST_TIMEOUT_S
+        return None if self._engine.has_list or is_list_overdue else "no list of servers yet"
 
     def figures(self) -> bytes:
+        """The statsd report, each line with its end."""
         engine = self._engine
-        counts = RuntimeStatistics(
+        statistics = RuntimeStatistics(
             in_progress=engine.in_progress + self.frontend.tails,
             known_servers=engine.known_servers,
             skipped_servers=engine.skipped_servers,
-            tries=self._core.upstream.tries,
-            loads=self._loads,
-            load_errors=self._load_errors,
+            tries=self._runtime.upstream.tries,
+            loads=self._config_loads,
+            load_errors=self._config_load_errors,
             resident_bytes=self.memory.resident,
             resident_most_bytes=self.memory.resident_most,
             memory_stage=int(self.memory.stage),
-            memory_shed=engine.shed,
+            memory_shed=engine.shed_requests,
             booked_bytes={str(kind): booked for kind, booked in self.memory.booked.items()},
             loop_lag_ms=int(self.memory.loop_lag_s * 1e3),
             descriptors=open_descriptors(),
         )
-        return report(engine.account, (each.name for each in self._core.config.settings.classes), counts)
+        classes = self._runtime.config.settings.classes
+        return report(engine.outcomes, (each.name for each in classes), statistics)
 
     def drain(self) -> bool:
-        """Send clients away; the process runs on."""
-        if self.life.drain(self._network.time()):
+        """Send clients away, while the process runs on; return false if it is stopping."""
+        if self.lifecycle.drain(self._network.time()):
             self._log("draining, by an operator's word")
-            self._live_on()
-        return self.life.phase is not Phase.STOPPING
+            self._apply_phase()
+        return self.lifecycle.phase is not Phase.STOPPING
 
     def undrain(self) -> bool:
-        """Take clients again."""
-        if self.life.undrain(self._network.time()):
+        """Accept clients again; return false if the process is stopping."""
+        if self.lifecycle.undrain(self._network.time()):
             self._log("taking clients again, by an operator's word")
-            self._live_on()
-        return self.life.phase is not Phase.STOPPING
-
-    def _live_on(self) -> None:
-        """Do as the phase of life says."""
-        self.frontend.is_healthy = self.life.is_healthy
-        self.frontend.is_draining = self.life.is_leaving
-        if self._core.recording is not None:
-            self._core.recording.phase(self.life.phase.value)
-        if self.life.is_leaving and (self._leaving is None or self._leaving.done()):
-            self._leaving = self._network.spawn(self._let_go())
-
-    async def _let_go(self) -> None:
-        """Close clients' connections for as long as they are to leave."""
-        while self.life.is_leaving:
-            what = self.life.lets_go(self._network.time())
-            if what is ConnectionsToClose.IDLE:
-                self.frontend.close_idle()
-            elif what is ConnectionsToClose.RESTING:
-                self.frontend.close_resting()
-            await self._network.sleep(_LOOK_AGAIN_S)
-
-    # The end
-
-    async def stop(self, asked_at: float | None = None) -> None:
-        """Answer all that was taken and is still coming, then let go of everything.
-
-        `asked_at`: when that was asked for, on the network's clock.  What is unanswered is killed so long
-        after, whenever the event loop came to hear of it.
+            self._apply_phase()
+        return self.lifecycle.phase is not Phase.STOPPING
+
+    def _apply_phase(self) -> None:
+        """Have the listener, the records and the connection drain follow the phase."""
+        self.frontend.is_healthy = self.lifecycle.is_healthy
+        self.frontend.is_draining = self.lifecycle.is_leaving
+        if self._runtime.recording is not None:
+            self._runtime.recording.phase(self.lifecycle.phase.value)
+        if self.lifecycle.is_leaving:
+            self._connection_drain.start()
+
+    # Shutdown
+
+    async def stop(self, requested_at: float | None = None) -> None:
+        """Answer all that was taken and is still coming, then close everything.
+
+        Args:
+            requested_at: When that was requested, on the network's clock in seconds; None: now.
         """
-        network, engine, frontend = self._network, self._engine, self.frontend
-        began = network.time() if asked_at is None else asked_at
-        classes = self._core.config.settings.classes
-        until = answered_by(began, (each.deadline_us / 1e6 for each in classes))
-        left_s = max(until - network.time(), 0.0)
-        engine.stop_by(network.now() + int(left_s * 1e6))
-        self.life.stop(began)
-        self._live_on()
-        second = network.spawn(self.mysql.drain(left_s)) if self.mysql is not None else None
-        await network.sleep(max(began + _NEW_FOR_S - network.time(), 0.0))
-        closes_by = min(began + KILLED_AFTER_S, until)
-        while network.time() < min(frontend.last_opened + _QUIET_S, closes_by):
-            await network.sleep(_QUIET_S / 2)
-        frontend.stop_listening()
-        while self._is_needed() and network.time() < until:
-            await network.sleep(_LOOK_AGAIN_S)
-        engine.fail_open_requests()
-        if second is not None:
-            await second
-        frontend.close_all()
-        while frontend.open_connections and network.time() < until + FLUSH_S:
-            await network.sleep(_LOOK_AGAIN_S)  # until clients have their last answers, and ended their side
+        shutdown = GracefulShutdown(self._network, self._engine, self.frontend, self.mysql)
+        classes = self._runtime.config.settings.classes
+        await shutdown.run(requested_at, [each.deadline_us / 1e6 for each in classes], self._enter_stopping)
         self.close()
 
-    def _is_needed(self) -> bool:
-        """Whether an answer is owed, or a client may still send a request that would be."""
-        frontend = self.frontend
-        return bool(self._engine.owed_answers or frontend.open_connections or frontend.is_accepting)
+    def _enter_stopping(self, requested_at: float) -> None:
+        self.lifecycle.stop(requested_at)
+        self._apply_phase()
 
     def close(self) -> None:
-        for task in (self._leaving, self._watching):
-            if task is not None:
-                task.cancel()
-        if self._ids is not None:
-            self._ids.close(keeps_file=False)
-        if self._beside is not None:
-            self._beside.leave()
-        if self.door is not None:
-            self.door.close()
-        self._core.close()
-        if self._core.recorder is not None:
-            self._core.recorder.close()
-        if self._core.recording is not None:
-            self._core.recording.close()
+        """Close everything, at once."""
+        self._connection_drain.close()
+        if self._sibling_watch is not None:
+            self._sibling_watch.cancel()
+        if self._request_ids is not None:
+            self._request_ids.close(keeps_file=False)
+        if self._hot_restart is not None:
+            self._hot_restart.leave()
+        if self.admin is not None:
+            self.admin.close()
+        self._runtime.close()
+        if self._runtime.recorder is not None:
+            self._runtime.recorder.close()
+        if self._runtime.recording is not None:
+            self._runtime.recording.close()
         self.frontend.stop_listening()
         if self.mysql is not None:
             self.mysql.close()
 
 
-def _nothing(_: object) -> None:
-    """Nobody hears of it."""
-
-
-class ListenError(OSError):
+class ListenError(OperatorError, OSError):
     """An address of the configuration is taken, or not this machine's; the text begins with its key."""
+
+    advice = "Free the address, or change the key that the text begins with."
--- a/micadeck/simulation/simulated_day.py
+++ b/micadeck/simulation/simulated_day.py
@@ -188,7 +188,7 @@
             try:
                 sidecar.reload(self.read(given))
             except ConfigError as fault:
-                sidecar.turned_down()
+                sidecar.count_rejected_config()
                 self._log(f"not reloaded: {fault}")
 
         self.world.loop.soon(self.machine.host, take)
@@ -200,7 +200,7 @@
             return []
         if sidecar.open_requests:
             found.append(f"{sidecar.open_requests} open requests")
-        pending = sidecar._engine._decisions._pending
+        pending = sidecar._engine._policy._pending
         if pending:
             found.append(f"{pending} attempts in its decisions")
         if len(self.machine.streams) > _LEFT_OVER:
@@ -304,7 +304,7 @@
         """Count what only the decisions know."""
         for process in self.sidecars:
             if process.sidecar is not None:
-                self.oracles.counts["ejected"] += process.sidecar._engine.figures().ejected
+                self.oracles.counts["ejected"] += process.sidecar._engine.statistics().ejected
         self.later(_LOOK_S, self._look)
 
     def _is_back(self, before: Any) -> None:
--- a/micadeck/stand_ins/incident_days.py
+++ b/micadeck/stand_ins/incident_days.py
@@ -322,7 +322,7 @@
     def request_id(self, request: int) -> bytes:
         return b"%d-%s-%d" % (self.number, self.start[-4:].encode(), request)
 
-    def figures(self) -> BalancerStatistics:
+    def statistics(self) -> BalancerStatistics:
         return self._balancer.figures()
 
     def begin(self) -> None:
--- a/tests/broken_builds.py
+++ b/tests/broken_builds.py
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest import mock
 
-from micadeck.engine import Engine
+from micadeck.engine.open_requests import OpenRequests
 from micadeck.http import listener
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import Response
@@ -205,7 +205,7 @@
     "an error is answered from a store": (_serves_what_came_before, {"own answer"}),
     "a broken answer passes for good": (_takes_cut_answers, {"own answer"}),
     "an open request is kept for good": (
-        _in_place(Engine, "_forget_if_over", lambda self, request: None),
+        _in_place(OpenRequests, "remove_if_over", lambda self, request: None),
         {"no leak"},
     ),
     "connections at rest are never closed": (
--- a/tests/discovery_stage.py
+++ b/tests/discovery_stage.py
@@ -216,7 +216,7 @@
         )
         nobody: Any = NoServers()
         self.engine = Engine(given, number, self.network, nobody, self.roster, nobody, lambda text: None)
-        self.engine.on_listed = self._listed
+        self.engine.on_endpoint_update = self._listed
         self.heard: dict[str, float] = {}  # when it first heard of each server that it is not ready
         self.lists = 0
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -265,7 +265,7 @@
     async with stage(others=[server.line], given=given, **how) as scene:
         yield server, scene
         await until(lambda: scene.sidecar.open_requests == 0)
-        budget = scene.sidecar._core.budget
+        budget = scene.sidecar._runtime.buffer_budget
         assert (budget.held, budget.pipes) == (0, 0)
     server.stop()
 
@@ -401,7 +401,7 @@
             await writer.drain()
 
     async with beside(serve, client_limits=DownstreamLimits(reading_s=1.5)) as (_, scene):
-        budget = scene.sidecar._core.budget
+        budget = scene.sidecar._runtime.buffer_budget
         slow: list[Client] = []
         for _ in range(10):
             with_little = socket.socket()
@@ -556,7 +556,7 @@
             left -= len(await asyncio.wait_for(one.reader.read(1 << 16), PATIENCE_S))
 
     async with beside(serve) as (_, scene):
-        budget = scene.sidecar._core.budget
+        budget = scene.sidecar._runtime.buffer_budget
         most = 0
 
         async def watch() -> None:
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -62,7 +62,7 @@
 
     def drains(self, name: str) -> None:
         self.order.append("other")
-        self.engine._listed(EndpointUpdate(2, False, (self.line(name, ServerState.DRAINING),)))
+        self.engine._endpoints_updated(EndpointUpdate(2, False, (self.line(name, ServerState.DRAINING),)))
 
     def leaves(self) -> None:
         self.order.append("other")
@@ -109,7 +109,7 @@
         incoming = ValidatedRequest(
             "look", None, None, 1 * S, None, False, b"r-1", False, b"GET", b"/x", [(b"host", b"o")], b""
         )
-        self.request = self.engine.take(incoming, self)
+        self.request = self.engine.submit(incoming, self)
 
 
 class _Server(asyncio.Protocol):
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -170,7 +170,7 @@
     async def work() -> None:
         async with fleet(200, in_use=0.0) as scene:
             loop, chance = asyncio.get_running_loop(), random.Random(7)
-            await until(lambda: len(scene.sidecar._core.sources.merge.whole().entries) == 200)  # type: ignore[union-attr]
+            await until(lambda: len(scene.sidecar._runtime.sources.merge.whole().entries) == 200)  # type: ignore[union-attr]
             out: dict[int, float] = {}  # who is drained, and since when
             spans: list[tuple[int, float, float]] = []
             answers: list[int] = []
@@ -279,7 +279,7 @@
             await until(lambda: any(each.startswith("ejected") for each in scene.log))
             await soon(asyncio.gather(*askers))
             heard = len(hung.heard)
-            merge = scene.sidecar._core.sources.merge  # type: ignore[union-attr]
+            merge = scene.sidecar._runtime.sources.merge  # type: ignore[union-attr]
             for weight in (
                 2,
                 3,
@@ -323,7 +323,7 @@
     async def work() -> None:
         async with fleet(4, in_roster=lambda n: n < 3, in_consul=lambda n: n > 1) as scene:
             await scene.uses(0, 1, 2, 3)
-            entries = scene.sidecar._core.sources.merge.whole().entries  # type: ignore[union-attr]
+            entries = scene.sidecar._runtime.sources.merge.whole().entries  # type: ignore[union-attr]
             last = scene.servers[3].address
             assert sorted(each.listed.server for each in entries) == sorted(["s-0", "s-1", "s-2", last])
 
@@ -360,7 +360,7 @@
             asking = asyncio.ensure_future(client.ask("lodge"))
             await until(lambda: len(server.heard) == heard + 1)
             scene.drop(0)
-            await until(lambda: scene.sidecar._core.sources.merge.whole().entries == ())  # type: ignore[union-attr]
+            await until(lambda: scene.sidecar._runtime.sources.merge.whole().entries == ())  # type: ignore[union-attr]
             assert (await soon(asking)).status == 200
             assert len(server.heard) == heard + 1
             assert (await (await scene.client()).ask()).status == 503
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -123,7 +123,7 @@
         waiter = Waiter()
         name = request_id or b"%d" % next(self._idents)
         request = Request(kind, None, None, 2_000_000, None, False, name, kind != "check")
-        return waiter, self.engine.take(request, waiter)
+        return waiter, self.engine.submit(request, waiter)
 
     def order(self) -> list[str]:
         kinds = (RequestArrived, AttemptEnded)
@@ -145,7 +145,7 @@
     waiter, _ = stage.ask()
     stage.world.end(0, outcome)
     assert waiter.got == [got] and len(stage.world.attempts) == 1
-    assert stage.engine.open_requests == stage.engine.owed_answers == 0
+    assert stage.engine.open_requests == stage.engine.unanswered_requests == 0
 
 
 def test_what_never_ran_is_tried_again_and_then_refused() -> None:
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -21,7 +21,7 @@
 from micadeck.fleet.settings import FleetSettings
 from micadeck.peer_datagrams import PeerDatagrams
 from micadeck.policy.events import ListedServer, ServerState
-from micadeck.runtime import Core
+from micadeck.runtime import Runtime
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Wire
@@ -191,15 +191,15 @@
     logs: list[list[str]] = [[], []]
 
     async def work() -> None:
-        cores = []
+        runtimes = []
         for number in range(2):
             given = {**of_fleet(tmp_path), "name": f"n{number}", "peer_listen": f"10.0.0.{number + 1}:9100"}
-            cores.append(Core(parse(given), host_of(wire, number), logs[number].append))
-            await cores[-1].start()
+            runtimes.append(Runtime(parse(given), host_of(wire, number), logs[number].append))
+            await runtimes[-1].start()
         await asyncio.sleep(8.0)
-        cores[0].close()
+        runtimes[0].close()
         await asyncio.sleep(2.0)
-        cores[1].close()
+        runtimes[1].close()
 
     wire.loop.run_until_complete(work())
     assert "fleet: n0 has left" in logs[1] and "fleet: n0 is taken for dead" not in logs[1]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -17,7 +17,7 @@
 from test_program import program, started
 
 from micadeck.operations import HotRestart, RequestIdRegistry, share_of
-from micadeck.runtime import _LEAST_ROOM, _RESERVED
+from micadeck.runtime import _MIN_DESCRIPTORS, _RESERVED_DESCRIPTORS
 
 ROOT = Path(__file__).parent.parent
 _OTHER = """
@@ -101,28 +101,28 @@
     limits = {"memory_mb": 64, "sockets": 256}
     async with stage(OK, given={"operator": f"{HOST}:0", "limits": limits}) as scene:
         sidecar = scene.sidecar
-        core = sidecar._core
-        whole = core.for_clients + core.upstream.most
-        assert whole == 256 - _RESERVED
+        runtime = sidecar._runtime
+        whole = runtime.max_client_connections + runtime.upstream.most
+        assert whole == 256 - _RESERVED_DESCRIPTORS
         resting = [await scene.client() for _ in range(60)]
         for each in resting:
             assert (await each.ask()).status == 200
-        beside = sidecar._beside = HotRestart(str(tmp_path), "n0")
+        beside = sidecar._hot_restart = HotRestart(str(tmp_path), "n0")
         beside.enter()
         with other(tmp_path):
             assert beside.look()
-            sidecar._share()
-            assert core.for_clients + core.upstream.most == 256 // 2 - _RESERVED
-            assert core.budget.most == 32 * (1 << 20) // 8
-            await until(lambda: sidecar.frontend.open_connections <= core.for_clients)
+            sidecar._share_limits()
+            assert runtime.max_client_connections + runtime.upstream.most == 256 // 2 - _RESERVED_DESCRIPTORS
+            assert runtime.buffer_budget.most == 32 * (1 << 20) // 8
+            await until(lambda: sidecar.frontend.open_connections <= runtime.max_client_connections)
         assert beside.look()
-        sidecar._share()
-        assert core.for_clients + core.upstream.most == whole
+        sidecar._share_limits()
+        assert runtime.max_client_connections + runtime.upstream.most == whole
 
 
 def test_a_limit_is_shared_in_whole_numbers() -> None:
     assert [share_of(385, others) for others in (0, 1, 2)] == [385, 192, 128]
-    assert _LEAST_ROOM > 0
+    assert _MIN_DESCRIPTORS > 0
 
 
 @played
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -17,7 +17,7 @@
 from micadeck.memory.resident import MB
 from micadeck.network import LoopNetwork
 from micadeck.policy.outcomes import Outcome
-from micadeck.runtime import Core
+from micadeck.runtime import Runtime
 
 LIMIT = 100 * MB
 
@@ -131,7 +131,7 @@
             memory.set(MemoryUse.ANSWERS, 0)
             assert (await scene.ask("lodge")).status == 200
             assert len(scene.heard) == 2  # the refused one was sent on to nobody
-            assert scene.sidecar._engine.shed == 1
+            assert scene.sidecar._engine.shed_requests == 1
 
     play(work)
 
@@ -259,7 +259,7 @@
     async def work() -> None:
         ended: list[object] = []
         async with stage(b"HTTP/1.1 200 OK\r\nContent-Length: 34000000\r\n\r\n" + b"x" * 100_000) as scene:
-            carrier = scene.sidecar._core.upstream
+            carrier = scene.sidecar._runtime.upstream
             began = carrier._network.time()
             until_us = carrier._network.now() + 5_000_000
             carrier.probe("s-0", until_us, lambda outcome, *_: ended.append(outcome))
@@ -273,8 +273,8 @@
 
 def test_the_library_refuses_nobody_for_its_hosts_memory() -> None:
     async def work() -> None:
-        core = Core(parse(GOOD), LoopNetwork(), lambda _: None)
-        assert core.engine.memory is None
-        core.close()
+        runtime = Runtime(parse(GOOD), LoopNetwork(), lambda _: None)
+        assert runtime.engine.memory is None
+        runtime.close()
 
     play(work)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -106,7 +106,7 @@
 
 
 async def call(scene: Stage, line: bytes) -> bytes:
-    reader, writer = await asyncio.open_connection(HOST, scene.sidecar.door.port)
+    reader, writer = await asyncio.open_connection(HOST, scene.sidecar.admin.port)
     writer.write(line)
     told = await soon(reader.read())
     writer.close()
@@ -123,7 +123,7 @@
 @played
 async def test_the_door_answers_beside_callers_that_say_nothing() -> None:
     async with stage(OK, given=DOOR) as scene:
-        port = scene.sidecar.door.port
+        port = scene.sidecar.admin.port
         silent = [await asyncio.open_connection(HOST, port) for _ in range(40)]
         for number, (_, writer) in enumerate(silent):
             writer.write(b"READ"[: number % 5])
@@ -156,7 +156,7 @@
 @played
 async def test_without_an_address_there_is_no_door() -> None:
     async with stage(OK) as scene:
-        assert scene.sidecar.door is None
+        assert scene.sidecar.admin is None
         assert (await scene.ask()).status == 200
 
 
@@ -205,7 +205,7 @@
 
     async with stage(answers, answers, answers, given=DOOR) as scene:
         sidecar = scene.sidecar
-        running = sidecar._core.config
+        running = sidecar._runtime.config
         kinds = {each.name: each for each in running.settings.classes}
         track = replace(kinds["check"], name="track")
         others = [
@@ -256,7 +256,7 @@
         sidecar = scene.sidecar
         assert (await scene.ask()).status == 200
         assert sidecar.drain()
-        sidecar.reload(sidecar._core.config)
+        sidecar.reload(sidecar._runtime.config)
         assert (await figures(scene))["loads"] == 1
         front = await scene.client()
         health(front)
@@ -353,7 +353,7 @@
     async with stage(OK, given=DOOR) as scene:
         assert (await call(scene, b"DRAIN\n")).startswith(b"200 ")
         stopping = asyncio.ensure_future(scene.sidecar.stop())
-        await until(lambda: scene.sidecar.life.phase is Phase.STOPPING)
+        await until(lambda: scene.sidecar.lifecycle.phase is Phase.STOPPING)
         assert (await call(scene, b"UNDRAIN\n")).startswith(b"400 ")
         assert (await call(scene, b"READY\n")).startswith(b"400 ")
         await soon(stopping)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -30,7 +30,7 @@
     """The engine's part: names of requests, and figures."""
 
     def __init__(self, scene: Stage) -> None:
-        self.figures = scene.balancer.figures
+        self.statistics = scene.balancer.figures
 
     def request_id(self, request: int) -> bytes:
         return b"id-%d" % request
@@ -259,7 +259,7 @@
     async with stage(OK, given={"records": str(folder)}) as scene:
         shutil.rmtree(folder)
         assert (await scene.ask()).status == 200
-        writer = scene.sidecar._core.recording._writer
+        writer = scene.sidecar._runtime.recording._writer
         await until(lambda: writer.is_over)
         assert (await scene.ask()).status == 200
         assert len([each for each in scene.log if each.startswith("records: recording ends: ")]) == 1
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -203,7 +203,7 @@
 def test_a_broken_file_changes_nothing_and_its_key_is_named(given: dict[str, Any], key: str) -> None:
     running = parse(whole())
     with pytest.raises(ConfigError) as fault:
-        parse(given).replaces(running)
+        parse(given).check_replaces(running)
     assert str(fault.value).startswith(key)
 
 
@@ -218,7 +218,7 @@
 
     async with stage(slow, given={"operator": f"{HOST}:0"}) as scene:
         sidecar = scene.sidecar
-        running = sidecar._core.config
+        running = sidecar._runtime.config
         changed = replace(running, settings=settings(CHECK, TRACK))
         open_one = await scene.client()
         open_one.send(request("lodge"))
@@ -233,7 +233,7 @@
         assert (await scene.ask("lodge")).status == 200  # by the old rules, for a moment
         with pytest.raises(ConfigError):
             sidecar.reload(replace(changed, keys=frozenset()))
-        sidecar.turned_down()
+        sidecar.count_rejected_config()
         told = sidecar.figures().decode()
         assert "edge_balancer.loads:1|c" in told and "edge_balancer.load_errors:1|c" in told
         assert "edge_balancer.handled.track.passed:1|c" in told
@@ -247,9 +247,9 @@
 async def test_without_a_request_that_needs_them_they_are_in_force_after_a_while() -> None:
     async with stage(OK) as scene:
         sidecar = scene.sidecar
-        sidecar.reload(replace(sidecar._core.config, settings=settings(CHECK)))
-        assert len(sidecar._core.config.settings.classes) == 3
-        await until(lambda: len(sidecar._core.config.settings.classes) == 1)
+        sidecar.reload(replace(sidecar._runtime.config, settings=settings(CHECK)))
+        assert len(sidecar._runtime.config.settings.classes) == 3
+        await until(lambda: len(sidecar._runtime.config.settings.classes) == 1)
         assert "reloaded" in scene.log[-1]
 
 
@@ -257,9 +257,9 @@
 async def test_a_reload_that_takes_the_one_before_back_leaves_the_settings_as_they_are() -> None:
     async with stage(OK) as scene:
         sidecar = scene.sidecar
-        running = sidecar._core.config
+        running = sidecar._runtime.config
         sidecar.reload(replace(running, settings=settings(CHECK)))
         sidecar.reload(running)
         await asyncio.sleep(1.3)
-        assert sidecar._core.config.settings == running.settings
+        assert sidecar._runtime.config.settings == running.settings
         assert (await scene.ask("lodge")).status == 200
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -178,29 +178,29 @@
 ) -> None:
     world, engine = _engine()
     waiter = Waiter()
-    number = engine.take(_request(), waiter)
-    assert number is not None and engine.started(number)
+    number = engine.submit(_request(), waiter)
+    assert number is not None and engine.response_started(number)
     world.end(0, outcome)
     assert waiter.told == [told] and len(world.attempts) == 1
-    assert engine.open_requests == engine.owed_answers == 0
+    assert engine.open_requests == engine.unanswered_requests == 0
 
 
 def test_past_its_time_an_answer_that_has_begun_is_left_to_its_carrier() -> None:
     world, engine = _engine()
     waiter = Waiter()
-    number = engine.take(_request(), waiter)
-    assert number is not None and engine.started(number)
+    number = engine.submit(_request(), waiter)
+    assert number is not None and engine.response_started(number)
     world.wait(2 * S)
     assert not waiter.told and not world.cancelled
     world.end(0, Outcome.TIMED_OUT)  # which its `until` ends
-    assert len(waiter.told) == 1 and not engine.started(number)
+    assert len(waiter.told) == 1 and not engine.response_started(number)
     assert engine.open_requests == 0
 
 
 def test_nothing_begins_for_one_who_went_away() -> None:
     world, engine = _engine()
-    number = engine.take(_request(), Waiter())
+    number = engine.submit(_request(), Waiter())
     assert number is not None
     engine.client_disconnected(number)
-    assert not engine.started(number)
+    assert not engine.response_started(number)
     assert world.cancelled
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -24,6 +24,7 @@
     ("micadeck.mysql",),
     ("micadeck.traces", "micadeck.incidents"),
     ("micadeck.config", "micadeck.simulator_adapter"),
+    ("micadeck.reload", "micadeck.graceful_shutdown", "micadeck.memory_relief"),
     ("micadeck.runtime",),
     ("micadeck.sidecar",),
     ("micadeck.library",),
