--- a/micadeck/fleet/host.py
+++ b/micadeck/fleet/host.py
@@ -57,7 +57,7 @@
         self.member = FleetMember(identity, config.keys, self.random_seed, config.settings, self._now())
         self.member.set_metadata(self._now(), Metadata(config.region))
         self.member.join(self.join_addresses)
-        self.peers.hear_raw(self._receive)
+        self.peers.receive_raw(self._receive)
 
     def start(self) -> None:
         """Start to probe the other members."""
--- a/micadeck/http/downstream_connection.py
+++ b/micadeck/http/downstream_connection.py
@@ -127,7 +127,7 @@
         open_request, stream, request = self._open_request, response.stream, self._request
         if open_request is None or stream is None or request is None or self._transport is None:
             return False
-        if self._transport.is_closing() or not self._listener.engine.started(open_request):
+        if self._transport.is_closing() or not self._listener.engine.response_started(open_request):
             return False
         self._download = response
         headers = error_responses.streamed_headers(response)
@@ -207,8 +207,8 @@
         """Close it whatever is unsent."""
         is_streaming = self._upload is not None or self._download is not None  # the client sees it break off
         if self._open_request is not None and not is_streaming and not self.client_has_left:
-            ident = self._listener.engine.ident(self._open_request)
-            self._listener.engine.invariants.broken(InvariantViolation.CLOSED_UNANSWERED, ident)
+            request_id = self._listener.engine.request_id(self._open_request)
+            self._listener.engine.invariants.record(InvariantViolation.CLOSED_UNANSWERED, request_id)
         if self._transport is not None:
             self._transport.abort()
 
@@ -252,7 +252,7 @@
             self._read(nbytes)
         except Exception as defect:
             # Guards against a connection that the event loop closes for it, its request without an answer.
-            self._listener.engine.defect(f"a client's connection: {defect!r}")
+            self._listener.engine.report_defect(f"a client's connection: {defect!r}")
             self.reject(500)
 
     def _read(self, nbytes: int) -> None:
--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -95,7 +95,7 @@
         if not validated.is_complete:
             validated.remaining_us += self._upload_us(request)  # its own time counts from its last byte
         try:
-            return self.engine.take(validated, client)
+            return self.engine.submit(validated, client)
         except RequestIdInUseError:
             raise BadRequestError("request-id is that of an open request", 409) from None
 
--- a/micadeck/http/request_validation.py
+++ b/micadeck/http/request_validation.py
@@ -101,7 +101,7 @@
         remaining_us=min(remaining_us, service_class.deadline_us),
         cost_us=cost_us,
         client_retry=own.get(b"client-retry") == b"1",
-        ident=own[b"request-id"],
+        request_id=own[b"request-id"],
         write=not is_get,
         method=request.method,
         target=request.target,
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -29,7 +29,7 @@
 class Exchange:
     """One request to one server: an attempt, or a health check.
 
-    `done` is called exactly once, never from within `start` or `cancel`.
+    `on_done` is called exactly once, never from within `start` or `cancel`.
     """
 
     __slots__ = (
@@ -37,36 +37,38 @@
         "begin",
         "check_client",
         "connection",
-        "done",
+        "deadline_us",
         "has_ended",
         "is_probe",
         "message",
+        "on_done",
         "server",
         "timer",
-        "until",
-        "write_by",
+        "write_deadline_us",
     )
 
     def __init__(
         self,
         network: Network,
         server: str,
-        until: int,
+        deadline_us: int,
         message: Callable[[int], Request],
-        done: AttemptCallback,
+        on_done: AttemptCallback,
         *,
         is_probe: bool = False,
         begin: Callable[[Response], bool] | None = None,
-        write_by: int | None = None,
+        write_deadline_us: int | None = None,
         check_client: Callable[[], None] | None = None,
     ) -> None:
         self._network = network
         self.server = server
-        self.until = until
+        self.deadline_us = deadline_us
         self.message = message  # given the time left, in microseconds
-        self.done = done
+        self.on_done = on_done
         self.is_probe = is_probe
-        self.write_by = write_by  # it is written whole by then, or not at all; None: any time
+        self.write_deadline_us = (
+            write_deadline_us  # it is written whole by then, or not at all; None: any time
+        )
         self.begin = begin  # takes an answer that is too large to be kept
         self.check_client = check_client  # sees whether who waits has left
         self.has_ended = False
@@ -80,7 +82,7 @@
 
     def end_by(self) -> float:
         """When an answer that is passed on has to be over, on the network's clock."""
-        left_us = self.until - self._network.now()
+        left_us = self.deadline_us - self._network.now()
         return self._network.time() + left_us / 1e6 + BEYOND_TIME_S
 
     def begin_answer(self, response: Response) -> bool:
@@ -119,7 +121,7 @@
     def __init__(self, network: Network, settings: Settings, budget: BufferBudget | None = None) -> None:
         self._budget = budget  # of answers that are passed on as they come; None: they are kept
         self._network = network
-        self.retune(settings)
+        self.apply_settings(settings)
         self.most = 0  # connections; set by whoever knows how many descriptors there are
         self._servers: dict[str, _Server] = {}
         self._owners: dict[ClientConnection, _Server] = {}  # of every open connection
@@ -130,7 +132,7 @@
         self.denials: Counter[SendDenial] = Counter()
         self.tries = 0  # attempts written whole; probes are none
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Follow these settings from now on."""
         self._dial_timeout_s = settings.limits.dial_timeout_us / 1e6
         self._idle_limit_us = int(settings.limits.idle_close_us * (1.0 - _IDLE_MARGIN))
@@ -139,7 +141,7 @@
 
     # The list
 
-    def listed(self, listing: EndpointUpdate) -> None:
+    def update_endpoints(self, listing: EndpointUpdate) -> None:
         """Take over a list or its changes, before any action that follows from it."""
         if listing.full:
             for name in self._servers.keys() - {each.listed.server for each in listing.entries}:
@@ -171,47 +173,49 @@
     def start(
         self,
         server: str,
-        until: int,
+        deadline_us: int,
         request: ValidatedRequest,
-        done: AttemptCallback,
-        write_by: int | None = None,
+        on_done: AttemptCallback,
+        write_deadline_us: int | None = None,
     ) -> Exchange:
         """Begin an attempt.
 
         Args:
             server: Its name on the endpoint list.
-            until: When the attempt is given up, in microseconds of the network's clock.
+            deadline_us: When the attempt is given up, in microseconds of the network's clock.
             request: What to send.
-            done: Called once, with how it ended.
-            write_by: What is not written completely by then ends unsent; None: any time.
+            on_done: Called once, with how it ended.
+            write_deadline_us: What is not written completely by then ends unsent; None: any time.
         """
         exchange = Exchange(
             self._network,
             server,
-            until,
+            deadline_us,
             request.message,
-            done,
+            on_done,
             begin=request.begin,
-            write_by=write_by,
+            write_deadline_us=write_deadline_us,
             check_client=request.check_client,
         )
         self._start(exchange)
         return exchange
 
-    def probe(self, server: str, until: int, done: AttemptCallback) -> None:
+    def probe(self, server: str, deadline_us: int, on_done: AttemptCallback) -> None:
         """Send a health check."""
         target = b"/_load" if self._probes_for_load else b"/ping"
         message = Request(b"GET", target, [(b"host", server.encode())])
-        self._start(Exchange(self._network, server, until, lambda _left_us: message, done, is_probe=True))
+        self._start(
+            Exchange(self._network, server, deadline_us, lambda _left_us: message, on_done, is_probe=True)
+        )
 
     def _start(self, exchange: Exchange) -> None:
         server = self._servers.get(exchange.server)
-        left_us = exchange.until - self._network.now()
+        left_us = exchange.deadline_us - self._network.now()
         if server is None or server.is_leaving or left_us <= 0:
             self._network.call_soon(self._end, exchange, Outcome.NOT_SENT)
             return
-        if exchange.write_by is not None:
-            left_us = min(left_us, max(exchange.write_by - self._network.now(), 0))
+        if exchange.write_deadline_us is not None:
+            left_us = min(left_us, max(exchange.write_deadline_us - self._network.now(), 0))
         exchange.timer = self._network.call_later(left_us / 1e6, self._expire, exchange)
         connection = self._take(server)
         if connection is not None:
@@ -224,12 +228,12 @@
         else:
             self._network.call_soon(self._end, exchange, Outcome.NOT_SENT)
 
-    def set_deadline(self, exchange: Exchange, until: int) -> None:
+    def set_deadline(self, exchange: Exchange, deadline_us: int) -> None:
         """Give it up at another time."""
-        exchange.until = until
+        exchange.deadline_us = deadline_us
         if exchange.timer is not None and not exchange.has_ended:
             exchange.timer.cancel()
-            left_us = max(until - self._network.now(), 0)
+            left_us = max(deadline_us - self._network.now(), 0)
             exchange.timer = self._network.call_later(left_us / 1e6, self._expire, exchange)
 
     def cancel(self, exchange: Exchange) -> None:
@@ -249,7 +253,7 @@
             exchange.timer.cancel()
         if exchange.connection is not None:
             exchange.connection.close()
-        self._network.call_soon(exchange.done, outcome, None, None)
+        self._network.call_soon(exchange.on_done, outcome, None, None)
 
     def close_all_idle(self) -> None:
         """Close every connection at rest."""
@@ -274,8 +278,8 @@
     def _expire(self, exchange: Exchange) -> None:
         # What was not written completely never ran.
         outcome = Outcome.CONNECT_FAILED if exchange.is_unwritten else Outcome.TIMED_OUT
-        left_us = exchange.until - self._network.now()
-        if exchange.write_by is not None and left_us > 0:
+        left_us = exchange.deadline_us - self._network.now()
+        if exchange.write_deadline_us is not None and left_us > 0:
             if not exchange.is_unwritten:
                 exchange.timer = self._network.call_later(left_us / 1e6, self._expire, exchange)
                 return
@@ -291,17 +295,17 @@
         if exchange.timer is not None:
             exchange.timer.cancel()
         if response is None:
-            exchange.done(outcome, None, None)
+            exchange.on_done(outcome, None, None)
         else:
             in_body = exchange.is_probe and self._probes_for_load
-            exchange.done(outcome, response, load_report(response, self._columns, in_body=in_body))
+            exchange.on_done(outcome, response, load_report(response, self._columns, in_body=in_body))
 
     def _write(self, exchange: Exchange, connection: ClientConnection) -> None:
         def ended(how: Response | Failure) -> None:
             self._end(exchange, _outcome(how), how if isinstance(how, Response) else None)
 
         exchange.connection = connection
-        message = exchange.message(max(exchange.until - self._network.now(), 1_000))
+        message = exchange.message(max(exchange.deadline_us - self._network.now(), 1_000))
         if exchange.is_probe:
             connection.exchange(
                 message, ended, max_body=MAX_BUFFERED_BYTES
@@ -353,8 +357,8 @@
         """Ask the gate and write, in one step; what may not be written ends, its connection is kept."""
         denial = send_denial(
             self._network.now(),
-            until=exchange.until,
-            write_by=exchange.write_by,
+            deadline_us=exchange.deadline_us,
+            write_deadline_us=exchange.write_deadline_us,
             is_called_off=exchange.has_ended,
             is_server_leaving=server.is_leaving,
             is_connection_usable=connection.is_usable(),
--- a/micadeck/library/background_loop.py
+++ b/micadeck/library/background_loop.py
@@ -20,7 +20,7 @@
 from micadeck.library.loop_inbox import LoopInbox
 from micadeck.network import LoopNetwork
 from micadeck.operations import Lifecycle, Phase
-from micadeck.sidecar import Core
+from micadeck.runtime import Runtime
 
 _JOIN_MARGIN_S = 1.0  # beyond the longest deadline, for the thread to end
 
@@ -108,7 +108,7 @@
         # Threads race for the requests in these; `dict.pop` is atomic and decides.
         self._unanswered: dict[PendingRequest, None] = {}  # whoever removes one delivers its answer
         self._submitted: dict[PendingRequest, None] = {}  # whoever removes one decides whether it runs
-        self._core: Core | None = None
+        self._runtime: Runtime | None = None
         self._inbox: LoopInbox | None = None
         self._stop_requested: asyncio.Event | None = None
         self._is_up = threading.Event()
@@ -119,7 +119,7 @@
     @property
     def open_requests(self) -> int:
         """The number of requests that are unanswered or have an attempt in flight."""
-        return self._core.engine.open_requests if self._core is not None else 0
+        return self._runtime.engine.open_requests if self._runtime is not None else 0
 
     @property
     def is_in_this_process(self) -> bool:
@@ -134,15 +134,15 @@
         """
         self._thread.start()
         self._is_up.wait()
-        if self._core is None:
+        if self._runtime is None:
             self._thread.join()
             assert self._error is not None
             raise self._error
 
     def now(self) -> int:
         """Return the engine's clock in microseconds."""
-        assert self._core is not None
-        return self._core.network.now()
+        assert self._runtime is not None
+        return self._runtime.network.now()
 
     def create_request(
         self, request: ValidatedRequest, deliver: Callable[[Answer], object]
@@ -192,9 +192,9 @@
 
     def reload(self, config: Config) -> None:
         """Apply another configuration."""
-        assert self._core is not None
+        assert self._runtime is not None
         assert self._inbox is not None
-        self._inbox.post(self._core.reload, config)
+        self._inbox.post(self._runtime.reload, config)
 
     def stop(self, on_end: Callable[[], object] | None = None) -> None:
         """Accept no more requests, answer those accepted, and end.
@@ -257,9 +257,9 @@
     async def _main(self) -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._log_unhandled)
-        core = Core(self._config, LoopNetwork(), self._log, HandlerFirstEngine)
+        core = Runtime(self._config, LoopNetwork(), self._log, HandlerFirstEngine)
         await core.start()
-        self._inbox, self._stop_requested, self._core = LoopInbox(loop), asyncio.Event(), core
+        self._inbox, self._stop_requested, self._runtime = LoopInbox(loop), asyncio.Event(), core
         self._lifecycle.mark_started(0.0)
         self._is_up.set()
         try:
@@ -274,16 +274,16 @@
 
     def _accept(self, pending: PendingRequest) -> None:
         """Pass a request to the engine, unless it was withdrawn or answered before."""
-        assert self._core is not None
+        assert self._runtime is not None
         if not self._take_back(pending):
             return
         # Its time has run since the host submitted it, however long this thread was busy.
-        pending.request.remaining_us = max(pending.deadline - self._core.network.now(), 1)
+        pending.request.remaining_us = max(pending.deadline - self._runtime.network.now(), 1)
         try:
-            pending.engine_id = self._core.engine.take(pending.request, pending)
+            pending.engine_id = self._runtime.engine.submit(pending.request, pending)
         except RequestIdInUseError:
             pending.finish(answers.rejected(409, "request-id is that of an open request"))
 
     def _disconnect(self, pending: PendingRequest) -> None:
-        if pending.engine_id is not None and self._core is not None:
-            self._core.engine.client_disconnected(pending.engine_id)
+        if pending.engine_id is not None and self._runtime is not None:
+            self._runtime.engine.client_disconnected(pending.engine_id)
--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -183,7 +183,7 @@
             ConfigError: If it is invalid; the current one stays in force.
         """
         new_config = read_config(config)
-        new_config.replaces(self._config)
+        new_config.check_replaces(self._config)
         self._require_started().reload(new_config)
         self._validator = RequestValidator(new_config.settings)
 
--- a/micadeck/library/request_validation.py
+++ b/micadeck/library/request_validation.py
@@ -236,7 +236,7 @@
         remaining_us=remaining_us,
         cost_us=None,
         client_retry=False,
-        ident=request_id,
+        request_id=request_id,
         write=is_write,
         method=_method_of(service_class),
         target=target,
--- a/micadeck/membership/discovery_watcher.py
+++ b/micadeck/membership/discovery_watcher.py
@@ -94,7 +94,7 @@
         """Whether a watch is established or being started."""
         return self._watch is not None and not self._watch.done()
 
-    def follow(self, wanted: bool) -> None:
+    def watch(self, wanted: bool) -> None:
         """Start the watch, or stop it.
 
         A watch that waits for its first answer stays as it is: a new call would give up its place in
--- a/micadeck/membership/errors.py
+++ b/micadeck/membership/errors.py
@@ -2,21 +2,14 @@
 
 from __future__ import annotations
 
-from micadeck.errors import MicadeckError
+from micadeck.errors import OperatorError
 
 
-class MembershipError(MicadeckError):
-    """An endpoint source cannot be read; the last list stays in use.
-
-    The text is part of log lines, so it is printed without the advice.
-    """
+class MembershipError(OperatorError):
+    """An endpoint source cannot be read; the last list stays in use."""
 
     advice = "Check the service that is named, and the path to it; the last list stays in use."
 
-    def __str__(self) -> str:
-        """Return what happened, without the advice."""
-        return str(self.args[0])
-
 
 class DiscoveryCallError(MembershipError):
     """Discovery did not answer a call, or answered without a usable list."""
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -173,10 +173,10 @@
         finally:
             client.close()
 
-    def follow(self, wanted: bool) -> None:
+    def watch(self, wanted: bool) -> None:
         """Start the watch of discovery, or stop it; without it, deliver what Consul has reported."""
         if self._discovery is not None:
-            self._discovery.follow(wanted)
+            self._discovery.watch(wanted)
         elif wanted:
             self._network.call_soon(self._answer)
 
@@ -268,7 +268,7 @@
         self._retry = None
         # If the engine has retried meanwhile, its watch must not be given up.
         if self._discovery is not None and not self._discovery.is_watching:
-            self._discovery.follow(True)
+            self._discovery.watch(True)
 
     # Consul
 
--- a/micadeck/mysql/listener.py
+++ b/micadeck/mysql/listener.py
@@ -204,7 +204,7 @@
     # Sink
 
     def begin(self, call: Call) -> bool:
-        if self.number is None or not self.client.front.engine.started(self.number):
+        if self.number is None or not self.client.front.engine.response_started(self.number):
             return False
         self.has_begun = True
         self.call = call
@@ -635,7 +635,7 @@
             remaining_us=route.deadline_us,
             cost_us=None,
             client_retry=False,
-            ident=b"mysql %d %d" % (self._number, self._commands),
+            request_id=b"mysql %d %d" % (self._number, self._commands),
             write=not route.is_safe,
             sticky_server=self._link.server if self._link is not None else None,
             session=session,
@@ -648,7 +648,7 @@
         )
         self._running = running
         # The engine may answer before it gives the number, but never begins to stream before.
-        number = front.engine.take(request, running)
+        number = front.engine.submit(request, running)
         running.number = number
         return running if self._running is running else None
 
--- a/tests/broken_builds.py
+++ b/tests/broken_builds.py
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest import mock
 
-from micadeck.engine import Engine
+from micadeck.engine.open_requests import OpenRequests
 from micadeck.http import downstream_connection
 from micadeck.http.client import ClientConnection, Failure
 from micadeck.http.h1 import Response
@@ -84,7 +84,7 @@
 
 def _overhears_drains() -> contextlib.AbstractContextManager[Any]:
     heard = balancer.Balancer._state_heard
-    listed = ConnectionPool.listed
+    listed = ConnectionPool.update_endpoints
 
     def ready(self: Any, server: Any, state: ServerState) -> None:
         heard(self, server, ServerState.READY if state is ServerState.DRAINING else state)
@@ -97,7 +97,7 @@
     @contextlib.contextmanager
     def both() -> Iterator[None]:
         with mock.patch.object(balancer.Balancer, "_state_heard", ready):
-            with mock.patch.object(ConnectionPool, "listed", list_all):
+            with mock.patch.object(ConnectionPool, "update_endpoints", list_all):
                 yield
 
     return both()
@@ -207,7 +207,7 @@
     "an error is answered from a store": (_serves_what_came_before, {"own answer"}),
     "a broken answer passes for good": (_takes_cut_answers, {"own answer"}),
     "an open request is kept for good": (
-        _in_place(Engine, "_forget_if_over", lambda self, request: None),
+        _in_place(OpenRequests, "remove_if_over", lambda self, request: None),
         {"no leak"},
     ),
     "connections at rest are never closed": (
--- a/tests/discovery_stage.py
+++ b/tests/discovery_stage.py
@@ -175,10 +175,10 @@
 class NoServers:
     """A carrier that nothing is sent by."""
 
-    def listed(self, listing: EndpointUpdate) -> None:
+    def update_endpoints(self, listing: EndpointUpdate) -> None:
         pass
 
-    def tell(self, receiver: int | None, payload: bytes) -> bool:
+    def send(self, receiver: int | None, payload: bytes) -> bool:
         return False
 
     def close_idle(self, server: str) -> None:
@@ -218,7 +218,7 @@
         )
         nobody: Any = NoServers()
         self.engine = Engine(given, number, self.network, nobody, self.roster, nobody, lambda text: None)
-        self.engine.on_listed = self._listed
+        self.engine.on_endpoint_update = self._listed
         self.heard: dict[str, float] = {}  # when it first heard of each server that it is not ready
         self.lists = 0
 
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -62,7 +62,7 @@
 
     def drains(self, name: str) -> None:
         self.order.append("other")
-        self.engine._listed(EndpointUpdate(2, False, (self.line(name, ServerState.DRAINING),)))
+        self.engine._endpoints_updated(EndpointUpdate(2, False, (self.line(name, ServerState.DRAINING),)))
 
     def leaves(self) -> None:
         self.order.append("other")
@@ -109,7 +109,7 @@
         incoming = ValidatedRequest(
             "look", None, None, 1 * S, None, False, b"r-1", False, b"GET", b"/x", [(b"host", b"o")], b""
         )
-        self.request = self.engine.take(incoming, self)
+        self.request = self.engine.submit(incoming, self)
 
 
 class _Server(asyncio.Protocol):
@@ -134,14 +134,14 @@
 
 class _NoSource:
     def start(self, on_list: Any, on_failed: Any) -> None: ...
-    def follow(self, wanted: bool) -> None: ...
+    def watch(self, wanted: bool) -> None: ...
     def fetch(self) -> None: ...
     def suspect_stale(self) -> None: ...
     def close(self) -> None: ...
 
 
 class _NoMessages:
-    def tell(self, receiver: int | None, payload: bytes) -> bool:
+    def send(self, receiver: int | None, payload: bytes) -> bool:
         return False
 
     def close(self) -> None: ...
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -22,7 +22,7 @@
 from micadeck.fleet.settings import FleetSettings
 from micadeck.peer_datagrams import PeerDatagrams
 from micadeck.policy.events import ListedServer, ServerState
-from micadeck.sidecar import Core
+from micadeck.runtime import Runtime
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Wire
@@ -196,15 +196,15 @@
     logs: list[list[str]] = [[], []]
 
     async def work() -> None:
-        cores = []
+        runtimes = []
         for number in range(2):
             given = {**of_fleet(tmp_path), "name": f"n{number}", "peer_listen": f"10.0.0.{number + 1}:9100"}
-            cores.append(Core(parse(given), host_of(wire, number), logs[number].append))
-            await cores[-1].start()
+            runtimes.append(Runtime(parse(given), host_of(wire, number), logs[number].append))
+            await runtimes[-1].start()
         await asyncio.sleep(8.0)
-        cores[0].close()
+        runtimes[0].close()
         await asyncio.sleep(2.0)
-        cores[1].close()
+        runtimes[1].close()
 
     wire.loop.run_until_complete(work())
     assert "fleet: n0 has left" in logs[1] and "fleet: n0 is taken for dead" not in logs[1]
@@ -303,6 +303,11 @@
         kinds += kind.__subclasses__()
         assert kind.advice.endswith(".") and kind.advice in str(kind("What."))
     assert len(kinds) > 1 and {kind.advice for kind in kinds[1:]}.isdisjoint({errors.MicadeckError.advice})
+    others = [each for each in errors.OperatorError.__subclasses__() if each is not errors.MicadeckError]
+    for each in others:
+        others += each.__subclasses__()
+        assert each.advice.endswith(".") and each.advice != errors.OperatorError.advice
+    assert others
 
 
 def test_the_longest_name_and_place_fit_a_datagram_with_capacity_for_a_record() -> None:
