--- a/micadeck/__main__.py
+++ b/micadeck/__main__.py
@@ -1,9 +1,9 @@
 """Starts a sidecar: `python -m micadeck`.
 
-Exit codes, each with a last line on standard error; an end without one is a kill:
+Exit codes, each with a last line on standard error; an exit without one is a kill:
 
-- 0: told to end, by SIGTERM or SIGINT;
-- 1: it can't listen, or the event loop can't be made, after all waits;
+- 0: ended by SIGTERM or SIGINT;
+- 1: it can't listen, or the event loop can't be made, after all retries;
 - 2: the configuration is bad;
 - 3: a defect of the program.
 """
@@ -19,8 +19,8 @@
 
 
 def main() -> int:
-    """Hear signals first, then load and run the daemon."""
-    faulthandler.enable()  # a fault of the C level says where before it ends the process
+    """Install the signal handlers first, then load and run the daemon; return the exit code."""
+    faulthandler.enable()  # a crash in C code prints a traceback
     signals = ProcessSignals()
     signals.listen()
     try:
@@ -29,11 +29,11 @@
         return run(signals)
     except Exception as defect:
         sys.excepthook(type(defect), defect, defect.__traceback__)
-        told = f"{type(defect).__name__}: {defect}".replace("\n", " ")
-        print(f"ended: code {EXIT_DEFECT}, {told}", file=sys.stderr, flush=True)
+        cause = f"{type(defect).__name__}: {defect}".replace("\n", " ")
+        print(f"ended: code {EXIT_DEFECT}, {cause}", file=sys.stderr, flush=True)
         return EXIT_DEFECT
     finally:
-        signals.ignore()  # as the interpreter ends it would fall back to what the system does
+        signals.ignore()  # the interpreter restores the system's handlers as it exits
 
 
 if __name__ == "__main__":
--- a/micadeck/cli/__init__.py
+++ b/micadeck/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `micadeck` command: its parts are loaded when they are called, each from the package it belongs to."""
+"""The `micadeck` command; each subcommand is loaded when it is called, from the package it belongs to."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-_PARTS = {
+_SUBCOMMAND_MODULES = {
     "console": "micadeck.incidents.console",
     "incident": "micadeck.incidents.__main__",
     "membership": "micadeck.membership.__main__",
@@ -16,21 +16,23 @@
 }
 
 
-class _Parts(click.Group):
-    """Subcommands that live in packages of their own."""
+class _LazyGroup(click.Group):
+    """Loads subcommands from packages of their own."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *_PARTS])
+        """The names of all subcommands."""
+        return sorted([*super().list_commands(ctx), *_SUBCOMMAND_MODULES])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name not in _PARTS:
+        """Load a subcommand; None if there is none of this name."""
+        if cmd_name not in _SUBCOMMAND_MODULES:
             return super().get_command(ctx, cmd_name)
-        command = importlib.import_module(_PARTS[cmd_name]).command
+        command = importlib.import_module(_SUBCOMMAND_MODULES[cmd_name]).command
         assert isinstance(command, click.Command)
         return command
 
 
-@click.group(cls=_Parts)
+@click.group(cls=_LazyGroup)
 @click.version_option(package_name="micadeck")
 def main() -> None:
     """A client-side load balancer for calls between services."""
--- a/micadeck/config.py
+++ b/micadeck/config.py
@@ -1,4 +1,8 @@
-"""What a sidecar is told at its start: the JSON configuration, and the environment for what it leaves out."""
+"""The configuration of a sidecar: a JSON file, and the environment for what it leaves out.
+
+The `settings` object has the platform's form, which is the simulator's wire form too; so it is read by
+`micadeck.simulator_adapter`, the one place that maps its keys to those of the decisions.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +16,7 @@
 from typing import TYPE_CHECKING, Any
 
 from micadeck.engine import EndpointUpdate
+from micadeck.errors import OperatorError
 from micadeck.membership.discovery_watcher import parse_listing
 from micadeck.network import Address, parse_address
 from micadeck.policy import Settings
@@ -23,21 +28,48 @@
     from micadeck.mysql.config import MysqlConfig
 
 _DEFAULT_SOCKETS = 1_024
+_MIN_SOCKETS = 64
 _DEFAULT_MEMORY_MB = 64
+_MIN_MEMORY_MB = 16
 _DEFAULT_RECORDS_MB = 64
-_LEAST_RECORDS_MB = 4
+_MIN_RECORDS_MB = 4
+_PATH_VARIABLE = "BALANCER_CONFIG"
+_ENVIRONMENT_KEYS = ("name", "listen", "discovery", "operator", "trace", "records")
+# Keys that a reloaded file may not lack if the running configuration has them.
+_REQUIRED_ON_RELOAD = ("name", "listen", "discovery", "seed", "limits", "settings", "operator")
+_OPTIONAL_CLASS_KEYS = ("group", "memorySpanUs")  # only keyed classes have them
+
+
+class ConfigError(OperatorError):
+    """The configuration can't be used; the text begins with the key at fault.
 
+    Attributes:
+        key: The path of the key; empty for the file as such.
+        problem: What is wrong.
+    """
 
-class ConfigError(Exception):
-    """The configuration can't be used; the text begins with the key at fault."""
+    advice = "Correct the key that the text begins with, and start the sidecar again or send it SIGHUP."
+
+    def __init__(self, key: str, problem: str) -> None:
+        """Name the key at fault, and what is wrong."""
+        super().__init__(": ".join(part for part in (key, problem) if part))
+        self.key = key
+        self.problem = problem
 
 
 class ConfigUnreadableError(ConfigError):
-    """The file can't be read now, for `fault`."""
+    """The file can't be read now.
+
+    Attributes:
+        os_error: Why.
+    """
+
+    advice = "Make the file readable for the sidecar; a start retries for a while."
 
-    def __init__(self, text: str, fault: OSError) -> None:
-        super().__init__(text)
-        self.fault = fault
+    def __init__(self, key: str, problem: str, os_error: OSError) -> None:
+        """Name the key at fault, what is wrong, and the system's error."""
+        super().__init__(key, problem)
+        self.os_error = os_error
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +78,7 @@
 
     name: str
     listen: Address
-    discovery: Address | None  # the roster's; None: there is none, only Consul
+    discovery: Address | None  # the platform's endpoint list; None: there is only Consul
     settings: Settings
     seed: int
     sockets: int
@@ -58,177 +90,198 @@
     consul: ConsulConfig | None = None
     mysql: MysqlConfig | None = None
     fleet: FleetConfig | None = None  # the other sidecars; None: they are not known
-    operator: Address | None = None  # where staff call; None: there is no door
+    operator: Address | None = None  # of the admin server; None: there is none
     trace: str = ""  # a file to record the decisions' events to
     records: str = ""  # a folder to record what happens in, for `micadeck incident`
     records_mb: int = _DEFAULT_RECORDS_MB  # that all its files of this sidecar may take
-    keys: frozenset[str] = frozenset()  # that the file has, as far as a later file may not lack them
+    keys: frozenset[str] = frozenset()  # paths in the file, as far as a reloaded file may not lack them
 
-    def check_replaces(self, before: Config) -> None:
-        """Raise ConfigError if this can't take another's place: it lacks a key that the other has.
+    def check_replaces(self, running: Config) -> None:
+        """Check that this configuration can replace the running one.
 
-        Guards against a file that lost a key: most have a default, which nobody asked for.
+        A file that lost a key would put a default in force that nobody asked for.
+
+        Raises:
+            ConfigError: It lacks a key that the running one has.
         """
-        missing = sorted(before.keys - self.keys)
+        missing = sorted(running.keys - self.keys)
         if missing:
-            raise ConfigError(f"{missing[0]}: it is missing, and the running configuration has it")
+            raise ConfigError(missing[0], "it is missing, and the running configuration has it")
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the file that `BALANCER_CONFIG` names; raise ConfigError on nonsense."""
-    path = environ.get("BALANCER_CONFIG")
+    """Read the file that the variable `BALANCER_CONFIG` names.
+
+    Raises:
+        ConfigError: The file can't be read, or a key of it can't be used.
+    """
+    path = environ.get(_PATH_VARIABLE)
     if not path:
-        raise ConfigError("BALANCER_CONFIG: the path of the configuration is needed")
+        raise ConfigError(_PATH_VARIABLE, "the path of the configuration is needed")
     try:
-        given = json.loads(Path(path).read_bytes())
-    except OSError as fault:
-        raise ConfigUnreadableError(f"BALANCER_CONFIG: {path} can't be read: {fault}", fault) from None
-    except (ValueError, RecursionError) as fault:
-        raise ConfigError(f"BALANCER_CONFIG: {path} can't be read: {fault}") from None
-    if not isinstance(given, dict):
-        raise ConfigError("BALANCER_CONFIG: the file must hold an object")
+        document = json.loads(Path(path).read_bytes())
+    except OSError as error:
+        raise ConfigUnreadableError(_PATH_VARIABLE, f"{path} can't be read: {error}", error) from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(_PATH_VARIABLE, f"{path} can't be read: {error}") from None
+    if not isinstance(document, dict):
+        raise ConfigError(_PATH_VARIABLE, "the file must hold an object")
     from_environment = {
         key: environ[f"BALANCER_{key.upper()}"]
-        for key in ("name", "listen", "discovery", "operator", "trace", "records")
+        for key in _ENVIRONMENT_KEYS
         if f"BALANCER_{key.upper()}" in environ
     }
-    return parse({**from_environment, **given})
+    return parse({**from_environment, **document})
 
 
-def parse(given: Mapping[str, Any]) -> Config:
-    """Check a configuration; raise ConfigError, naming the key, on nonsense."""
-    try:
-        settings = settings_from_wire(given.get("settings"))
-    except ValueError as nonsense:
-        text = str(nonsense)
-        raise ConfigError(text if text.startswith("settings") else f"settings.{text}") from None
-    if settings.limits.max_attempts < 1:
-        raise ConfigError("settings.limits.max_attempts: at least 1 is needed: it would refuse every request")
-    known = given.get("known")
-    try:
-        listing = parse_listing(known) if known is not None else EndpointUpdate(0, True, ())
-    except ValueError as nonsense:
-        raise ConfigError(f"known: {nonsense}") from None
-    peers = given.get("peers") or []
+def parse(document: Mapping[str, Any]) -> Config:
+    """Check a configuration.
+
+    Raises:
+        ConfigError: A key can't be used.
+    """
+    settings = _settings(document.get("settings"))
+    known = _known(document.get("known"))
+    peers = document.get("peers") or []
     if not isinstance(peers, list):
-        raise ConfigError("peers: a list of addresses is needed")
-    fleet = _of_file("fleet", given.get("fleet"), "micadeck.fleet.config")
+        raise ConfigError("peers", "a list of addresses is needed")
+    fleet = _load_part("fleet", document.get("fleet"), "micadeck.fleet.config")
     if fleet is not None:
-        _check_member(given, settings)
+        _check_fleet_member(document, settings)
+    limits = document.get("limits")
     return Config(
-        name=_text(given, "name"),
-        listen=_address("listen", given.get("listen")),
-        discovery=_discovery(given),
+        name=_text(document, "name"),
+        listen=_address("listen", document.get("listen")),
+        discovery=_discovery(document),
         settings=settings,
-        seed=_seed(given.get("seed")),
-        sockets=_limit(given.get("limits"), "sockets", 64, _DEFAULT_SOCKETS),
-        memory_mb=_limit(given.get("limits"), "memory_mb", 16, _DEFAULT_MEMORY_MB),
-        known=listing,
-        peer_listen=_optional_address("peer_listen", given.get("peer_listen")),
+        seed=_seed(document.get("seed")),
+        sockets=_limit(limits, "sockets", _MIN_SOCKETS, _DEFAULT_SOCKETS),
+        memory_mb=_limit(limits, "memory_mb", _MIN_MEMORY_MB, _DEFAULT_MEMORY_MB),
+        known=known,
+        peer_listen=_optional_address("peer_listen", document.get("peer_listen")),
         peers=tuple(_address(f"peers[{index}]", each) for index, each in enumerate(peers)),
-        peers_all=_optional_address("peers_all", given.get("peers_all")),
-        consul=_of_file("consul", given.get("consul"), "micadeck.membership.consul.config"),
-        mysql=_of_file("mysql", given.get("mysql"), "micadeck.mysql.config"),
+        peers_all=_optional_address("peers_all", document.get("peers_all")),
+        consul=_load_part("consul", document.get("consul"), "micadeck.membership.consul.config"),
+        mysql=_load_part("mysql", document.get("mysql"), "micadeck.mysql.config"),
         fleet=fleet,
-        operator=_optional_address("operator", given.get("operator")),
-        trace=_written("trace", "file", "traces", given.get("trace")).replace("%p", str(os.getpid())),
-        records=_written("records", "folder", "records", given.get("records")),
-        records_mb=_records_mb(given.get("records_mb")),
-        keys=frozenset(_keys(given)),
+        operator=_optional_address("operator", document.get("operator")),
+        trace=_output_path("trace", "file", "traces", document.get("trace")).replace("%p", str(os.getpid())),
+        records=_output_path("records", "folder", "records", document.get("records")),
+        records_mb=_records_mb(document.get("records_mb")),
+        keys=frozenset(_required_keys(document)),
     )
 
 
-def _check_member(given: Mapping[str, Any], settings: Settings) -> None:
-    """What a member of the fleet can't do without; each would else fail later, or without a word."""
-    from micadeck.fleet.config import check_name
+def _settings(document: object) -> Settings:
+    try:
+        settings = settings_from_wire(document)
+    except ValueError as error:
+        path, _, problem = str(error).partition(": ")
+        raise ConfigError(path if path.startswith("settings") else f"settings.{path}", problem) from None
+    if settings.limits.max_attempts < 1:
+        raise ConfigError(
+            "settings.limits.max_attempts", "at least 1 is needed: it would refuse every request"
+        )
+    return settings
+
 
+def _known(document: Any) -> EndpointUpdate:
+    """The last known endpoint list; without the key, an empty one."""
+    if document is None:
+        return EndpointUpdate(0, True, ())
     try:
-        check_name(_text(given, "name"))
-    except ValueError as nonsense:
-        raise ConfigError(f"name: with fleet, {nonsense}") from None
-    if not given.get("peer_listen"):
-        raise ConfigError("peer_listen: with fleet, an address is needed")
-    if not settings.limits.may_message:
-        raise ConfigError("settings.bounds.mayTell: with fleet, true is needed")
+        return parse_listing(document)
+    except ValueError as error:
+        raise ConfigError("known", str(error)) from None
+
 
+def _check_fleet_member(document: Mapping[str, Any], settings: Settings) -> None:
+    """Check the keys that a member of the fleet needs; without them it would fail later, or silently."""
+    from micadeck.fleet.config import check_name
 
-_LASTING = ("name", "listen", "discovery", "seed", "limits", "settings", "operator")
-_OF_SOME_CLASSES = ("group", "memorySpanUs")  # of those that are keyed
+    try:
+        check_name(_text(document, "name"))
+    except ValueError as error:
+        raise ConfigError("name", f"with fleet, {error}") from None
+    if not document.get("peer_listen"):
+        raise ConfigError("peer_listen", "with fleet, an address is needed")
+    if not settings.limits.may_message:
+        raise ConfigError("settings.bounds.mayTell", "with fleet, true is needed")
 
 
-def _keys(given: Mapping[str, Any]) -> Iterator[str]:
-    """The keys that a later file may not lack; of a list's entries, those that all of them have."""
-    for key in _LASTING:
-        if given.get(key) is not None:
+def _required_keys(document: Mapping[str, Any]) -> Iterator[str]:
+    """Paths that a reloaded file may not lack; of a list's objects, the keys that all of them have."""
+    for key in _REQUIRED_ON_RELOAD:
+        if document.get(key) is not None:
             yield key
             if key in ("limits", "settings"):
-                yield from _keys_within(given[key], key)
+                yield from _paths_within(document[key], key)
 
 
-def _keys_within(value: object, path: str) -> Iterator[str]:
+def _paths_within(value: object, path: str) -> Iterator[str]:
     if isinstance(value, Mapping):
         for key, inner in value.items():
             yield f"{path}.{key}"
-            yield from _keys_within(inner, f"{path}.{key}")
+            yield from _paths_within(inner, f"{path}.{key}")
     elif isinstance(value, list) and value and all(isinstance(each, Mapping) for each in value):
-        shared = set.intersection(*(set(each) for each in value))
-        yield from (f"{path}[].{key}" for key in shared if key not in _OF_SOME_CLASSES)
+        shared_keys = set.intersection(*(set(each) for each in value))
+        yield from (f"{path}[].{key}" for key in shared_keys if key not in _OPTIONAL_CLASS_KEYS)
 
 
-def _discovery(given: Mapping[str, Any]) -> Address | None:
-    """The roster; with Consul, there may be none."""
-    is_needed = not given.get("consul")
+def _discovery(document: Mapping[str, Any]) -> Address | None:
+    """The address of discovery; with Consul, there may be none."""
+    is_needed = not document.get("consul")
     read = _address if is_needed else _optional_address
-    return read("discovery", given.get("discovery"))
+    return read("discovery", document.get("discovery"))
 
 
-def _of_file(key: str, path: object, module: str) -> Any:
-    """What the file that the key names holds; the module that reads it is loaded only if there is one."""
+def _load_part(key: str, path: object, module_name: str) -> Any:
+    """Read the file that the key names; the module that reads it is loaded only if there is one."""
     if path in (None, ""):
         return None
     if not isinstance(path, str):
-        raise ConfigError(f"{key}: the path of a file is needed, not {path!r:.60}")
+        raise ConfigError(key, f"the path of a file is needed, not {path!r:.60}")
     try:
-        config = importlib.import_module(module)
-    except ImportError as missing:
-        raise ConfigError(f"{key}: install micadeck[{key}]: {missing}") from None
+        module = importlib.import_module(module_name)
+    except ImportError as error:
+        raise ConfigError(key, f"install micadeck[{key}]: {error}") from None
     try:
-        return config.load(path)
-    except ValueError as fault:  # of each such module, its own error
-        raise ConfigError(f"{key}: {fault}") from None
+        return module.load(path)
+    except ValueError as error:  # of each such module, its own error
+        raise ConfigError(key, str(error)) from None
 
 
-def _written(key: str, what: str, extra: str, path: object) -> str:
-    """Where something is written to on demand, by parts of the program that an extra brings."""
+def _output_path(key: str, kind: str, extra: str, path: object) -> str:
+    """The path that a part of an extra writes to on demand; empty if there is none."""
     if path in (None, ""):
         return ""
     if not isinstance(path, str):
-        raise ConfigError(f"{key}: the path of a {what} is needed, not {path!r:.60}")
+        raise ConfigError(key, f"the path of a {kind} is needed, not {path!r:.60}")
     if importlib.util.find_spec("msgspec") is None:
-        raise ConfigError(f"{key}: install micadeck[{extra}]")
+        raise ConfigError(key, f"install micadeck[{extra}]")
     return path
 
 
 def _records_mb(value: object) -> int:
     if value is None:
         return _DEFAULT_RECORDS_MB
-    if type(value) is not int or value < _LEAST_RECORDS_MB:
-        raise ConfigError(f"records_mb: a whole number from {_LEAST_RECORDS_MB} is needed, not {value!r:.60}")
+    if type(value) is not int or value < _MIN_RECORDS_MB:
+        raise ConfigError("records_mb", f"a whole number from {_MIN_RECORDS_MB} is needed, not {value!r:.60}")
     return value
 
 
-def _text(given: Mapping[str, Any], key: str) -> str:
-    value = given.get(key)
+def _text(document: Mapping[str, Any], key: str) -> str:
+    value = document.get(key)
     if not isinstance(value, str) or not value:
-        raise ConfigError(f"{key}: a text is needed, not {value!r:.60}")
+        raise ConfigError(key, f"a text is needed, not {value!r:.60}")
     return value
 
 
 def _address(key: str, value: object) -> Address:
     try:
         return parse_address(value)
-    except ValueError as nonsense:
-        raise ConfigError(f"{key}: {nonsense}") from None
+    except ValueError as error:
+        raise ConfigError(key, str(error)) from None
 
 
 def _optional_address(key: str, value: object) -> Address | None:
@@ -241,15 +294,15 @@
     try:
         return int(value, 16)  # type: ignore[call-overload, no-any-return]
     except (TypeError, ValueError):
-        raise ConfigError(f"seed: hexadecimal digits are needed, not {value!r:.60}") from None
+        raise ConfigError("seed", f"hexadecimal digits are needed, not {value!r:.60}") from None
 
 
-def _limit(limits: object, key: str, least: int, default: int) -> int:
+def _limit(limits: object, key: str, minimum: int, default: int) -> int:
     if limits is None:
         return default
     if not isinstance(limits, Mapping):
-        raise ConfigError("limits: an object is needed")
+        raise ConfigError("limits", "an object is needed")
     value = limits.get(key, default)
-    if type(value) is not int or value < least:
-        raise ConfigError(f"limits.{key}: a whole number from {least} is needed, not {value!r:.60}")
+    if type(value) is not int or value < minimum:
+        raise ConfigError(f"limits.{key}", f"a whole number from {minimum} is needed, not {value!r:.60}")
     return value
--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -62,7 +62,7 @@
 
 
 class RequestIdInUseError(OperatorError):
-    """A request came with the id of one that is open."""
+    """A request has the id of one that is open."""
 
     advice = "Have clients give each open request an id of its own."
 
@@ -93,7 +93,7 @@
         outcomes: How requests ended, by service class.
         shed_requests: How many requests were refused for memory.
         on_endpoint_update: Gets each endpoint update, as the decisions do.
-        has_list: Whether an endpoint list came since the start.
+        has_list: Whether the source reported a list since the start.
         memory: The memory budget by which new requests are refused; None: they never are.
     """
 
@@ -211,7 +211,7 @@
             The request's number; None if it was answered within this call.
 
         Raises:
-            RequestIdInUseError: Another open request has this id, by which servers tell requests apart.  The
+            RequestIdInUseError: Another open request has this id, by which servers distinguish requests.  The
                 handler gets no answer.
         """
         if request.request_id in self._open.unanswered_ids:
@@ -236,7 +236,7 @@
         return min(limits.max_retry_after_us, _MEMORY_RETRY_AFTER_US) if limits.retry_after else 0
 
     def request_completed(self, request: int, remaining_us: int) -> None:
-        """Take note that the last byte of a request came; its time runs from here."""
+        """Take note that the last byte of a request was received; its time runs from here."""
         opened = self._open.get(request)
         if opened is None or opened.handler is None or opened.request.is_complete:
             return
@@ -345,7 +345,7 @@
         # A request that was completed after the attempt was sent is timed from its completion.
         elapsed_us = self._network.now() - max(attempt.sent_at, opened.completed_at)
         if opened.response_delay_us is not None:
-            # The rest of an answer takes as long as the client reads, which says nothing about the server.
+            # The rest of an answer takes as long as the client reads, which is no measure of the server.
             elapsed_us = opened.response_delay_us
             if not is_delivered:
                 self._answers.fail(request, FailureCause.SERVERS)
--- a/micadeck/engine/final_answers.py
+++ b/micadeck/engine/final_answers.py
@@ -25,7 +25,7 @@
 
         Args:
             network: The clock.
-            transport: Is told of attempts that nobody waits for any more.
+            transport: Withdraws attempts that nobody waits for any more.
             open_requests: The open requests.
             invariants: Gets the answers that are late.
         """
@@ -79,7 +79,7 @@
 
     def _check_in_time(self, opened: OpenRequest) -> None:
         late_us = self._network.now() - opened.deadline_us
-        # The transport sees to the deadline of an answer that has begun.
+        # The transport sees to the deadline of an answer that is under way.
         is_timed = opened.request.is_complete and opened.response_delay_us is None
         if late_us > ANSWER_SLACK_US and is_timed:
             detail = f"by {late_us / 1e6:.3f} s, {len(opened.attempts)} attempts, {opened.in_flight} out"
--- a/micadeck/engine/open_requests.py
+++ b/micadeck/engine/open_requests.py
@@ -18,9 +18,9 @@
         attempts: The transport's names of its attempts, in the order they were sent.
         in_flight: How many of these have not ended.
         last_outcome: How the last one that ended did so.
-        may_have_run: Whether a server may have begun it, by the attempts that have ended.
+        may_have_run: Whether a server may have started on it, by the attempts that have ended.
         last_sent: The server and the time in microseconds of the last attempt.
-        completed_at: When its last byte came, if that was after its acceptance; else 0.
+        completed_at: When its last byte was received, if that was after its acceptance; else 0.
         response_delay_us: How long its answer took to begin on its way to the handler; None: it has not.
     """
 
--- a/micadeck/engine/ports.py
+++ b/micadeck/engine/ports.py
@@ -52,7 +52,7 @@
     """Why a request failed."""
 
     SERVERS = "servers"  # they answered with errors, broke off, or sent what can't be used
-    TIME = "time"  # no answer came in its time
+    TIME = "time"  # there was no answer in its time
     DEFECT = "defect"  # this program went wrong
 
 
@@ -66,20 +66,20 @@
         """Take a refusal: a retry is harmless, but not before so long, if that is above 0."""
 
     def failed(self, cause: FailureCause, may_have_run: bool) -> None:
-        """Take a failure; `may_have_run` is false only if no server can have begun the request."""
+        """Take a failure; `may_have_run` is false only if no server can have started on the request."""
 
 
 # ---------------------------------------------------------------------------------------------------
 # Towards servers
 
 AttemptCallback = Callable[[Outcome, Any, Mapping[str, float] | None], None]
-"""How an attempt ended, the answer if there is one, and the load report that came with it."""
+"""How an attempt ended, the answer if there is one, and the load report that it carried."""
 
 
 class Transport(Protocol):
     """Carries attempts to servers.  Calls each `on_done` exactly once, never from within these methods."""
 
-    def update_endpoints(self, listing: EndpointUpdate) -> None:
+    def update_endpoints(self, update: EndpointUpdate) -> None:
         """Take over an endpoint list or its changes, before any action that follows from it."""
 
     def start(
--- a/micadeck/engine/send_guard.py
+++ b/micadeck/engine/send_guard.py
@@ -1,7 +1,7 @@
 """Send guard: the one place that decides whether an attempt may be written now; counts broken invariants.
 
 Everything here is a function of one snapshot and one reading of the clock, taken in the step that then acts.
-What is done after an await asks again.  No I/O but the log that it is given.
+After an await, the decision is made anew.  No I/O but the log that it is given.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 class SendDenial(Enum):
     """Why an attempt is not written."""
 
-    CALLED_OFF = "called off"  # its request is over, its client left, or it was cancelled
+    CANCELLED = "called off"  # its request is over, its client left, or it was cancelled
     SERVER_LEAVING = "server leaving"  # it drains, has left, or is another process by now
     TIME_OVER = "time over"  # of the attempt
     REPEAT_TOO_LATE = "repeat too late"  # servers may have forgotten the first attempt
@@ -38,7 +38,7 @@
     *,
     deadline_us: int,
     write_deadline_us: int | None,
-    is_called_off: bool,
+    is_cancelled: bool,
     is_server_leaving: bool,
     is_connection_usable: bool,
 ) -> SendDenial | None:
@@ -48,15 +48,15 @@
         now: The time.
         deadline_us: When the attempt is given up.
         write_deadline_us: When it must be written in full; None: at any time.
-        is_called_off: Whether nobody waits for it any more.
+        is_cancelled: Whether nobody waits for it any more.
         is_server_leaving: Whether its server takes no new requests.
         is_connection_usable: Whether its connection can carry it.
 
     Returns:
         Why it may not be written now; None if it may.
     """
-    if is_called_off:
-        return SendDenial.CALLED_OFF
+    if is_cancelled:
+        return SendDenial.CANCELLED
     if is_server_leaving:
         return SendDenial.SERVER_LEAVING
     if write_deadline_us is not None and now >= write_deadline_us:
--- a/micadeck/graceful_shutdown.py
+++ b/micadeck/graceful_shutdown.py
@@ -33,7 +33,7 @@
     """Closes the clients' connections while the process is draining; owns the task that does it."""
 
     def __init__(self, network: Network, lifecycle: Lifecycle, listener: HttpListener) -> None:
-        """Drain the connections of `listener` for as long as `lifecycle` says so."""
+        """Drain the connections of `listener` for as long as `lifecycle` is draining."""
         self._network = network
         self._lifecycle = lifecycle
         self._listener = listener
@@ -84,7 +84,7 @@
 
         Args:
             requested_at: When the end was requested, on the network's clock in seconds; None: now.  SIGKILL
-                follows so long after that, whenever the event loop came to see the request.
+                follows so long after that, whenever the event loop reacts to it.
             deadlines_s: The deadlines of the service classes, in seconds.
             enter_stopping: Moves the process to its stopping phase, given the time of the request.
         """
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -344,7 +344,7 @@
             self._network.now(),
             deadline_us=call.deadline_us,
             write_deadline_us=call.write_deadline_us,
-            is_called_off=call.ended,
+            is_cancelled=call.ended,
             is_server_leaving=server.is_leaving,
             is_connection_usable=connection.is_usable(),
         )
--- a/micadeck/keys.py
+++ b/micadeck/keys.py
@@ -1,20 +1,23 @@
-"""Complaints of the schema library turned round: the key at fault first, as configurations say it."""
+"""Errors of the schema library (msgspec), reordered as configuration errors are: the key at fault first."""
 
 from __future__ import annotations
 
 import re
 
-_NAMED = re.compile(r"(?:unknown|missing required) field `([^`]*)`")
+_NAMED_FIELD = re.compile(r"(?:unknown|missing required) field `([^`]*)`")
 
 
-def key_and_text(fault: str) -> tuple[str, str, bool]:
-    """The key of a msgspec.ValidationError ("" for the whole), what is wrong, and whether the key is missing
-    or unknown: then it stands in the library's text, not in its path.
+def key_and_text(error_text: str) -> tuple[str, str, bool]:
+    """Split the text of a `msgspec.ValidationError`.
+
+    Returns:
+        The path of the key (empty for the file as such); what is wrong; and whether the key is missing or
+        unknown, when msgspec names it in the text and not in the path.
     """
-    text, _, at = fault.partition(" - at `$")
-    path = at.rstrip("`").lstrip(".")
-    named = _NAMED.search(text)
-    if named is not None:
-        path = ".".join(each for each in (path, named[1]) if each)
+    text, _, location = error_text.partition(" - at `$")
+    path = location.rstrip("`").lstrip(".")
+    named_field = _NAMED_FIELD.search(text)
+    if named_field is not None:
+        path = ".".join(part for part in (path, named_field[1]) if part)
         text = "there is no such key" if "unknown" in text else "it is needed"
-    return path, text, named is not None
+    return path, text, named_field is not None
--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -51,9 +51,9 @@
         try:
             given = json.loads(Path(given).read_bytes())
         except (OSError, ValueError, RecursionError) as fault:
-            raise ConfigError(f"{given}: it can't be read: {fault}") from None
+            raise ConfigError(str(given), f"it can't be read: {fault}") from None
         if not isinstance(given, dict):
-            raise ConfigError("the file must hold an object")
+            raise ConfigError("", "the file must hold an object")
     return parse({"name": "library", "listen": "127.0.0.1:0", **given})
 
 
--- a/micadeck/memory_relief.py
+++ b/micadeck/memory_relief.py
@@ -10,11 +10,11 @@
 from micadeck.network import Network
 
 _RETRY_S = 0.1
-_REJECTED_FRACTION = 4  # one in so many of the half-sent requests is given up at a time
+_DROPPED_FRACTION = 4  # one in so many of the partly received requests is dropped at a time
 
 
 class MemoryRelief:
-    """Gives up half-sent requests and closes idle connections, step by step, until memory suffices.
+    """Drops partly received requests and closes idle connections, step by step, until memory suffices.
 
     Owns whether a step is scheduled.  A step frees only a part: the resident memory is only seen to shrink
     a moment later.
@@ -47,7 +47,7 @@
             self._network.call_soon(self._run_step)
 
     def _run_step(self) -> None:
-        for _ in range(self._listener.half_sent // _REJECTED_FRACTION + 1):
+        for _ in range(self._listener.half_sent // _DROPPED_FRACTION + 1):
             if self._budget.stage < PressureLevel.GIVE_UP or not self._listener.give_up_oldest():
                 break
         if self._budget.stage >= PressureLevel.CLOSE_IDLE:
--- a/micadeck/peer_datagrams.py
+++ b/micadeck/peer_datagrams.py
@@ -13,7 +13,7 @@
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """Sends to the sidecars of the tier by number, and reports who a datagram came from.
+    """Sends to the sidecars of the tier by number, and reports the sender of each datagram.
 
     Owns the socket and the addresses of the peers.
     """
--- a/micadeck/runtime.py
+++ b/micadeck/runtime.py
@@ -36,7 +36,7 @@
 
 
 class Runtime:
-    """The engine with its transport, endpoint sources and peers, as one configuration asks for them.
+    """The engine with its transport, endpoint sources and peers, as one configuration defines them.
 
     Owns the configuration in force, and this process's part of the limits that several processes share.
 
@@ -162,7 +162,7 @@
         return recorders[0] if recorders else None
 
     def _make_recording(self) -> Recording | None:
-        """Records for whoever looks into an incident; without the key, nothing of it is loaded."""
+        """Records for the analysis of incidents; without the key, nothing of it is loaded."""
         from micadeck.incidents.recording import Recording
         from micadeck.incidents.segments import Limits
 
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -39,7 +39,7 @@
 class Sidecar:
     """One daemon from its start to its end.
 
-    Owns the listeners, the phase of the process and the tasks that run beside requests.
+    Owns the listeners, the phase of the process and the background tasks.
 
     Attributes:
         frontend: The listener for the application's HTTP connections.
--- a/micadeck/signals.py
+++ b/micadeck/signals.py
@@ -9,66 +9,78 @@
 import time
 from collections.abc import Callable
 
-_ENDS = (signal.SIGTERM, signal.SIGINT)
-_ALL = (*_ENDS, signal.SIGHUP)
+_END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+_ALL_SIGNALS = (*_END_SIGNALS, signal.SIGHUP)
 
 
 class ProcessSignals:
-    """What the process was told.  Handlers run between two instructions of whatever the main thread does.
+    """The signals that the process got.
 
-    So a loop that is held up hears late, but the time of the signal is right.
+    Handlers run between two instructions of the main thread: an event loop that is held up reacts late, but
+    the time of the signal is right.
+
+    Attributes:
+        ended_at: When the end was first requested, on the monotonic clock in seconds; None: it was not.
+        ended_by: By which signal.
     """
 
     def __init__(self) -> None:
-        self.ended_at: float | None = None  # when the end was first asked for, on the monotonic clock
+        """Start without a signal; `listen` installs the handlers."""
+        self.ended_at: float | None = None
         self.ended_by: signal.Signals | None = None
-        self._reload_asked = False
-        self._tell: Callable[[Callable[[], object]], object] | None = None
+        self._is_reload_requested = False
+        self._call: Callable[[Callable[[], object]], object] | None = None
         self._on_end: Callable[[], object] = _nothing
         self._on_reload: Callable[[], object] = _nothing
 
     def listen(self) -> None:
-        """Take over the handlers; nothing ends the process by signal from here on but SIGKILL.
+        """Install the handlers; no signal but SIGKILL ends the process from here on.
 
-        Whoever started the process may have blocked them, so that what came before waits for this.
+        Whoever started the process may have blocked the signals, so that earlier ones wait for this.
         """
-        for number in _ENDS:
+        for number in _END_SIGNALS:
             signal.signal(number, self._end)
         signal.signal(signal.SIGHUP, self._reload)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, _ALL)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, _ALL_SIGNALS)
 
     def attach(
         self,
-        tell: Callable[[Callable[[], object]], object],
+        call: Callable[[Callable[[], object]], object],
         on_end: Callable[[], object],
         on_reload: Callable[[], object],
     ) -> None:
-        """Have `tell` call these, for each reload and the first end; what came before is told now."""
-        self._on_end, self._on_reload, self._tell = on_end, on_reload, tell
-        if self._reload_asked:
-            tell(on_reload)
+        """Report signals from now on, and earlier ones at once.
+
+        Args:
+            call: Calls what it is given on the event loop; safe in a signal handler.
+            on_end: Is called for the first signal that ends the process.
+            on_reload: Is called for each reload.
+        """
+        self._on_end, self._on_reload, self._call = on_end, on_reload, call
+        if self._is_reload_requested:
+            call(on_reload)
         if self.ended_at is not None:
-            tell(on_end)
+            call(on_end)
 
     def ignore(self) -> None:
-        """Hear no more: the process is about to end by itself."""
-        for number in _ALL:
+        """Ignore all signals: the process is about to end by itself."""
+        for number in _ALL_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
-        self._tell = None
+        self._call = None
 
-    def _end(self, number: int, frame: object) -> None:
+    def _end(self, number: int, _frame: object) -> None:
         if self.ended_at is not None:
             return
         self.ended_at = time.monotonic()
         self.ended_by = signal.Signals(number)
-        if self._tell is not None:
-            self._tell(self._on_end)
+        if self._call is not None:
+            self._call(self._on_end)
 
-    def _reload(self, number: int, frame: object) -> None:
-        self._reload_asked = True
-        if self._tell is not None:
-            self._tell(self._on_reload)
+    def _reload(self, _number: int, _frame: object) -> None:
+        self._is_reload_requested = True
+        if self._call is not None:
+            self._call(self._on_reload)
 
 
 def _nothing() -> None:
-    """Nobody listens yet."""
+    """Do nothing; `attach` was not called yet."""
--- a/tests/test_exit_codes.py
+++ b/tests/test_exit_codes.py
@@ -13,6 +13,11 @@
 from loopback import play, soon
 from test_program import GOOD, ROOT, started
 
+from micadeck.config import ConfigError, ConfigUnreadableError
+from micadeck.engine import RequestIdInUseError
+from micadeck.errors import OperatorError
+from micadeck.sidecar import ListenError
+
 MAIN = "from micadeck.__main__ import main; raise SystemExit(main())"
 FAULTS = [signal.SIGSEGV, signal.SIGABRT, signal.SIGBUS, signal.SIGFPE, signal.SIGILL]
 
@@ -82,3 +87,12 @@
         assert told.startswith(b"micadeck: config: limits.memory_mb: 16")
 
     play(work)
+
+
+def test_each_error_has_advice_of_its_own_and_keeps_its_text() -> None:
+    kinds: list[type[OperatorError]] = [ConfigError, ConfigUnreadableError, RequestIdInUseError, ListenError]
+    assert all(issubclass(kind, OperatorError) and kind.advice.endswith(".") for kind in kinds)
+    assert len({kind.advice for kind in (OperatorError, *kinds)}) == len(kinds) + 1
+    assert str(ConfigError("seed", "digits are needed")) == "seed: digits are needed"
+    assert str(ConfigError("", "an object is needed")) == "an object is needed"
+    assert str(ListenError("listen: taken")) == "listen: taken"
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -16,7 +16,14 @@
 # From the ground up: a module imports from its own layer and those before it, of the package's own.
 LAYERS = [
     ("micadeck.policy",),
-    ("micadeck.network", "micadeck.keys", "micadeck.errors", "micadeck.signals", "micadeck.memory"),
+    (
+        "micadeck.network",
+        "micadeck.keys",
+        "micadeck.errors",
+        "micadeck.signals",
+        "micadeck.rate_limited_log",
+        "micadeck.memory",
+    ),
     ("micadeck.engine",),
     ("micadeck.operations",),
     ("micadeck.http",),
