--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine on a clock and a carrier that do what the test says: one answer to each, in every order."""
+"""The engine on a controlled clock and transport: one answer to each request, in every order of events."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
         self.is_cancelled = True
 
 
-class World:
-    """Clock, timers, carrier, source and messages in one; attempts end when the test ends them."""
+class FakePorts:
+    """Clock, timers, transport, source and peers in one; attempts end when the test ends them."""
 
     def __init__(self) -> None:
         self.at = 1_000_000_000
@@ -56,7 +56,7 @@
         self.at = until
 
     def start(self, *given: Any) -> int:
-        if len(given) == 5:  # the carrier's; the source's has two
+        if len(given) == 5:  # the transport's; the source's has two
             server, _, request, done, _ = given
             self.attempts.append((server, request, done))
         return len(self.attempts) - 1
@@ -86,7 +86,7 @@
     def close(self) -> None: ...
 
 
-class Waiter:
+class Handler:
     def __init__(self) -> None:
         self.got: list[tuple[Any, ...]] = []
 
@@ -102,28 +102,28 @@
 
 class Stage:
     def __init__(self, make: type[Engine] = Engine, **bounds: Any) -> None:
-        self.world = World()
+        self.ports = FakePorts()
         given: dict[str, Any] = {"lanes": CLASSES, "discovery": "on_request"}
         settings = settings_from_wire({**given, "bounds": {"sendCap": 3, "mayCancel": True, **bounds}})
-        world: Any = self.world
-        self.engine = make(settings, 1, world, world, world, world, print)
+        ports: Any = self.ports
+        self.engine = make(settings, 1, ports, ports, ports, ports, print)
         self.events: list[Event] = []
         handle = self.engine._balancer.handle
 
-        def heard(now: int, event: Event) -> Any:
+        def record(now: int, event: Event) -> Any:
             self.events.append(event)
             return handle(now, event)
 
-        self.engine._balancer.handle = heard  # type: ignore[method-assign]
+        self.engine._balancer.handle = record  # type: ignore[method-assign]
         entries = [EndpointEntry(ListedServer(f"s-{n}"), ("127.0.0.1", 1 + n)) for n in range(3)]
         self.engine.start(EndpointUpdate(1, True, tuple(entries)))
-        self._idents = itertools.count()
+        self._request_numbers = itertools.count()
 
-    def ask(self, kind: str = "lodge", request_id: bytes | None = None) -> tuple[Waiter, int | None]:
-        waiter = Waiter()
-        name = request_id or b"%d" % next(self._idents)
+    def ask(self, kind: str = "lodge", request_id: bytes | None = None) -> tuple[Handler, int | None]:
+        handler = Handler()
+        name = request_id or b"%d" % next(self._request_numbers)
         request = Request(kind, None, None, 2_000_000, None, False, name, kind != "check")
-        return waiter, self.engine.submit(request, waiter)
+        return handler, self.engine.submit(request, handler)
 
     def order(self) -> list[str]:
         kinds = (RequestArrived, AttemptEnded)
@@ -140,86 +140,88 @@
         (Outcome.MALFORMED, ("failed", FailureCause.SERVERS, True)),
     ],
 )
-def test_an_unsafe_attempt_that_may_have_run_is_the_last(outcome: Outcome, got: tuple[Any, ...]) -> None:
+def test_an_unsafe_request_is_not_retried_once_it_may_have_run(
+    outcome: Outcome, got: tuple[Any, ...]
+) -> None:
     stage = Stage()
-    waiter, _ = stage.ask()
-    stage.world.end(0, outcome)
-    assert waiter.got == [got] and len(stage.world.attempts) == 1
+    handler, _ = stage.ask()
+    stage.ports.end(0, outcome)
+    assert handler.got == [got] and len(stage.ports.attempts) == 1
     assert stage.engine.open_requests == stage.engine.unanswered_requests == 0
 
 
-def test_what_never_ran_is_tried_again_and_then_refused() -> None:
+def test_a_request_that_never_ran_is_retried_and_then_refused() -> None:
     stage = Stage()
-    waiter, _ = stage.ask()
+    handler, _ = stage.ask()
     for attempt in range(3):
-        assert waiter.got == []
-        stage.world.end(attempt, Outcome.CONNECT_FAILED)
-    assert waiter.got == [("refused",)]
+        assert handler.got == []
+        stage.ports.end(attempt, Outcome.CONNECT_FAILED)
+    assert handler.got == [("refused",)]
 
 
-def test_the_end_fails_what_is_out_and_an_answer_after_that_is_nobodys() -> None:
+def test_failing_open_requests_drops_later_answers() -> None:
     stage = Stage()
-    waiter, _ = stage.ask()
+    handler, _ = stage.ask()
     stage.engine.fail_open_requests()
-    assert waiter.got == [("failed", FailureCause.TIME, True)]
-    assert stage.engine.open_requests == 1  # its attempt is still out
-    stage.world.end(0)
-    assert len(waiter.got) == 1 and stage.engine.open_requests == 0
+    assert handler.got == [("failed", FailureCause.TIME, True)]
+    assert stage.engine.open_requests == 1  # its attempt is still in flight
+    stage.ports.end(0)
+    assert len(handler.got) == 1 and stage.engine.open_requests == 0
 
 
-def test_one_that_left_gets_no_answer_and_leaving_twice_is_nothing() -> None:
+def test_a_disconnected_client_gets_no_answer_and_a_second_disconnect_changes_nothing() -> None:
     stage = Stage()
-    waiter, number = stage.ask()
+    handler, number = stage.ask()
     assert number is not None
     stage.engine.client_disconnected(number)
     stage.engine.client_disconnected(number)
     stage.engine.client_disconnected(999)
-    stage.world.end(0)
-    assert waiter.got == [] and stage.engine.open_requests == 0
+    stage.ports.end(0)
+    assert handler.got == [] and stage.engine.open_requests == 0
 
 
-def test_an_open_id_is_not_taken_again_and_a_full_house_refuses() -> None:
+def test_an_open_request_id_is_rejected_and_so_is_a_request_beyond_max_open() -> None:
     stage = Stage(maxOpen=2)
     stage.ask(request_id=b"same")
     with pytest.raises(RequestIdInUseError):
         stage.ask(request_id=b"same")
     stage.ask()
-    waiter, number = stage.ask()
-    assert waiter.got == [("refused",)] and number is None
-    stage.world.end(0)
+    handler, number = stage.ask()
+    assert handler.got == [("refused",)] and number is None
+    stage.ports.end(0)
     assert stage.ask(request_id=b"same")[1] is not None
 
 
-def test_with_pauses_between_requests_the_waiter_comes_first() -> None:
+def test_with_pauses_between_requests_the_handler_runs_before_the_decisions() -> None:
     stage = Stage(HandlerFirstEngine)
     for number in range(3):
-        stage.world.wait(5 * MS)
-        waiter, _ = stage.ask()
-        stage.world.end(number)
-        assert waiter.got == [("served", "answer")]
+        stage.ports.wait(5 * MS)
+        handler, _ = stage.ask()
+        stage.ports.end(number)
+        assert handler.got == [("served", "answer")]
         assert stage.order()[-1] == "RequestArrived"
-        stage.world.wait(2 * MS)
+        stage.ports.wait(2 * MS)
         assert stage.order()[-1] == "AttemptEnded"
 
 
-def test_the_decisions_hear_of_an_attempt_before_the_next_request_whatever_the_pauses() -> None:
+def test_the_decisions_get_an_attempts_end_before_the_next_request_in_any_case() -> None:
     stage = Stage(HandlerFirstEngine)
-    stage.world.wait(5 * MS)
+    stage.ports.wait(5 * MS)
     for number in range(6):
         stage.ask()
-        stage.world.end(number)
-        stage.world.wait(2 * MS if number == 2 else 100)
-    stage.world.wait(5 * MS)
+        stage.ports.end(number)
+        stage.ports.wait(2 * MS if number == 2 else 100)
+    stage.ports.wait(5 * MS)
     assert stage.order() == ["RequestArrived", "AttemptEnded"] * 6
     assert stage.engine.open_requests == 0
 
 
-def test_back_to_back_the_decisions_hear_at_once() -> None:
+def test_without_pauses_the_decisions_get_an_attempts_end_at_once() -> None:
     stage = Stage(HandlerFirstEngine)
-    stage.world.wait(5 * MS)
+    stage.ports.wait(5 * MS)
     for number in range(4):
         stage.ask()
-        stage.world.end(number)
+        stage.ports.end(number)
         if number:
             assert stage.order()[-1] == "AttemptEnded"
-        stage.world.wait(100)
+        stage.ports.wait(100)
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import MS, S, Stage, names, settings
-from test_engine import World
+from test_engine import FakePorts
 
 from micadeck.engine import EndpointEntry, EndpointUpdate, Engine, FailureCause, Request
 from micadeck.policy.actions import Fail, Refuse
@@ -131,22 +131,22 @@
 # Answers that have begun
 
 
-class Waiter:
+class Handler:
     def __init__(self) -> None:
-        self.told: list[object] = []
+        self.answers: list[object] = []
 
     def served(self, response: object) -> None:
-        self.told.append("served")
+        self.answers.append("served")
 
     def refused(self, retry_after_us: int) -> None:
-        self.told.append("refused")
+        self.answers.append("refused")
 
     def failed(self, cause: FailureCause, may_have_run: bool) -> None:
-        self.told.append((cause, may_have_run))
+        self.answers.append((cause, may_have_run))
 
 
-def _engine() -> tuple[World, Engine]:
-    world = World()
+def _engine() -> tuple[FakePorts, Engine]:
+    ports = FakePorts()
     made = settings_from_wire(
         {
             "lanes": [{"name": "check", "giveUpUs": 2 * S, "promiseUs": S, "repeat": "read_like"}],
@@ -155,10 +155,10 @@
             "bounds": {"sendCap": 3, "mayCancel": True},
         }
     )
-    engine = Engine(made, 1, world, world, world, world, lambda _: None)  # type: ignore[arg-type]
+    engine = Engine(made, 1, ports, ports, ports, ports, lambda _: None)  # type: ignore[arg-type]
     entries = tuple(EndpointEntry(ListedServer(each, zone="a"), ("127.0.0.1", 1)) for each in SERVERS)
     engine.start(EndpointUpdate(1, True, entries))
-    return world, engine
+    return ports, engine
 
 
 def _request() -> Request:
@@ -176,31 +176,31 @@
 def test_an_answer_that_has_begun_is_ended_by_its_own_attempt_and_no_other(
     outcome: Outcome, told: object
 ) -> None:
-    world, engine = _engine()
-    waiter = Waiter()
-    number = engine.submit(_request(), waiter)
+    ports, engine = _engine()
+    handler = Handler()
+    number = engine.submit(_request(), handler)
     assert number is not None and engine.response_started(number)
-    world.end(0, outcome)
-    assert waiter.told == [told] and len(world.attempts) == 1
+    ports.end(0, outcome)
+    assert handler.answers == [told] and len(ports.attempts) == 1
     assert engine.open_requests == engine.unanswered_requests == 0
 
 
-def test_past_its_time_an_answer_that_has_begun_is_left_to_its_carrier() -> None:
-    world, engine = _engine()
-    waiter = Waiter()
-    number = engine.submit(_request(), waiter)
+def test_past_its_time_an_answer_that_has_begun_is_left_to_its_transport() -> None:
+    ports, engine = _engine()
+    handler = Handler()
+    number = engine.submit(_request(), handler)
     assert number is not None and engine.response_started(number)
-    world.wait(2 * S)
-    assert not waiter.told and not world.cancelled
-    world.end(0, Outcome.TIMED_OUT)  # which its `until` ends
-    assert len(waiter.told) == 1 and not engine.response_started(number)
+    ports.wait(2 * S)
+    assert not handler.answers and not ports.cancelled
+    ports.end(0, Outcome.TIMED_OUT)  # which its deadline ends
+    assert len(handler.answers) == 1 and not engine.response_started(number)
     assert engine.open_requests == 0
 
 
 def test_nothing_begins_for_one_who_went_away() -> None:
-    world, engine = _engine()
-    number = engine.submit(_request(), Waiter())
+    ports, engine = _engine()
+    number = engine.submit(_request(), Handler())
     assert number is not None
     engine.client_disconnected(number)
     assert not engine.response_started(number)
-    assert world.cancelled
+    assert ports.cancelled
