--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -12,18 +12,15 @@
 from micadeck.engine.final_answers import FinalAnswers
 from micadeck.engine.open_requests import OpenRequests
 from micadeck.engine.ports import (
-    EndpointSource,
     EndpointUpdate,
+    EnginePorts,
     FailureCause,
-    PeerTransport,
     Request,
     ResponseHandler,
-    Transport,
 )
 from micadeck.engine.send_guard import InvariantLog, InvariantViolation
 from micadeck.errors import OperatorError
 from micadeck.memory.budget import MemoryBudget, PressureLevel
-from micadeck.network import Network
 from micadeck.policy import Balancer, Settings
 from micadeck.policy.actions import (
     Action,
@@ -97,32 +94,20 @@
         memory: The memory budget by which new requests are refused; None: they never are.
     """
 
-    def __init__(  # one argument for each port
-        self,
-        settings: Settings,
-        seed: int,
-        network: Network,
-        transport: Transport,
-        source: EndpointSource,
-        peers: PeerTransport,
-        log: Callable[[str], None],
-    ) -> None:
+    def __init__(self, settings: Settings, seed: int, ports: EnginePorts, log: Callable[[str], None]) -> None:
         """Connect the decisions to the ports; `start` makes them run.
 
         Args:
             settings: The settings of the decisions.
             seed: The seed of their random numbers.
-            network: The clock and timers.
-            transport: Carries attempts to servers.
-            source: Reports the endpoint list.
-            peers: Carries messages to other sidecars.
+            ports: What the engine is connected to.
             log: Takes one line at a time.
         """
         self._settings = settings
-        self._network = network
-        self._transport = transport
-        self._source = source
-        self._peers = peers
+        self._network = ports.network
+        self._transport = ports.transport
+        self._source = ports.source
+        self._peers = ports.peers
         self._log = log
         self._policy = Balancer(settings, seed)
         self._balancer = self._policy  # or what wraps it
@@ -134,7 +119,7 @@
         self._events: deque[Event] = deque()
         self._is_handling = False
         self._open = OpenRequests()
-        self._answers = FinalAnswers(network, transport, self._open, self.invariants)
+        self._answers = FinalAnswers(ports.network, ports.transport, self._open, self.invariants)
         self.outcomes = self._answers.outcomes
         self._drain_deadline_us: int | None = None  # when all must be answered, once it drains
 
--- a/micadeck/engine/ports.py
+++ b/micadeck/engine/ports.py
@@ -10,7 +10,7 @@
 from enum import Enum, unique
 from typing import Any, Protocol
 
-from micadeck.network import Address
+from micadeck.network import Address, Network
 from micadeck.policy.events import ListedServer, ListKind, ServersListed
 from micadeck.policy.outcomes import Outcome
 from micadeck.policy.settings import ServiceClass
@@ -180,3 +180,20 @@
 
     def close(self) -> None:
         """Close the socket."""
+
+
+@dataclass(frozen=True, slots=True)
+class EnginePorts:
+    """What an engine is connected to.
+
+    Attributes:
+        network: The clock and timers.
+        transport: Carries attempts to servers.
+        source: Reports the endpoint list.
+        peers: Carries messages to other sidecars.
+    """
+
+    network: Network
+    transport: Transport
+    source: EndpointSource
+    peers: PeerTransport
--- a/micadeck/engine/send_guard.py
+++ b/micadeck/engine/send_guard.py
@@ -9,6 +9,7 @@
 from collections import Counter
 from collections.abc import Callable
 from enum import Enum, unique
+from typing import Protocol
 
 ANSWER_SLACK_US = 500_000  # an answer that is later than this counts as lost
 
@@ -33,35 +34,41 @@
     CLOSED_UNANSWERED = "closed with a request unanswered"
 
 
-def send_denial(  # one snapshot: each argument is a fact of its own, given by keyword
-    now: int,
-    *,
-    deadline_us: int,
-    write_deadline_us: int | None,
-    is_cancelled: bool,
-    is_server_leaving: bool,
-    is_connection_usable: bool,
+class UnsentAttempt(Protocol):
+    """An attempt that is about to be written.
+
+    Attributes:
+        deadline_us: When it is given up.
+        write_deadline_us: When it must be written in full; None: at any time.
+        ended: Whether nobody waits for it any more.
+    """
+
+    deadline_us: int
+    write_deadline_us: int | None
+    ended: bool
+
+
+def send_denial(
+    now: int, attempt: UnsentAttempt, *, is_server_leaving: bool, is_connection_usable: bool
 ) -> SendDenial | None:
     """Decide whether an attempt may be written.  All times are microseconds on the network's clock.
 
     Args:
         now: The time.
-        deadline_us: When the attempt is given up.
-        write_deadline_us: When it must be written in full; None: at any time.
-        is_cancelled: Whether nobody waits for it any more.
+        attempt: The attempt.
         is_server_leaving: Whether its server takes no new requests.
         is_connection_usable: Whether its connection can carry it.
 
     Returns:
         Why it may not be written now; None if it may.
     """
-    if is_cancelled:
+    if attempt.ended:
         return SendDenial.CANCELLED
     if is_server_leaving:
         return SendDenial.SERVER_LEAVING
-    if write_deadline_us is not None and now >= write_deadline_us:
+    if attempt.write_deadline_us is not None and now >= attempt.write_deadline_us:
         return SendDenial.REPEAT_TOO_LATE
-    if now >= deadline_us:
+    if now >= attempt.deadline_us:
         return SendDenial.TIME_OVER
     if not is_connection_usable:
         return SendDenial.CONNECTION_ENDED
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -342,9 +342,7 @@
         """Ask the gate and write, in one step; what may not be written ends, its connection is kept."""
         denial = send_denial(
             self._network.now(),
-            deadline_us=call.deadline_us,
-            write_deadline_us=call.write_deadline_us,
-            is_cancelled=call.ended,
+            call,
             is_server_leaving=server.is_leaving,
             is_connection_usable=connection.is_usable(),
         )
--- a/micadeck/mysql/service.py
+++ b/micadeck/mysql/service.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from micadeck.engine import EndpointSource, EndpointUpdate, Engine
+from micadeck.engine import EndpointSource, EndpointUpdate, Engine, EnginePorts
 from micadeck.membership.discovery_watcher import DiscoveryWatcher
 from micadeck.membership.sources import EndpointSources
 from micadeck.mysql.auth import Users
@@ -82,7 +82,8 @@
             self._source = roster
         else:
             self._source = self._static = Static(config.known)
-        self.engine = Engine(settings, seed, network, self.carrier, self._source, _NoMessages(), log)
+        ports = EnginePorts(network, self.carrier, self._source, _NoMessages())
+        self.engine = Engine(settings, seed, ports, log)
         self.users = Users(config.users)
         self.front = MysqlListener(
             network, self.engine, self.carrier, self.users, self._routes(config), config.front, log
--- a/micadeck/runtime.py
+++ b/micadeck/runtime.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from micadeck.config import Config
-from micadeck.engine import Engine
+from micadeck.engine import Engine, EnginePorts
 from micadeck.graceful_shutdown import drain_engine
 from micadeck.http.body_stream import BufferBudget
 from micadeck.http.upstream import ConnectionPool
@@ -85,7 +85,8 @@
         source = self.sources or self.discovery
         assert source is not None  # the configuration has one of them
         self.peers = PeerDatagrams(network, config.peers, config.peers_all, settings.me)
-        self.engine = make_engine(settings, config.seed, network, self.upstream, source, self.peers, log)
+        ports = EnginePorts(network, self.upstream, source, self.peers)
+        self.engine = make_engine(settings, config.seed, ports, log)
         self.fleet = self._make_fleet(source.suspect_stale)
         self.recorder = self._make_recorder() if config.trace else None
         self.recording = self._make_recording() if config.records else None
--- a/tests/discovery_stage.py
+++ b/tests/discovery_stage.py
@@ -16,7 +16,7 @@
 
 from helpers import S, settings
 
-from micadeck.engine import EndpointUpdate, Engine
+from micadeck.engine import EndpointUpdate, Engine, EnginePorts
 from micadeck.membership.discovery_watcher import DiscoveryWatcher
 from micadeck.simulation.loop import Host, VirtualLoop
 from micadeck.simulation.network import VirtualNetwork
@@ -215,7 +215,9 @@
             seed=f"{number}",
         )
         nobody: Any = NoServers()
-        self.engine = Engine(given, number, self.network, nobody, self.roster, nobody, lambda text: None)
+        self.engine = Engine(
+            given, number, EnginePorts(self.network, nobody, self.roster, nobody), lambda text: None
+        )
         self.engine.on_endpoint_update = self._listed
         self.heard: dict[str, float] = {}  # when it first heard of each server that it is not ready
         self.lists = 0
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -16,7 +16,7 @@
 import pytest
 from helpers import S, settings
 
-from micadeck.engine import EndpointEntry, EndpointUpdate, Engine
+from micadeck.engine import EndpointEntry, EndpointUpdate, Engine, EnginePorts
 from micadeck.engine.ports import FailureCause
 from micadeck.http.request_validation import ValidatedRequest
 from micadeck.http.upstream import ConnectionPool
@@ -51,7 +51,9 @@
         given = settings(limits={"second_copies": False, "dial_timeout_us": S})
         self.upstream = ConnectionPool(self.network, given)
         self.upstream.most = 10
-        self.engine = Engine(given, 1, self.network, self.upstream, _NoSource(), _NoMessages(), _ignore)
+        self.engine = Engine(
+            given, 1, EnginePorts(self.network, self.upstream, _NoSource(), _NoMessages()), _ignore
+        )
         self.request: int | None = None
         self._listed = listed
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,7 +10,15 @@
 import pytest
 from loopback import CLASSES
 
-from micadeck.engine import EndpointEntry, EndpointUpdate, Engine, FailureCause, Request, RequestIdInUseError
+from micadeck.engine import (
+    EndpointEntry,
+    EndpointUpdate,
+    Engine,
+    EnginePorts,
+    FailureCause,
+    Request,
+    RequestIdInUseError,
+)
 from micadeck.library.engine import HandlerFirstEngine
 from micadeck.policy.events import AttemptEnded, Event, ListedServer, RequestArrived
 from micadeck.policy.outcomes import Outcome
@@ -106,7 +114,7 @@
         given: dict[str, Any] = {"lanes": CLASSES, "discovery": "on_request"}
         settings = settings_from_wire({**given, "bounds": {"sendCap": 3, "mayCancel": True, **bounds}})
         ports: Any = self.ports
-        self.engine = make(settings, 1, ports, ports, ports, ports, print)
+        self.engine = make(settings, 1, EnginePorts(ports, ports, ports, ports), print)
         self.events: list[Event] = []
         handle = self.engine._balancer.handle
 
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -8,7 +8,7 @@
 from helpers import MS, S, Stage, names, settings
 from test_engine import FakePorts
 
-from micadeck.engine import EndpointEntry, EndpointUpdate, Engine, FailureCause, Request
+from micadeck.engine import EndpointEntry, EndpointUpdate, Engine, EnginePorts, FailureCause, Request
 from micadeck.policy.actions import Fail, Refuse
 from micadeck.policy.events import ListedServer, ListKind, RequestArrived, ServerState
 from micadeck.policy.outcomes import Outcome
@@ -155,7 +155,7 @@
             "bounds": {"sendCap": 3, "mayCancel": True},
         }
     )
-    engine = Engine(made, 1, ports, ports, ports, ports, lambda _: None)  # type: ignore[arg-type]
+    engine = Engine(made, 1, EnginePorts(ports, ports, ports, ports), lambda _: None)  # type: ignore[arg-type]
     entries = tuple(EndpointEntry(ListedServer(each, zone="a"), ("127.0.0.1", 1)) for each in SERVERS)
     engine.start(EndpointUpdate(1, True, entries))
     return ports, engine
