--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -12,18 +12,15 @@
 from micadeck.engine.final_answers import FinalAnswers
 from micadeck.engine.open_requests import OpenRequests
 from micadeck.engine.ports import (
-    EndpointSource,
     EndpointUpdate,
+    EnginePorts,
     FailureCause,
-    PeerTransport,
     Request,
     ResponseHandler,
-    Transport,
 )
 from micadeck.engine.send_guard import InvariantLog, InvariantViolation
 from micadeck.errors import OperatorError
 from micadeck.memory.budget import MemoryBudget, PressureLevel
-from micadeck.network import Network
 from micadeck.policy import Balancer, Settings
 from micadeck.policy.actions import (
     Action,
@@ -62,7 +59,7 @@
 
 
 class RequestIdInUseError(OperatorError):
-    """A request came with the id of one that is open."""
+    """A request has the id of one that is open."""
 
     advice = "Have clients give each open request an id of its own."
 
@@ -93,36 +90,24 @@
         outcomes: How requests ended, by service class.
         shed_requests: How many requests were refused for memory.
         on_endpoint_update: Gets each endpoint update, as the decisions do.
-        has_list: Whether an endpoint list came since the start.
+        has_list: Whether the source reported a list since the start.
         memory: The memory budget by which new requests are refused; None: they never are.
     """
 
-    def __init__(  # one argument for each port
-        self,
-        settings: Settings,
-        seed: int,
-        network: Network,
-        transport: Transport,
-        source: EndpointSource,
-        peers: PeerTransport,
-        log: Callable[[str], None],
-    ) -> None:
+    def __init__(self, settings: Settings, seed: int, ports: EnginePorts, log: Callable[[str], None]) -> None:
         """Connect the decisions to the ports; `start` makes them run.
 
         Args:
             settings: The settings of the decisions.
             seed: The seed of their random numbers.
-            network: The clock and timers.
-            transport: Carries attempts to servers.
-            source: Reports the endpoint list.
-            peers: Carries messages to other sidecars.
+            ports: What the engine is connected to.
             log: Takes one line at a time.
         """
         self._settings = settings
-        self._network = network
-        self._transport = transport
-        self._source = source
-        self._peers = peers
+        self._network = ports.network
+        self._transport = ports.transport
+        self._source = ports.source
+        self._peers = ports.peers
         self._log = log
         self._policy = Balancer(settings, seed)
         self._balancer = self._policy  # or what wraps it
@@ -134,7 +119,7 @@
         self._events: deque[Event] = deque()
         self._is_handling = False
         self._open = OpenRequests()
-        self._answers = FinalAnswers(network, transport, self._open, self.invariants)
+        self._answers = FinalAnswers(ports.network, ports.transport, self._open, self.invariants)
         self.outcomes = self._answers.outcomes
         self._drain_deadline_us: int | None = None  # when all must be answered, once it drains
 
@@ -211,7 +196,7 @@
             The request's number; None if it was answered within this call.
 
         Raises:
-            RequestIdInUseError: Another open request has this id, by which servers tell requests apart.  The
+            RequestIdInUseError: Another open request has this id, by which servers distinguish requests.  The
                 handler gets no answer.
         """
         if request.request_id in self._open.unanswered_ids:
@@ -236,7 +221,7 @@
         return min(limits.max_retry_after_us, _MEMORY_RETRY_AFTER_US) if limits.retry_after else 0
 
     def request_completed(self, request: int, remaining_us: int) -> None:
-        """Take note that the last byte of a request came; its time runs from here."""
+        """Take note that the last byte of a request was received; its time runs from here."""
         opened = self._open.get(request)
         if opened is None or opened.handler is None or opened.request.is_complete:
             return
@@ -345,7 +330,7 @@
         # A request that was completed after the attempt was sent is timed from its completion.
         elapsed_us = self._network.now() - max(attempt.sent_at, opened.completed_at)
         if opened.response_delay_us is not None:
-            # The rest of an answer takes as long as the client reads, which says nothing about the server.
+            # The rest of an answer takes as long as the client reads, which is no measure of the server.
             elapsed_us = opened.response_delay_us
             if not is_delivered:
                 self._answers.fail(request, FailureCause.SERVERS)
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -38,7 +38,7 @@
         "check_client",
         "connection",
         "deadline_us",
-        "has_ended",
+        "ended",
         "is_probe",
         "message",
         "on_done",
@@ -71,7 +71,7 @@
         )
         self.begin = begin  # takes an answer that is too large to be kept
         self.check_client = check_client  # sees whether who waits has left
-        self.has_ended = False
+        self.ended = False
         self.connection: ClientConnection | None = None  # once it is written
         self.timer: Timer | None = None
 
@@ -88,7 +88,7 @@
     def begin_answer(self, response: Response) -> bool:
         """An answer that is too large to be kept has begun; say whether anybody takes it."""
         connection = self.connection
-        if self.has_ended or self.begin is None or connection is None or connection.is_unwritten:
+        if self.ended or self.begin is None or connection is None or connection.is_unwritten:
             return False  # nobody waits, or it is no answer to a request that is not there yet
         if self.timer is not None:
             self.timer.cancel()  # from here on its connection sees to its time
@@ -231,7 +231,7 @@
     def set_deadline(self, exchange: Exchange, deadline_us: int) -> None:
         """Give it up at another time."""
         exchange.deadline_us = deadline_us
-        if exchange.timer is not None and not exchange.has_ended:
+        if exchange.timer is not None and not exchange.ended:
             exchange.timer.cancel()
             left_us = max(deadline_us - self._network.now(), 0)
             exchange.timer = self._network.call_later(left_us / 1e6, self._expire, exchange)
@@ -246,9 +246,9 @@
             self._drop(exchange, Outcome.NOT_SENT)
 
     def _drop(self, exchange: Exchange, outcome: Outcome) -> None:
-        if exchange.has_ended:
+        if exchange.ended:
             return
-        exchange.has_ended = True  # from here on nothing is written for it, also when a dial comes up
+        exchange.ended = True  # from here on nothing is written for it, also when a dial comes up
         if exchange.timer is not None:
             exchange.timer.cancel()
         if exchange.connection is not None:
@@ -289,9 +289,9 @@
         self._end(exchange, outcome)
 
     def _end(self, exchange: Exchange, outcome: Outcome, response: Response | None = None) -> None:
-        if exchange.has_ended:
+        if exchange.ended:
             return
-        exchange.has_ended = True
+        exchange.ended = True
         if exchange.timer is not None:
             exchange.timer.cancel()
         if response is None:
@@ -349,7 +349,7 @@
             self._end(exchange, outcome)
             return
         self._owners[connection] = server
-        if exchange.check_client is not None and not exchange.has_ended:
+        if exchange.check_client is not None and not exchange.ended:
             exchange.check_client()
         self._write_if_allowed(exchange, server, connection)
 
@@ -357,9 +357,7 @@
         """Ask the gate and write, in one step; what may not be written ends, its connection is kept."""
         denial = send_denial(
             self._network.now(),
-            deadline_us=exchange.deadline_us,
-            write_deadline_us=exchange.write_deadline_us,
-            is_called_off=exchange.has_ended,
+            exchange,
             is_server_leaving=server.is_leaving,
             is_connection_usable=connection.is_usable(),
         )
--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -57,11 +57,9 @@
     try:
         contents = json.loads(Path(source).read_bytes())
     except (OSError, ValueError, RecursionError) as error:
-        message = f"{source}: it can't be read: {error}"
-        raise ConfigError(message) from None
+        raise ConfigError(str(source), f"it can't be read: {error}") from None
     if not isinstance(contents, dict):
-        message = "the file must hold an object"
-        raise ConfigError(message)
+        raise ConfigError("", "the file must hold an object")
     return _parse(contents)
 
 
