--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -51,8 +51,8 @@
 
     def work() -> None:
         merge.observe_changes(2.0, "consul", [Observation(_address(7), flip)])
-        told = merge.take_changes(2.0)
-        assert told is not None and len(told.entries) == 1
+        update = merge.take_changes(2.0)
+        assert update is not None and len(update.entries) == 1
 
     return work
 
@@ -93,14 +93,18 @@
         lambda count: _merge(count, Precedence.UNHEALTHY),
         _decisions,
     ],
-    ids=["a drain in the merge", "a doubt in the merge", "a drain and a cold return in the decisions"],
+    ids=[
+        "a drain in the merge",
+        "an unhealthy endpoint in the merge",
+        "a drain and a cold return in the decisions",
+    ],
 )
 def test_a_change_costs_the_same_among_many(made: Callable[[int], Callable[[], object]]) -> None:
     few, many = instructions(made(FEW)), instructions(made(MANY))
     assert 20 < few and many < 1.5 * few  # a search by halves takes a few steps more
 
 
-def test_of_a_list_told_again_only_the_entry_that_changed_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_of_a_list_read_again_only_the_entry_that_changed_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
     read: list[Any] = []
     parse = ServiceView._parse_entry
 
@@ -115,24 +119,24 @@
     assert len(list(view.take_change(1).observations)) == MANY
     read.clear()
     assert sum(1 for _ in view.read(_body(MANY, critical=9))) == steps
-    news = view.take_change(2)
-    assert len(read) == 1 and not news.removed and not news.is_complete
-    assert [(each.address, each.precedence) for each in news.observations] == [
+    change = view.take_change(2)
+    assert len(read) == 1 and not change.removed and not change.is_complete
+    assert [(each.address, each.precedence) for each in change.observations] == [
         (_address(9), Precedence.UNHEALTHY)
     ]
 
 
-def test_a_list_of_the_view_and_a_whole_one_come_to_the_same() -> None:
+def test_changes_of_the_view_and_a_complete_list_come_to_the_same() -> None:
     """Diffs over drawn answers, against each answer read by a view that knows nothing."""
     view = ServiceView()
     held: dict[tuple[str, int], Precedence] = {}
     for turn in range(60):
         body = json.dumps(_drawn(turn)).encode()
         list(view.read(body))
-        news = view.take_change(turn)
-        for address in news.removed:
+        change = view.take_change(turn)
+        for address in change.removed:
             del held[address]
-        held.update({each.address: each.precedence for each in news.observations})
+        held.update({each.address: each.precedence for each in change.observations})
         fresh = ServiceView()
         list(fresh.read(body))
         assert held == {each.address: each.precedence for each in fresh.take_change(turn).observations}
--- a/tests/test_consul_choices.py
+++ b/tests/test_consul_choices.py
@@ -1,4 +1,4 @@
-"""Consul without sockets: what is asked, when, how answers are read, and what they mean: row by row."""
+"""Consul without sockets: requests, their schedule, how answers are read and what they mean: row by row."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
 from micadeck.network import Address
 
 # ---------------------------------------------------------------------------------------------------
-# Asking and reading
+# Requests and responses
 
 
-def test_a_call_is_worded_with_all_that_was_configured_and_its_token_in_a_header_alone() -> None:
-    ask = RequestOptions(
+def test_a_request_has_all_that_was_configured_and_its_token_in_a_header_alone() -> None:
+    options = RequestOptions(
         "s3cret", "dc2", "team", "part", "stale", ("blue", "v 2"), 'Service.Meta.zone == "a"'
     )
-    request = ask.request("/v1/health/service/tariff s", "10.0.0.1:8500", index=7, wait_s=2.5)
+    request = options.request("/v1/health/service/tariff s", "10.0.0.1:8500", index=7, wait_s=2.5)
     assert request.target == (
         b"/v1/health/service/tariff%20s?dc=dc2&ns=team&partition=part&filter="
         b"Service.Meta.zone%20%3D%3D%20%22a%22&tag=blue&tag=v%202&index=7&wait=2500ms&stale"
     )
     assert (b"x-consul-token", b"s3cret") in request.headers
-    assert "s3cret" not in repr(ask) and b"s3cret" not in request.target
+    assert "s3cret" not in repr(options) and b"s3cret" not in request.target
     assert (
         RequestOptions(mode="consistent").request("/v1/status/leader", "x").target
         == b"/v1/status/leader?consistent"
@@ -70,7 +70,7 @@
         (_answer(gzip.compress(b" " * (5 << 20)), 200, content_encoding="gzip"), "4 MiB"),
     ],
 )
-def test_an_answer_that_is_none_says_what_is_wrong(response: Response, text: str) -> None:
+def test_a_malformed_answer_names_what_is_wrong(response: Response, text: str) -> None:
     with pytest.raises(ConsulError, match=text):
         read_body(response)
 
@@ -94,7 +94,7 @@
 
 
 # ---------------------------------------------------------------------------------------------------
-# When to ask
+# When to poll
 
 
 def _query() -> BlockingQuery:
@@ -123,7 +123,7 @@
 
 
 def _calls_in_a_minute(answer: Any) -> int:
-    """How often it asks when each answer comes at once."""
+    """How often it polls when each answer comes at once."""
     query, now, calls = _query(), 0.0, 0
     while now < 60.0:
         plan = query.next_poll(now)
@@ -140,7 +140,7 @@
     assert _calls_in_a_minute(lambda n: ResponseMeta(100 - n % 2)) <= 700
 
 
-def test_a_burst_of_news_is_heard_without_delay() -> None:
+def test_a_burst_of_changes_is_read_without_delay() -> None:
     query = _query()
     for number in range(8):
         assert query.next_poll(0.01 * number).delay_s == 0.0
@@ -163,7 +163,7 @@
     assert query.next_poll(2.0).delay_s == 0.0
 
 
-def test_a_hundred_that_start_together_do_not_ask_in_step() -> None:
+def test_a_hundred_that_start_together_do_not_poll_in_step() -> None:
     delays = [BlockingQuery(random.Random(seed)).first_delay(2.0) for seed in range(100)]
     buckets = [sum(int(each * 10) == bucket for each in delays) for bucket in range(20)]
     assert max(buckets) <= 15
@@ -331,7 +331,7 @@
     assert (six.server, six.address) == ("[2001:db8::1]:80", ("2001:db8::1", 80))
 
 
-def test_meta_tells_zone_kind_cell_and_start_under_configured_names() -> None:
+def test_meta_has_zone_kind_cell_and_start_under_configured_keys() -> None:
     meta = {"zone": "a", "kind": "m2", "cell": "3", "started_ms": "1700000000123"}
     got = status(entry(Meta=meta))
     assert (got.zone, got.kind, got.cell, got.started_at) == ("a", "m2", 3, 1_700_000_000_123_000)
@@ -351,7 +351,7 @@
         assert warnings(*order) == ("10.0.0.1:80 is registered 2 times",)
 
 
-def test_the_catalogue_tells_no_health() -> None:
+def test_the_catalogue_has_no_health() -> None:
     given_ = {"Node": "n-1", "ID": "x", "Address": "10.9.9.9", "ServiceID": "t-1", "ServicePort": 80}
     instances, faults = parse_catalog([given_, {**given_, "ServicePort": "80"}])
     assert len(faults) == 1 and "ServicePort" in faults[0]
@@ -367,10 +367,10 @@
 # RestartTracker
 
 
-def _heard(restarts: RestartTracker, now: int, *entries: dict[str, Any]) -> dict[str, int]:
-    told = statuses(read(*entries))
-    restarts.forget({("10.0.0.1", 80)} - {each.address for each in told})
-    starts = {each.server: restarts.observe(now, each) for each in told}
+def _observe(restarts: RestartTracker, now: int, *entries: dict[str, Any]) -> dict[str, int]:
+    listed = statuses(read(*entries))
+    restarts.forget({("10.0.0.1", 80)} - {each.address for each in listed})
+    starts = {each.server: restarts.observe(now, each) for each in listed}
     restarts.complete_list()
     return {name: start for name, start in starts.items() if start is not None}
 
@@ -380,7 +380,7 @@
 
 
 def test_who_is_there_at_the_first_look_has_not_restarted() -> None:
-    assert _heard(RestartTracker(), 5, entry()) == {}
+    assert _observe(RestartTracker(), 5, entry()) == {}
 
 
 @pytest.mark.parametrize(
@@ -399,15 +399,15 @@
     before: list[dict[str, Any]], after: list[dict[str, Any]], restarted: bool
 ) -> None:
     restarts = RestartTracker()
-    _heard(restarts, 5, *before)
-    assert _heard(restarts, 9, *after) == ({NAME: 9} if restarted else {})
-    assert _heard(restarts, 12, *after) == ({NAME: 9} if restarted else {})
+    _observe(restarts, 5, *before)
+    assert _observe(restarts, 9, *after) == ({NAME: 9} if restarted else {})
+    assert _observe(restarts, 12, *after) == ({NAME: 9} if restarted else {})
 
 
-def test_a_told_start_holds_over_a_seen_one_and_absence_forgets() -> None:
+def test_a_reported_start_holds_over_a_detected_one_and_absence_forgets() -> None:
     restarts = RestartTracker()
-    _heard(restarts, 5)
-    assert _heard(restarts, 9, entry(Meta={"started_ms": "1"})) == {NAME: 1_000}
-    assert _heard(restarts, 10, entry()) == {NAME: 9}
-    assert _heard(restarts, 11) == {}
-    assert _heard(restarts, 12, entry()) == {NAME: 12}
+    _observe(restarts, 5)
+    assert _observe(restarts, 9, entry(Meta={"started_ms": "1"})) == {NAME: 1_000}
+    assert _observe(restarts, 10, entry()) == {NAME: 9}
+    assert _observe(restarts, 11) == {}
+    assert _observe(restarts, 12, entry()) == {NAME: 12}
--- a/tests/test_consul_source.py
+++ b/tests/test_consul_source.py
@@ -30,7 +30,7 @@
 
 
 class Listener:
-    """A merge fed by one watched service; it keeps when each server was last told to be what."""
+    """A merge fed by one watched service; it keeps when each server last changed its state."""
 
     def __init__(
         self, *agents: StandInConsul, wait_s: float = 10.0, trust: SourceTrust | None = None
@@ -95,7 +95,7 @@
     play(main)
 
 
-def test_a_flip_is_told_within_the_grace_while_others_flip_at_random() -> None:
+def test_a_flip_is_published_within_the_grace_while_others_flip_at_random() -> None:
     async def work(agent: StandInConsul) -> None:
         chance = random.Random(5)
         for port in range(1, 201):
@@ -141,7 +141,7 @@
     played(work)
 
 
-def test_an_agent_that_restarts_empty_takes_nobody_away_until_another_says_the_same() -> None:
+def test_an_agent_that_restarts_empty_removes_nothing_until_another_confirms_it() -> None:
     async def work(agent: StandInConsul) -> None:
         other = await StandInConsul().start()
         for each in (agent, other):
@@ -180,7 +180,7 @@
     played(work)
 
 
-def test_faults_in_service_are_told_and_survived() -> None:
+def test_faults_in_service_are_reported_and_survived() -> None:
     async def work(agent: StandInConsul) -> None:
         put(agent, 80)
         kinds = [Fault("status"), Fault("status", status=429, text=""), Fault("reset"), Fault("truncated")]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,7 +15,7 @@
 
 
 class Ears:
-    """What discovery told."""
+    """What discovery reported."""
 
     def __init__(self, server: ScriptedServer, version: int = 41, pushed: bool = False) -> None:
         self.events: asyncio.Queue[EndpointUpdate | None] = asyncio.Queue()
@@ -76,7 +76,7 @@
     ids=str,
 )
 @pytest.mark.parametrize("how", ["follow", "fetch"])
-def test_a_call_that_fails_is_one_failure_and_the_next_is_heard(answer: bytes | None, how: str) -> None:
+def test_a_call_that_fails_is_one_failure_and_the_next_is_answered(answer: bytes | None, how: str) -> None:
     async def work() -> None:
         async def once(heard: Heard) -> bytes:
             server.script = reply(json.dumps(GOOD).encode())
@@ -106,7 +106,7 @@
     play(work)
 
 
-def test_a_move_asks_the_new_address_for_everything_and_tells_no_failure_of_the_old_one() -> None:
+def test_a_changed_address_is_read_completely_without_a_failure_of_the_old_one() -> None:
     async def work() -> None:
         old, new = ScriptedDiscovery(), ScriptedDiscovery()
         new.version = 5
@@ -145,7 +145,7 @@
         (b'{"version": 2, "full": true, "servers": [' + b"{}," * 90_000 + b"{}]}", "values are more than"),
     ],
 )
-def test_nonsense_for_a_list_is_told_once_by_its_field_and_changes_nothing(body: bytes, names: str) -> None:
+def test_nonsense_for_a_list_is_logged_once_by_its_field_and_changes_nothing(body: bytes, names: str) -> None:
     async def work() -> None:
         answers = [body, body, reply(json.dumps(GOOD).encode()), body]
 
@@ -169,7 +169,7 @@
 
 
 def test_a_fetch_that_was_overtaken_by_news_changes_nothing() -> None:
-    # Guards against an old list that ends after newer changes: a server told to drain would be ready again.
+    # Guards against an old list that ends after newer changes: a draining server would be ready again.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -210,8 +210,8 @@
     play(work)
 
 
-def test_a_watch_asked_for_again_before_its_answer_keeps_its_place() -> None:
-    # Guards against calls that are begun over and over while discovery is slow, and never answered.
+def test_a_watch_wanted_again_before_its_answer_keeps_its_place() -> None:
+    # Guards against calls that are restarted over and over while discovery is slow, and never answered.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -234,7 +234,7 @@
     play(work)
 
 
-def test_pushed_lists_are_heard_unasked_also_after_the_agent_was_away() -> None:
+def test_pushed_lists_are_received_unrequested_also_after_the_agent_was_away() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         await server.start()
@@ -262,5 +262,5 @@
     )
     listed = listing.entries[0].listed
     assert listed.started_at == 1_700_000_000_123_000
-    gone = parse_endpoint_update({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
-    assert gone.entries[0].address is None
+    left = parse_endpoint_update({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
+    assert left.entries[0].address is None
--- a/tests/test_stale_list_refresh.py
+++ b/tests/test_stale_list_refresh.py
@@ -1,4 +1,4 @@
-"""What makes the roster asked anew: an end that Consul tells, a fetch that is ahead of the watch."""
+"""What makes the list suspect: an end that Consul reports, a fetch that is ahead of the watch."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 HERE = ("127.0.0.2", 80)
 
 
-class Asked(DiscoveryWatcher):
-    """Counts doubts in place of asking."""
+class CountingWatcher(DiscoveryWatcher):
+    """Counts suspicions in place of a renewal."""
 
-    doubts = 0
+    suspicions = 0
 
     def suspect_stale(self) -> None:
-        self.doubts += 1
+        self.suspicions += 1
 
 
 @pytest.mark.parametrize(
-    ("sightings", "gone", "doubts"),
+    ("observations", "removed", "suspicions"),
     [
         ([], [], 0),
         ([Observation(HERE, Precedence.READY)], [], 0),
@@ -37,20 +37,20 @@
         ([], [HERE], 1),
     ],
 )
-def test_an_end_that_consul_tells_makes_the_roster_asked(
-    sightings: list[Observation], gone: list[Any], doubts: int
+def test_an_end_that_consul_reports_makes_the_list_suspect(
+    observations: list[Observation], removed: list[Any], suspicions: int
 ) -> None:
     async def work() -> None:
         network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
-        roster = Asked(network, nobody, 1)
+        roster = CountingWatcher(network, nobody, 1)
         services = (Service("tariff", RequestOptions(), InstanceMapping(), SourceTrust()),)
         config = ConsulConfig((nobody,), services, 1.0, 0.0)
         known = EndpointUpdate(1, True, ())
         sources = EndpointSources(network, DiscoveryState(roster, known), config, "1 n", lambda text: None)
-        addresses = {each.address for each in sightings}
-        change = EntriesChange(False, len(sightings), iter(sightings), gone, addresses, ())
+        addresses = {each.address for each in observations}
+        change = EntriesChange(False, len(observations), iter(observations), removed, addresses, ())
         await sources._service_updated("tariff", ServiceUpdate(change, 0.0, "agent"))
-        assert roster.doubts == doubts
+        assert roster.suspicions == suspicions
         sources.close()
 
     play(work)
@@ -68,9 +68,9 @@
         discovery = DiscoveryState(roster, EndpointUpdate(1, True, ()))
         sources = EndpointSources(network, discovery, config, "1 n", lambda text: None)
         sources.logs_agent = False
-        heard: list[EndpointUpdate] = []
+        updates: list[EndpointUpdate] = []
         failed: list[None] = []
-        sources.start(heard.append, lambda: failed.append(None))
+        sources.start(updates.append, lambda: failed.append(None))
         sources.follow(True)
         await until(
             lambda: len(failed) == 1
@@ -89,23 +89,23 @@
     play(work)
 
 
-def test_a_fetch_that_is_ahead_of_the_watch_makes_the_watch_doubted() -> None:
+def test_a_fetch_that_is_ahead_of_the_watch_makes_its_list_suspect() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
-        roster = Asked(LoopNetwork(), parse_address(server.address), 0)
-        heard: list[EndpointUpdate] = []
-        roster.start(heard.append, lambda: None)
+        roster = CountingWatcher(LoopNetwork(), parse_address(server.address), 0)
+        updates: list[EndpointUpdate] = []
+        roster.start(updates.append, lambda: None)
         roster.follow(True)
-        await until(lambda: len(server.heard) == 2)  # the watch waits for news, and is told none
+        await until(lambda: len(server.heard) == 2)  # the watch waits for changes, and gets none
         roster.fetch()
-        await until(lambda: len(heard) == 2)
-        assert roster.doubts == 0  # both say the same
+        await until(lambda: len(updates) == 2)
+        assert roster.suspicions == 0  # both have the same version
         server.version += 3
         roster.fetch()
-        await until(lambda: len(heard) == 3)
-        assert roster.doubts == 1
+        await until(lambda: len(updates) == 3)
+        assert roster.suspicions == 1
         roster.close()
         server.stop()
         await asyncio.sleep(0)
--- a/tests/test_watch_health.py
+++ b/tests/test_watch_health.py
@@ -1,4 +1,4 @@
-"""Watches that fall silent, and lists that servers speak against: both noticed in time."""
+"""Watches that fall silent, and lists that servers speak against: both are noticed in time."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from micadeck.simulation.simulated_day import play
 from micadeck.simulation.wire import Wire
 
-NOTIFICATION_DEADLINE_S = 6.0  # after a watch fell silent, what it misses counts as told
+NOTIFICATION_DEADLINE_S = 6.0
 MOMENTS = ("before its first answer", "amid a head", "amid a body", "while a call waits", "between two calls")
 
 
 class Agent(Discovery):
-    """A roster whose open connections fall silent once, at one moment of a watch's life."""
+    """A roster whose open connections fall silent once, at one moment of a watch."""
 
     def __init__(self, wire: Wire, moment: str, at_s: float, lost: int = 0) -> None:
         super().__init__(wire, 0)
@@ -95,14 +95,14 @@
     allowed_s: float = 10.0,
     lost: int = 0,
 ) -> tuple[Agent, list[tuple[float, EndpointUpdate]]]:
-    """A roster's client on the virtual clock; a call that failed is made again half a second later."""
+    """A roster's client on the virtual clock; a call that failed is repeated 0.5 s later."""
     loop = VirtualLoop(1)  # type: ignore[abstract]
     wire = Wire(loop, random.Random(2))
     agent = Agent(wire, moment, at_s, lost)
     agent.put("s-1", "10.1.0.1:80")
     host = Host("sidecar")
     network = VirtualNetwork(wire.machine(host, "10.0.0.1"))
-    heard: list[tuple[float, EndpointUpdate]] = []
+    updates: list[tuple[float, EndpointUpdate]] = []
 
     async def work() -> None:
         agent.up()
@@ -111,7 +111,7 @@
         def failed() -> None:
             loop.call_later(0.5, roster.follow, True)
 
-        roster.start(lambda listing: heard.append((loop.time(), listing)), failed)
+        roster.start(lambda listing: updates.append((loop.time(), listing)), failed)
         if not pushed:
             roster.follow(True)
         then(agent, roster)
@@ -119,15 +119,15 @@
         roster.close()
 
     loop.run_until_complete(loop.create_task(work(), context=host.context.copy()))
-    return agent, heard
+    return agent, updates
 
 
-@pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
+@pytest.mark.parametrize("pushed", [False, True], ids=["polled", "pushed"])
 @pytest.mark.parametrize("moment", MOMENTS)
 @pytest.mark.parametrize("at_s", [0.5, 1.9, 2.02, 3.3])
 @pytest.mark.parametrize("allowed_s", [1.0, 10.0, 60.0])
 @pytest.mark.parametrize(("lost", "late_s"), [(0, 0.0), (1, 0.0), (1, 1.5)])
-def test_a_watch_that_falls_silent_is_begun_anew_before_its_news_counts_as_told(
+def test_a_silent_watch_is_restarted_before_the_notification_deadline(
     moment: str, at_s: float, pushed: bool, allowed_s: float, lost: int, late_s: float
 ) -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
@@ -141,27 +141,31 @@
 
         agent._wire.loop.call_later(0.01, look)
 
-    agent, heard = watch(moment, at_s, pushed, then, allowed_s=allowed_s, lost=lost)
+    agent, updates = watch(moment, at_s, pushed, then, allowed_s=allowed_s, lost=lost)
     assert agent.silent_at is not None
-    told = [at for at, listing in heard for each in listing.entries if each.listed.state.value == "draining"]
-    assert told and told[0] - agent.silent_at < NOTIFICATION_DEADLINE_S
-    # And it asks little more often than its calls wait.
-    most = 6 + 14.0 / (0.5 if allowed_s < 2 else 1.0 if pushed else 2.0)
-    assert len(agent.calls) < most or late_s
+    drained_at = [
+        at for at, listing in updates for each in listing.entries if each.listed.state.value == "draining"
+    ]
+    assert drained_at and drained_at[0] - agent.silent_at < NOTIFICATION_DEADLINE_S
+    # And it polls little more often than its calls wait.
+    max_calls = 6 + 14.0 / (0.5 if allowed_s < 2 else 1.0 if pushed else 2.0)
+    assert len(agent.calls) < max_calls or late_s
 
 
-def test_calls_go_on_to_ask_an_agent_that_is_silent_while_it_is_down_and_hear_it_when_it_is_back() -> None:
+def test_a_silent_agent_is_polled_on_and_answers_soon_after_it_is_back() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
-        agent.deaf_until_s = 8.0  # nothing that was asked before is ever answered
+        agent.deaf_until_s = 8.0  # no earlier call is ever answered
         agent._wire.loop.call_later(7.9, agent.put, "s-1", "10.1.0.1:80", "leaving")
 
-    agent, heard = watch("while a call waits", 1.0, True, then)
-    told = [at for at, listing in heard for each in listing.entries if each.listed.state.value == "draining"]
-    assert 8.0 < told[0] < 8.3
+    agent, updates = watch("while a call waits", 1.0, True, then)
+    drained_at = [
+        at for at, listing in updates for each in listing.entries if each.listed.state.value == "draining"
+    ]
+    assert 8.0 < drained_at[0] < 8.3
     assert agent.silent_at is not None and len(agent.calls) < 45
 
 
-def test_a_discovery_that_is_silent_for_good_is_a_failure_and_asked_no_more_for_one_answer() -> None:
+def test_a_discovery_that_is_silent_for_good_fails_after_a_limited_number_of_calls() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         agent.deaf_until_s = 1e9
         agent._wire.loop.call_later(
@@ -173,64 +177,64 @@
 
     failed: list[float] = []
     agent, _ = watch("while a call waits", 1.0, False, then, length_s=30.0)
-    assert agent.silent_at is not None and len(failed) == 1  # the decisions say when to ask again
+    assert agent.silent_at is not None and len(failed) == 1  # the balancer decides when to retry
     assert len([at for at, _ in agent.calls if at > agent.silent_at]) == 3
 
 
-def test_a_doubt_asks_for_the_whole_list_and_many_doubts_ask_no_more_than_one() -> None:
+def test_many_suspicions_request_the_complete_list_once() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         for number in range(300):
             agent._wire.loop.call_later(0.3 + number / 1e3, roster.suspect_stale)
 
     agent, _ = watch("never", 0.0, True, then, length_s=1.2)
     assert [target for _, target in agent.calls if "after" not in target] == ["/catalog/members"]
-    assert len(agent.calls) == 4  # the first, the watch, the whole list, the watch again
+    assert len(agent.calls) == 4  # the first, the watch, the complete list, the watch again
 
 
-def test_where_discovery_is_one_for_all_a_doubt_asks_nothing_and_leaves_the_watch_alone() -> None:
+def test_where_discovery_is_shared_a_suspicion_requests_nothing() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         for number in range(1_000):
             agent._wire.loop.call_later(0.3 + number / 1e2, roster.suspect_stale)
         agent._wire.loop.call_later(5.0, agent.put, "s-1", "10.1.0.1:80", "leaving")
 
-    agent, heard = watch("never", 0.0, False, then, length_s=11.0)
+    agent, updates = watch("never", 0.0, False, then, length_s=11.0)
     calm, _ = watch("never", 0.0, False, lambda agent, roster: None, length_s=11.0)
     assert [target for _, target in agent.calls if "after" not in target] == []
     assert len(agent.calls) <= len(calm.calls) + 1  # one more follows the news
-    assert heard[-1][0] == pytest.approx(5.0, abs=0.01)  # told by the watch that was up all along
+    assert updates[-1][0] == pytest.approx(5.0, abs=0.01)  # by the watch that was up all along
 
 
-def test_doubts_that_bring_nothing_are_heeded_less_and_less() -> None:
+def test_futile_renewals_back_off() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
         for number in range(1_000):
             agent._wire.loop.call_later(0.3 + number / 1e2, roster.suspect_stale)
 
     agent, _ = watch("never", 0.0, True, then, length_s=5.5)
-    whole = [at for at, target in agent.calls if "after" not in target]
-    assert 3 <= len(whole) <= 8
-    apart = [later - at for at, later in pairwise(whole)]
-    assert apart[0] < 0.6 and apart[-1] >= 0.95  # at last no sooner than the watch's own calls
+    complete = [at for at, target in agent.calls if "after" not in target]
+    assert 3 <= len(complete) <= 8
+    intervals = [later - at for at, later in pairwise(complete)]
+    assert intervals[0] < 0.6 and intervals[-1] >= 0.95  # at last no sooner than the watch's own calls
 
 
-@pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
-def test_a_doubt_begins_nothing_while_discovery_is_down_or_slow(pushed: bool) -> None:
-    def calls(doubts: int) -> list[tuple[float, str]]:
+@pytest.mark.parametrize("pushed", [False, True], ids=["polled", "pushed"])
+def test_a_suspicion_starts_nothing_while_discovery_is_down_or_slow(pushed: bool) -> None:
+    def calls(suspicions: int) -> list[tuple[float, str]]:
         def then(agent: Agent, roster: DiscoveryWatcher) -> None:
             agent.late_s.append(3.0)
-            for number in range(doubts):
+            for number in range(suspicions):
                 agent._wire.loop.call_later(0.1 + number / 1e2, roster.suspect_stale)
 
-        agent, heard = watch("never", 0.0, pushed, then, length_s=3.2)
-        assert heard[0][0] == pytest.approx(3.0, abs=0.1)  # the first call kept its place, and was answered
+        agent, updates = watch("never", 0.0, pushed, then, length_s=3.2)
+        assert updates[0][0] == pytest.approx(3.0, abs=0.1)  # the first call kept its place, and was answered
         return agent.calls
 
     assert [target for _, target in calls(100)] == [target for _, target in calls(0)]
-    assert pushed or len(calls(0)) <= 3  # the first, one beside it, and the watch
+    assert pushed or len(calls(0)) <= 3  # the first, its hedge, and the watch
 
 
-def test_a_doubt_that_came_to_nothing_while_discovery_was_slow_leaves_later_ones_heeded() -> None:
+def test_a_suspicion_while_discovery_was_slow_does_not_hide_later_ones() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
-        agent.late_s.append(1.5)  # its first answer is due after the doubt is
+        agent.late_s.append(1.5)  # its first answer is due after the renewal
         agent._wire.loop.call_later(0.1, roster.suspect_stale)
         agent._wire.loop.call_later(4.4, roster.suspect_stale)
 
@@ -238,7 +242,7 @@
     assert [at for at, target in agent.calls if "after" not in target and at > 4.4]
 
 
-def test_a_list_that_was_confirmed_since_is_not_doubted() -> None:
+def test_a_list_that_was_confirmed_since_is_not_renewed() -> None:
     health = WatchHealth(10 * S, random.Random(1), is_pushed=True)
     assert health.suspect(100) is not None
     assert health.suspect(200) is None  # one look is planned
@@ -262,7 +266,7 @@
     health = WatchHealth(int(allowed_s * S), random.Random(1), is_pushed=pushed)
     waiting, first = health.blocking_call, health.first_call
     assert (waiting.wait_ms, waiting.hedge_after_s) == (wait_ms, late_s)
-    # Silent for good, then a renewal that is lost, then one more: it has a second and a half for its answer.
+    # Silent for good, then a renewal that is lost, then one more: 1.5 s are left for its answer.
     assert RESPONSE_TIME_S >= 1.5 and max(waiting.hedge_after_s, first.hedge_after_s) <= MAX_CALL_GAP_S
     assert waiting.hedge_after_s + waiting.hedge_interval_s <= NOTIFICATION_DEADLINE_S - RESPONSE_TIME_S
     assert (
