--- a/micadeck/http/client.py
+++ b/micadeck/http/client.py
@@ -10,7 +10,7 @@
 from enum import Enum, unique
 from typing import cast
 
-from micadeck.http.body_stream import MOST_KEPT, BodyStream, BufferBudget
+from micadeck.http.body_stream import MAX_BUFFERED_BODY, BodyStream, BufferBudget
 from micadeck.http.h1 import LAST_CHUNK, Request, Response, ResponseReader, chunk
 from micadeck.memory.budget import MemoryUse
 from micadeck.network import Network, Stream, Timer
@@ -64,7 +64,7 @@
         if budget is None:
             self._reader = ResponseReader(most_bytes)
         else:
-            self._reader = ResponseReader(most_bytes, self._make_pipe, budget.most_kept)
+            self._reader = ResponseReader(most_bytes, self._make_pipe, budget.max_buffered_body)
         self._sending: BodyStream | None = None  # the body of the request, while it is passed on
         self._heard_at = 0.0
         self._is_paused = False  # whoever takes the answer takes nothing for now
@@ -284,7 +284,7 @@
         """Whether the answer that is passed on is, or says that it is, larger than what is kept whole."""
         stream = self._reader.stream
         said = 0 if stream is None or stream.length is None else stream.length
-        return max(said, self._passed) > MOST_KEPT
+        return max(said, self._passed) > MAX_BUFFERED_BODY
 
     def _stop_timer(self) -> None:
         self._end_by = None
--- a/micadeck/http/h1.py
+++ b/micadeck/http/h1.py
@@ -13,8 +13,8 @@
 
 import httptools
 
-from micadeck.http.body_stream import MOST_KEPT, BodyStream
-from micadeck.http.framing import MOST_HEADERS, FramingCount, TooManyHeadersError
+from micadeck.http.body_stream import MAX_BUFFERED_BODY, BodyStream
+from micadeck.http.framing import MAX_HEADERS, FramingCount, TooManyHeadersError
 from micadeck.memory.budget import HEADER_COST, REQUEST_COST
 
 Headers = list[tuple[bytes, bytes]]
@@ -101,7 +101,7 @@
     def has_trailer(self) -> None:
         """Count a trailer, which is passed over; raise TooManyHeaders beyond what a message may have."""
         self.trailers += 1
-        if self.trailers > MOST_HEADERS:
+        if self.trailers > MAX_HEADERS:
             raise TooManyHeadersError
 
     @property
@@ -139,7 +139,7 @@
         return self._part is not None
 
     def on_message_begin(self) -> None:
-        self._framing.has_gone_on = True
+        self._framing.has_progressed = True
         self._part = _Part()
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -149,7 +149,7 @@
         if part.has_head:
             part.has_trailer()
             return
-        if len(part.headers) >= MOST_HEADERS:
+        if len(part.headers) >= MAX_HEADERS:
             self._has_too_many_headers()
             raise TooManyHeadersError  # so that the parser reads no further
         # Blanks behind a value are none of it (RFC 9112, 5.1); the parser leaves them there.
@@ -168,7 +168,7 @@
         self,
         most_body: int,
         make_pipe: MakePipe | None = None,
-        most_kept: Callable[[], int] = lambda: MOST_KEPT,
+        most_kept: Callable[[], int] = lambda: MAX_BUFFERED_BODY,
     ) -> None:
         self.requests: deque[Request] = deque()
         self._waiting_cost = 0  # of these
@@ -198,7 +198,7 @@
     def cost(self) -> int:
         """What is kept here costs of memory, in bytes."""
         part = self._part
-        return self._waiting_cost + (0 if part is None else part.cost + self._framing.pending)
+        return self._waiting_cost + (0 if part is None else part.cost + self._framing.pending_bytes)
 
     @property
     def has_head(self) -> bool:
@@ -213,7 +213,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._turn_away(400)  # unless it was turned away already, for what it did
-        if not self._framing.read(len(data)):
+        if not self._framing.record_read(len(data)):
             self._turn_away(431)
 
     def _has_too_many_headers(self) -> None:
@@ -233,7 +233,7 @@
         part = self._part
         if part is None or self.fault is not None:
             return
-        self._framing.has_gone_on = True
+        self._framing.has_progressed = True
         part.has_head = True
         lengths, codings, expects = [], [], []
         size = len(part.target)
@@ -260,7 +260,7 @@
         if self._part is None or self.fault is not None:
             return
         part = self._part
-        self._framing.has_gone_on = True
+        self._framing.has_progressed = True
         part.size += len(body)
         if part.size > self._most_body:
             self._turn_away(413)
@@ -281,7 +281,7 @@
 
     def on_message_complete(self) -> None:
         part, self._part = self._part, None
-        self._framing.has_gone_on = True
+        self._framing.has_progressed = True
         self.awaits_continue = False
         if part is None or self.fault is not None:
             return
@@ -316,7 +316,7 @@
         self,
         most_body: int,
         make_pipe: MakePipe | None = None,
-        most_kept: Callable[[], int] = lambda: MOST_KEPT,
+        most_kept: Callable[[], int] = lambda: MAX_BUFFERED_BODY,
     ) -> None:
         self.keep_alive = False
         self._most_kept = most_kept
@@ -347,7 +347,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.is_spoilt = True
-        if not self._framing.read(len(data)):
+        if not self._framing.record_read(len(data)):
             self.is_spoilt = True
         if self.response is not None:
             self.has_more = self.has_more or self.is_spoilt
@@ -362,7 +362,7 @@
     def on_headers_complete(self) -> None:
         if self._part is None:
             return
-        self._framing.has_gone_on = True
+        self._framing.has_progressed = True
         self._part.has_head = True
         status = self._parser.get_status_code()
         if status < 200:
@@ -384,7 +384,7 @@
         if self._part is None or self.is_spoilt or self.response is not None:
             return
         part = self._part
-        self._framing.has_gone_on = True
+        self._framing.has_progressed = True
         part.size += len(body)
         if part.size > self._most_due:
             self.is_spoilt = True
@@ -433,7 +433,7 @@
     @property
     def cost(self) -> int:
         """What is kept of an answer in part costs of memory, in bytes."""
-        return 0 if self._part is None else self._part.cost + self._framing.pending
+        return 0 if self._part is None else self._part.cost + self._framing.pending_bytes
 
     @property
     def stream(self) -> BodyStream | None:
@@ -448,7 +448,7 @@
 
     def on_message_complete(self) -> None:
         part, self._part = self._part, None
-        self._framing.has_gone_on = True
+        self._framing.has_progressed = True
         status = self._parser.get_status_code()
         if part is None or self.is_spoilt or self.response is not None or status < 200:
             return
--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -24,9 +24,9 @@
     chunk,
     head_of,
 )
-from micadeck.http.idle_connections import IdleConnections, rest_for_s
+from micadeck.http.idle_connections import IdleConnections, idle_timeout_s
 from micadeck.http.request_validation import BadRequestError, read_request
-from micadeck.http.settings_versions import STRAY_US, SettingsVersions
+from micadeck.http.settings_versions import FORMER_SETTINGS_US, SettingsVersions
 from micadeck.memory.budget import OPEN_REQUEST_COST, MemoryUse
 from micadeck.network import Address, Listener, Network, Stream, Timer
 from micadeck.policy.settings import Settings
@@ -79,7 +79,7 @@
 
     def __init__(self, frontend: HttpListener) -> None:
         self._frontend = frontend
-        self._reader = RequestReader(MOST_BODY, self._make_pipe, frontend.budget.most_kept)
+        self._reader = RequestReader(MOST_BODY, self._make_pipe, frontend.budget.max_buffered_body)
         self._body: BodyStream | None = None  # that of the request at hand, where it is passed on
         self._upload: BodyStream | None = None  # the same, while it still comes
         self._download: Response | None = None  # the answer that is passed on
@@ -166,7 +166,7 @@
         if self._transport.is_closing() or not self._frontend.engine.started(owed):
             return False
         self._download = response
-        headers = error_responses.begun(response)
+        headers = error_responses.forwarded_headers(response)
         self._is_chunked = stream.length is None and request.version == "1.1"
         self._closes = self._frontend.is_draining or not request.keep_alive or self._upload is not None
         if stream.length is not None:
@@ -577,7 +577,7 @@
                 if generations.settings is not before:
                     self.on_settings(generations.settings)
         incoming.begin = client.begin
-        incoming.look_for_end = client.look_for_end
+        incoming.detect_disconnect = client.look_for_end
         if request.arrived_at and incoming.is_complete:
             # Its time counts from its last byte, wherever it waited since: unread, or behind another.
             incoming.remaining_us -= int((self.network.time() - request.arrived_at) * 1e6)
@@ -600,11 +600,11 @@
     def announce(self, settings: Settings) -> None:
         """Put these in force once clients follow them."""
         due = self._generations.announce(settings, self.network.now())
-        for at in (due, due + STRAY_US):
+        for at in (due, due + FORMER_SETTINGS_US):
             self.network.call_later((at - self.network.now()) / 1e6 + _TURN_SPARE_S, self._turn)
 
     def _turn(self) -> None:
-        if self._generations.turn(self.network.now()):
+        if self._generations.apply_due(self.network.now()):
             self.on_settings(self._generations.settings)
 
     def close_idle(self) -> None:
@@ -677,13 +677,13 @@
             if before is State.SILENT:
                 return  # its time runs from the connection on
             if before is State.RESTING:
-                self._resting.asks(connection)
+                self._resting.mark_reused(connection)
         connection.since = self.network.time()
         if state is State.RESTING or state is State.ENDING:
             self.let_go(connection)
         if state is State.RESTING:
-            self._resting.rests(connection, connection.answers, self.most)
-            if self._resting.too_many(self.most):
+            self._resting.add(connection, connection.answers, self.most)
+            if self._resting.excess(self.most):
                 # After this round, so that a request that came in one piece with the last one is seen.
                 self.network.call_soon(self._close_spare)
 
@@ -730,12 +730,12 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """What clients have not taken of their error_responses."""
+        """What clients have not taken of their answers."""
         return sum(each.unsent_bytes for each in self.connections())
 
     def closed(self, connection: DownstreamConnection) -> None:
         self._by_state[connection.state].pop(connection, None)
-        self._resting.ends(connection)
+        self._resting.remove(connection)
         self.let_go(connection)
 
     def _close_spare(self) -> None:
@@ -744,9 +744,9 @@
         Guards against clients that ask once on each connection and keep it: they may hold only so many, and
         when all of those rest here, no request can come until some are closed.
         """
-        idle = (each for each in self._resting.spare(self.most) if each.is_idle)
-        for each in list(islice(idle, self._resting.too_many(self.most))):
-            self._resting.ends(each)
+        idle = (each for each in self._resting.eviction_candidates(self.most) if each.is_idle)
+        for each in list(islice(idle, self._resting.excess(self.most))):
+            self._resting.remove(each)
             each.close()
 
     def let_go(self, connection: DownstreamConnection) -> None:
@@ -806,7 +806,7 @@
         for each in [*self._by_state[State.SERVING], *self._by_state[State.UPLOADING]]:
             if each.has_left:
                 each.leave()
-        rest_s = rest_for_s(limits.idle_timeout_s, self.open_connections, self.most)
+        rest_s = idle_timeout_s(limits.idle_timeout_s, self.open_connections, self.most)
         for each in list(self._by_state[State.RESTING]):
             if now - each.since < rest_s:
                 break  # they stand in the order in which they came to rest
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -10,7 +10,7 @@
 
 from micadeck.engine import AttemptCallback, EndpointUpdate
 from micadeck.engine.send_guard import SendDenial, send_denial
-from micadeck.http.body_stream import MOST_KEPT, BufferBudget
+from micadeck.http.body_stream import MAX_BUFFERED_BODY, BufferBudget
 from micadeck.http.client import BEYOND_TIME_S, ClientConnection, Failure
 from micadeck.http.h1 import MOST_BODY, Request, Response
 from micadeck.http.request_validation import ValidatedRequest
@@ -290,7 +290,7 @@
         message = call.message(max(call.until - self._network.now(), 1_000))
         if call.is_probe:
             connection.exchange(
-                message, ended, most_body=MOST_KEPT
+                message, ended, most_body=MAX_BUFFERED_BODY
             )  # its answer is kept: nobody waits for it
         else:
             connection.exchange(message, ended, self._count_try, call.begun if call.begin else None)
@@ -379,7 +379,7 @@
     def _take(self, server: _Server) -> ClientConnection | None:
         """The most recently used idle connection that is good and has rested, if there is one."""
         now = self._network.now()
-        rested = now - self._reuse.rest_us(now)
+        rested = now - self._reuse.delay_us(now)
         for idle in [each for each in reversed(server.idle) if each.since <= rested]:
             if now - idle.since < self._use_within_us and idle.connection.is_usable():  # else it is closed
                 server.idle.remove(idle)
@@ -413,7 +413,7 @@
         if connection.brought_more:
             now = self._network.now()
             since = next((each.since for each in server.idle if each.connection is connection), now)
-            self._reuse.saw_late_bytes(now, now - since)
+            self._reuse.record_late_bytes(now, now - since)
         server.idle = [each for each in server.idle if each.connection is not connection]
 
     def _close_idle(self, server: _Server) -> None:
--- a/micadeck/library/request_validation.py
+++ b/micadeck/library/request_validation.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from micadeck.http.framing import MOST_HEAD, MOST_HEADERS
+from micadeck.http.framing import MAX_HEAD_BYTES, MAX_HEADERS
 from micadeck.http.h1 import MOST_BODY, Headers, Request
 from micadeck.http.request_validation import BadRequestError, ValidatedRequest, key_of, read_request
 from micadeck.http.settings_versions import SettingsVersions
@@ -54,7 +54,7 @@
             raise Malformed("the method is nonsense")
         if not _TARGET.fullmatch(target):
             raise Malformed("the target is nonsense")
-        if size > MOST_HEAD or len(given) > MOST_HEADERS:
+        if size > MAX_HEAD_BYTES or len(given) > MAX_HEADERS:
             raise Malformed("the headers are too large", 431)
         if len(body) > MOST_BODY:
             raise Malformed("the body is too large", 413)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -19,7 +19,7 @@
 from micadeck import Answer, FailedError, Kind, Micadeck, RefusedError
 from micadeck.config import ConfigError
 from micadeck.http.h1 import MOST_BODY
-from micadeck.http.reuse_delay import LEAST_REST_US
+from micadeck.http.reuse_delay import MIN_REUSE_DELAY_US
 from micadeck.library import NotStartedError
 
 GRACE_S = 0.5  # after word of a drain
@@ -510,6 +510,6 @@
             while not new.heard() and time.monotonic() < deadline:
                 # Each call finds a connection that has rested: none is dialled as the list moves its server,
                 # which refuses the call.
-                time.sleep(1.2 * LEAST_REST_US / 1e6)
+                time.sleep(1.2 * MIN_REUSE_DELAY_US / 1e6)
                 assert balancer.call("check", "/api/2").kind is Kind.SERVED
             assert new.heard() and any(each.startswith("reloaded") for each in lines)
