--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -16,13 +16,13 @@
 from micadeck.http.h1 import (
     CONTINUE,
     LAST_CHUNK,
-    MOST_BODY,
+    MAX_BODY_BYTES,
     Headers,
     Request,
     RequestReader,
     Response,
-    chunk,
-    head_of,
+    encode_chunk,
+    encode_head,
 )
 from micadeck.http.idle_connections import IdleConnections, idle_timeout_s
 from micadeck.http.request_validation import BadRequestError, read_request
@@ -79,7 +79,7 @@
 
     def __init__(self, frontend: HttpListener) -> None:
         self._frontend = frontend
-        self._reader = RequestReader(MOST_BODY, self._make_pipe, frontend.budget.max_buffered_body)
+        self._reader = RequestReader(MAX_BODY_BYTES, self._make_pipe, frontend.budget.max_buffered_body)
         self._body: BodyStream | None = None  # that of the request at hand, where it is passed on
         self._upload: BodyStream | None = None  # the same, while it still comes
         self._download: Response | None = None  # the answer that is passed on
@@ -177,7 +177,7 @@
             self._closes = True  # the end of the connection is that of the answer
         if self._closes:
             headers.append((b"connection", b"close"))
-        self._transport.write(head_of(200, headers))
+        self._transport.write(encode_head(200, headers))
         if self._is_writing_paused:
             self._block(stream)
         stream.open(self._write_piece, self._download_ended)
@@ -214,7 +214,7 @@
         self.answers += 1
         self.came = self._at_hand = 0
         self._frontend.moved(self, State.RESTING)
-        if self._reader.has_part or self._reader.requests or self._reader.fault is not None:
+        if self._reader.has_partial_message or self._reader.requests or self._reader.fault is not None:
             # Guards against waiting for data when the next request came in one piece with this one.
             self.heard_at = self._frontend.network.time()  # reading was held up until now
             self._frontend.moved(self, State.READING)
@@ -301,7 +301,7 @@
             self._advance_and_hold()
         else:
             self._go_on_uploading()
-        behind = self._reader.has_part or self._reader.requests or self._reader.fault is not None
+        behind = self._reader.has_partial_message or self._reader.requests or self._reader.fault is not None
         if not behind:
             return
         self.heard_at = self._frontend.network.time()
@@ -411,7 +411,7 @@
 
     def _write_piece(self, data: bytes) -> None:
         assert self._transport is not None
-        self._transport.write(chunk(data) if self._is_chunked else data)
+        self._transport.write(encode_chunk(data) if self._is_chunked else data)
 
     def _download_ended(self) -> None:
         """All of the answer has gone out."""
@@ -583,7 +583,7 @@
             incoming.remaining_us -= int((self.network.time() - request.arrived_at) * 1e6)
         client.remaining_us = incoming.remaining_us
         if not incoming.is_complete:
-            length = MOST_BODY if request.stream is None else request.stream.length or MOST_BODY
+            length = MAX_BODY_BYTES if request.stream is None else request.stream.length or MAX_BODY_BYTES
             limits = self._limits
             upload_s = limits.request_timeout_s + length / limits.least_bytes_per_s
             incoming.remaining_us += int(upload_s * 1e6)  # its own time counts from its last byte
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -181,7 +181,7 @@
     for at in range(0, len(raw), cut):
         reader.feed(raw[at : at + cut])
     reader.end()
-    assert (None if reader.response is None or reader.is_spoilt else reader.response.body) == body
+    assert (None if reader.response is None or reader.is_malformed else reader.response.body) == body
 
 
 def test_only_a_large_answer_is_passed_on_and_nobody_needs_a_large_error() -> None:
@@ -203,7 +203,7 @@
         reader.expect(begin)
         reader.feed(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, size) + b"x" * size)
         assert len(begun) == passed
-        assert reader.is_spoilt == (status == 500)
+        assert reader.is_malformed == (status == 500)
         if begun:
             assert begun[0].stream is not None and begun[0].stream.length == size
             begun[0].stream.drop()
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -18,7 +18,7 @@
 import micadeck.library.balancer
 from micadeck import Answer, FailedError, Kind, Micadeck, RefusedError
 from micadeck.config import ConfigError
-from micadeck.http.h1 import MOST_BODY
+from micadeck.http.h1 import MAX_BODY_BYTES
 from micadeck.http.reuse_delay import MIN_REUSE_DELAY_US
 from micadeck.library import NotStartedError
 
@@ -101,7 +101,7 @@
                 target,
                 how,
             )
-        assert balancer.call("lodge", "/api/1", body=b"x" * (MOST_BODY + 1)).status == 413
+        assert balancer.call("lodge", "/api/1", body=b"x" * (MAX_BODY_BYTES + 1)).status == 413
         assert balancer.call("check", "/api/1", headers=[("X-Pad", "x" * 17_000)]).status == 431
         assert there.heard() == []
 
