--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -26,7 +26,7 @@
 
 from micadeck import Kind, Micadeck
 from micadeck.http.client import ClientConnection, Failure
-from micadeck.http.h1 import MAX_BODY_BYTES, Request, Response
+from micadeck.http.h1 import MOST_BODY, Request, Response
 from micadeck.httpx import AsyncMicadeckTransport
 from micadeck.library.request_validation import Wanted, worded
 from micadeck.network import LoopNetwork
@@ -85,7 +85,7 @@
 
         async def ask() -> None:
             if not held or not held[0].is_usable():
-                made = lambda: ClientConnection(network, MAX_BODY_BYTES, held.append, lambda _: None)  # noqa: E731
+                made = lambda: ClientConnection(network, MOST_BODY, held.append, lambda _: None)  # noqa: E731
                 held[:] = [await network.dial(made, (rig.HOST, port))]
             connection = held.pop()
             done: asyncio.Future[Response | Failure] = asyncio.get_running_loop().create_future()
--- a/micadeck/asgi.py
+++ b/micadeck/asgi.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from micadeck.config import Config
-from micadeck.http.h1 import MAX_BODY_BYTES
+from micadeck.http.h1 import MOST_BODY
 from micadeck.library import Answer, Micadeck
 
 Scope = MutableMapping[str, Any]
@@ -76,7 +76,7 @@
             if message["type"] == "http.disconnect":
                 return  # it was never whole
             body += message.get("body", b"")
-            if len(body) > MAX_BODY_BYTES:
+            if len(body) > MOST_BODY:
                 break  # too large as it is; the rest is not read
             more = message.get("more_body", False)
         target = scope.get("raw_path") or scope["path"].encode("latin-1", "replace")
--- a/micadeck/http/body_stream.py
+++ b/micadeck/http/body_stream.py
@@ -1,6 +1,6 @@
-"""Streaming of a body while it is received, with a bounded buffer and backpressure.
+"""A body that is passed on while it still comes: bounded, with backpressure from its reader to its writer.
 
-No I/O of its own: bytes enter at `put` and leave through the functions that are given to `open`.
+No input or output of its own: bytes go in at `put`, and out through the calls that `open` is given.
 """
 
 from __future__ import annotations
@@ -10,43 +10,36 @@
 
 from micadeck.memory.budget import MemoryBudget, PressureLevel
 
-MAX_BUFFERED_BODY = 64 << 10  # bytes of a body that is buffered completely; larger ones are streamed
-_MAX_BUFFERED_BODY_WHEN_SHORT = 8 << 10
-_MAX_STREAM_SHARE = MAX_BUFFERED_BODY  # bytes that one stream holds before its writer is paused
-_MIN_STREAM_SHARE = 8 << 10
+MOST_KEPT = 64 << 10  # of a body, that is kept whole; a larger one is passed on while it comes
+_MOST_KEPT_WHEN_SHORT = 8 << 10
+_MOST_EACH = MOST_KEPT  # bytes that one pipe holds before its writer is paused
+_LEAST_EACH = 8 << 10
 
 
 class BufferBudget:
-    """Owns the capacity that all streams share, and decides from which size on a body is streamed."""
+    """What all pipes together may hold, in bytes, and how large a body may be to be kept whole instead."""
 
-    def __init__(self, capacity_bytes: int, memory: MemoryBudget | None = None) -> None:
-        """Start without streams.
+    def __init__(self, most: int, memory: MemoryBudget | None = None) -> None:
+        self.most = most
+        self.memory = memory  # the account of what is kept; None: nobody counts it
+        self.pipes = 0  # that are open
+        self.held = 0  # bytes in all of them
 
-        Args:
-            capacity_bytes: What all streams together may hold.
-            memory: The memory budget of the process, if there is one.
-        """
-        self.capacity_bytes = capacity_bytes
-        self.memory = memory
-        self.open_streams = 0
-        self.held_bytes = 0  # in all streams
-
-    def max_buffered_body(self) -> int:
-        """Return the largest body that is buffered completely, in bytes; less where memory is short.
+    def most_kept(self) -> int:
+        """The largest body, in bytes, that is kept whole: less where memory is short.
 
-        That is no more than a stream may hold, as its buffered part becomes the stream's first bytes.
+        No more than a pipe may hold, since what was kept becomes the first that its pipe holds.
         """
         is_short = self.memory is not None and self.memory.level >= PressureLevel.PASS_ON
-        return _MAX_BUFFERED_BODY_WHEN_SHORT if is_short else self.stream_share()
+        return _MOST_KEPT_WHEN_SHORT if is_short else self.share()
 
-    def stream_share(self) -> int:
-        """Return how many bytes each stream may hold now."""
-        share = self.capacity_bytes // max(self.open_streams, 1)
-        return max(min(_MAX_STREAM_SHARE, share), _MIN_STREAM_SHARE)
+    def share(self) -> int:
+        """How much one pipe may hold now: less each, the more there are."""
+        return max(min(_MOST_EACH, self.most // max(self.pipes, 1)), _LEAST_EACH)
 
 
 class BodyStream:
-    """Owns the buffer of one body between its writer and its reader."""
+    """One body on its way.  `pause` and `resume` steer whoever writes it."""
 
     def __init__(
         self,
@@ -55,113 +48,98 @@
         pause: Callable[[], object],
         resume: Callable[[], object],
     ) -> None:
-        """Open a stream without a reader.
-
-        Args:
-            budget: What the buffered bytes count against.
-            length: The announced length in bytes, or None.
-            pause: Pauses the writer.
-            resume: Resumes the writer.
-        """
-        self.length = length
+        self.length = length  # as announced; None: that is not known ahead
         self.has_ended = False  # the last byte was put in
-        self.was_opened = False  # whether any of it may have been sent
-        self.is_finished = False  # all of it was sent, or the rest is discarded
+        self.was_opened = False  # whether any of it may have gone out
+        self.is_over = False  # all of it went out, or nobody takes the rest
         self._budget = budget
         self._pause = pause
         self._resume = resume
-        self._buffer: deque[bytes] = deque()
-        self._held_bytes = 0
+        self._kept: deque[bytes] = deque()
+        self._held = 0
         self._is_paused = False
         self._write: Callable[[bytes], object] | None = None
         self._end: Callable[[], object] | None = None
-        self._is_blocked = False  # the reader accepts nothing for now
-        budget.open_streams += 1
+        self._is_blocked = False  # the reader's side takes nothing for now
+        budget.pipes += 1
 
     # The writer's side
 
     def put(self, data: bytes) -> None:
-        """Add received bytes."""
-        if self.is_finished:
+        if self.is_over:
             return
-        if self._write is not None and not self._is_blocked and not self._buffer:
+        if self._write is not None and not self._is_blocked and not self._kept:
             self._write(data)
         else:
-            self._buffer.append(data)
-            self._add_held(len(data))
-        self._apply_backpressure()
+            self._kept.append(data)
+            self._hold(len(data))
+        self._steer()
 
     def end(self) -> None:
-        """Record that the body is complete."""
+        """The body is whole; no more comes."""
         if not self.has_ended:
             self.has_ended = True
-            self._flush()
+            self._go_on()
 
     def drop(self) -> None:
-        """Discard the rest: it is not received, or nobody reads it."""
-        self._buffer.clear()
-        self._add_held(-self._held_bytes)
+        """Nobody takes the rest, or no rest comes: let go of all that is held."""
+        self._kept.clear()
+        self._hold(-self._held)
         self._finish()
         self._write = self._end = None
 
     # The reader's side
 
     def open(self, write: Callable[[bytes], object], end: Callable[[], object]) -> None:
-        """Start reading.
-
-        Args:
-            write: Called with each part of the body.
-            end: Called once after the last part.
-        """
+        """Take the body from here on: `write` for each piece, `end` once behind the last."""
         self.was_opened = True
         self._write, self._end = write, end
-        self._flush()
+        self._go_on()
 
     def block(self) -> None:
-        """Write nothing to the reader until `unblock`."""
+        """The reader takes nothing for now."""
         self._is_blocked = True
 
     def unblock(self) -> None:
-        """Continue to write to the reader."""
         self._is_blocked = False
-        self._flush()
+        self._go_on()
 
     @property
     def is_paused(self) -> bool:
-        """Whether the writer is paused."""
+        """Whether its writer is held up."""
         return self._is_paused
 
-    # The buffer
+    # The rest
 
-    def _flush(self) -> None:
-        while self._buffer and self._write is not None and not self._is_blocked:
-            data = self._buffer.popleft()
-            self._add_held(-len(data))
+    def _go_on(self) -> None:
+        while self._kept and self._write is not None and not self._is_blocked:
+            data = self._kept.popleft()
+            self._hold(-len(data))
             self._write(data)
-        if self.has_ended and not self._buffer and self._end is not None and not self._is_blocked:
+        if self.has_ended and not self._kept and self._end is not None and not self._is_blocked:
             end, self._end = self._end, None
             self._finish()
             end()
-        self._apply_backpressure()
+        self._steer()
 
-    def _add_held(self, delta_bytes: int) -> None:
-        self._held_bytes += delta_bytes
-        self._budget.held_bytes += delta_bytes
+    def _hold(self, more: int) -> None:
+        self._held += more
+        self._budget.held += more
 
-    def _apply_backpressure(self) -> None:
-        """Pause the writer at this stream's share, and resume it at the middle of that."""
-        is_full = not self.is_finished and self._held_bytes >= self._budget.stream_share()
-        if is_full and not self._is_paused:
+    def _steer(self) -> None:
+        """Pause the writer while as much is held as may be, or while the reader is blocked."""
+        full = not self.is_over and self._held >= self._budget.share()
+        if full and not self._is_paused:
             self._is_paused = True
             self._pause()
-        elif self._is_paused and self._held_bytes <= self._budget.stream_share() // 2:
+        elif self._is_paused and self._held <= self._budget.share() // 2:
             self._is_paused = False
             self._resume()
 
     def _finish(self) -> None:
-        if not self.is_finished:
-            self.is_finished = True
-            self._budget.open_streams -= 1
+        if not self.is_over:
+            self.is_over = True
+            self._budget.pipes -= 1
             if self._is_paused:
                 self._is_paused = False
                 self._resume()
--- a/micadeck/http/framing.py
+++ b/micadeck/http/framing.py
@@ -1,47 +1,40 @@
-"""Limits on the framing of HTTP/1.1 messages: heads, chunk sizes and extensions, trailers.  No I/O.
+"""Bounds on all of an HTTP/1.1 message that is no body: heads, chunk sizes and extensions, trailers.  No I/O.
 
-A parser buffers a header until its end, so endless ones have to be counted while they are received.  A header
-costs far more than its bytes: two objects, a pair and its slot in a list.
+A parser keeps a header until its end has come, so what has no end has to be counted while it comes; and a
+header costs far more than its bytes: two objects, a pair and its place in a list.
 """
 
 from __future__ import annotations
 
-from micadeck.errors import MicadeckError
+MOST_HEAD = 16 << 10  # bytes without a byte of a body, or a message's begin or end, between them
+MOST_HEADERS = 100  # of one head, and trailers of one body
 
-MAX_HEAD_BYTES = 16 << 10  # in a row, without a byte of a body or the start or end of a message
-MAX_HEADERS = 100  # of one head, and trailers of one body
 
-
-class TooManyHeadersError(MicadeckError):
-    """A message has more headers, or trailers, than are accepted."""
-
-    advice = "Send fewer headers."
-
-    def __init__(self) -> None:
-        """Create the error."""
-        super().__init__(f"A message has more than {MAX_HEADERS} headers or trailers.")
+class TooManyHeadersError(Exception):
+    """A message has more headers, or trailers, than are kept."""
 
 
 class FramingCount:
-    """Counts consecutive bytes received that did not advance the message.
+    """Counts bytes that were read in a row and brought a message no further.
 
-    The reader sets `has_progressed` during a read when a message begins or ends or a part of a body is
-    received.  It is an attribute because that happens several times per message.  Pipelined messages ahead of
-    the current one don't count.
+    `has_gone_on` is set by whoever sees, in the read at hand, a message begin or end, or a part of a body: an
+    attribute, since that is several times for each message.  Guards a peer that sends many messages ahead:
+    those before the one at hand are no part of it.
     """
 
-    __slots__ = ("has_progressed", "pending_bytes")
+    __slots__ = ("has_gone_on", "pending")
 
     def __init__(self) -> None:
-        """Start at zero."""
-        self.has_progressed = False
-        self.pending_bytes = 0  # read without progress, such as a header without its end
-
-    def record_read(self, count: int) -> bool:
-        """Record a read of so many bytes once it is parsed; return whether the limit holds."""
-        if self.has_progressed:
-            self.has_progressed = False
-            self.pending_bytes = 0
+        self.has_gone_on = False
+        self.pending = (
+            0  # bytes read that brought the message no further: a header without its end, most of all
+        )
+
+    def read(self, count: int) -> bool:
+        """Take note of a read of so many bytes, once it is used up; say whether it is still bounded."""
+        if self.has_gone_on:
+            self.has_gone_on = False
+            self.pending = 0
             return True
-        self.pending_bytes += count
-        return self.pending_bytes <= MAX_HEAD_BYTES
+        self.pending += count
+        return self.pending <= MOST_HEAD
--- a/micadeck/http/h1.py
+++ b/micadeck/http/h1.py
@@ -1,219 +1,243 @@
-"""Incremental readers for HTTP/1.1 requests and responses.  No I/O.
+"""Reading and writing HTTP/1.1 messages, in both directions; no sockets.
 
-Parsing is done by llhttp (through httptools) in strict mode.  It rejects what can be read in two ways: a
-length next to a transfer coding, a repeated length or a list of them, bare line feeds, folded headers.
+Reading is llhttp's (by httptools), strict: no leniency is ever turned on.  It refuses what can be read in two
+ways: a length beside a transfer coding, a length twice or as a list, bare line feeds, folded headers.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
+from http import HTTPStatus
 
 import httptools
 
-from micadeck.http.body_stream import MAX_BUFFERED_BODY, BodyStream
-from micadeck.http.framing import MAX_HEADERS, FramingCount, TooManyHeadersError
-from micadeck.http.messages import (
-    CONTINUE,
-    LAST_CHUNK,
-    Headers,
-    Request,
-    Response,
-    encode_chunk,
-    encode_head,
-)
+from micadeck.http.body_stream import MOST_KEPT, BodyStream
+from micadeck.http.framing import MOST_HEADERS, FramingCount, TooManyHeadersError
 from micadeck.memory.budget import HEADER_COST, REQUEST_COST
 
-__all__ = [
-    "CONTINUE",
-    "LAST_CHUNK",
-    "MAX_BODY_BYTES",
-    "Headers",
-    "Request",
-    "RequestReader",
-    "Response",
-    "ResponseReader",
-    "encode_chunk",
-    "encode_head",
-]
-
-MAX_BODY_BYTES = 33 << 20  # of a request, and of a server's response
-# Of a large response, or one of unknown length, that are buffered before it is streamed.
-_MIN_STREAMED_BYTES = 4 << 10
-_SPACE = 0x20  # the highest of the characters that are stripped from a value's end
-_MAX_INTERIM_RESPONSES = 8  # 1xx responses ahead of the final one
+Headers = list[tuple[bytes, bytes]]
+
+MOST_BODY = 33 << 20  # of a request, and of a server's answer
+_MOST_WAITED = 4 << 10  # of a large answer, or one whose length is not known, before it is passed on
+_BLANK = 0x20  # a space, and above a tab
+_MOST_INTERIM = 8  # 1xx answers ahead of the one that counts
+_REASONS = {each.value: each.phrase.encode() for each in HTTPStatus}
+
+
+@dataclass(slots=True)
+class Request:
+    """A request, as it came or as it goes out."""
+
+    method: bytes
+    target: bytes
+    headers: Headers  # their names in lower case
+    body: bytes = b""
+    keep_alive: bool = True
+    stream: BodyStream | None = None  # the body, where it is passed on as it comes
+    version: str = "1.1"
+    arrived_at: float = 0.0  # when its last byte came, or of a body that is passed on its first, in seconds
+    cost: int = 0  # of keeping it, in bytes, its body with it
+
+    def encode(self) -> bytes:
+        """Its bytes, or its head where the body is passed on."""
+        return b"%s %s HTTP/1.1\r\n%s\r\n%s" % (self.method, self.target, _lines(self.headers), self.body)
+
+
+@dataclass(slots=True)
+class Response:
+    """A whole answer."""
+
+    status: int
+    headers: Headers
+    body: bytes = b""
+    stream: BodyStream | None = None  # the body, where it is passed on as it comes
+    abandon: Callable[[], None] | None = None  # ends what comes of it, where nobody takes the rest
+
+    def header(self, name: bytes) -> bytes | None:
+        return next((value for key, value in self.headers if key == name), None)
+
+    def encode(self, *, with_body: bool = True) -> bytes:
+        """Its bytes, its length among them; without the body where the request allows none."""
+        body = self.body if with_body else b""
+        length = (b"content-length", b"%d" % len(body))
+        reason = _REASONS.get(self.status, b"")
+        return b"HTTP/1.1 %d %s\r\n%s\r\n%s" % (self.status, reason, _lines([*self.headers, length]), body)
+
+
+def head_of(status: int, headers: Headers) -> bytes:
+    """The head of an answer whose body follows."""
+    return b"HTTP/1.1 %d %s\r\n%s\r\n" % (status, _REASONS.get(status, b""), _lines(headers))
+
+
+def chunk(data: bytes) -> bytes:
+    """A piece of a body whose length is not known; it must not be empty, which would end the body."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
+
+
+LAST_CHUNK = b"0\r\n\r\n"
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+
+
+def _lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
+    return b"".join([b"%s: %s\r\n" % pair for pair in headers])
 
 
 @dataclass(slots=True)
-class _PartialMessage:
-    """A message of which a part was received."""
+class _Part:
+    """A message that has begun to come."""
 
     target: bytes = b""
     version: str = "1.1"
     headers: Headers = field(default_factory=list)
     body: bytearray = field(default_factory=bytearray)
-    size: int = 0  # received bytes of the body
+    size: int = 0  # of the body, as far as it came
     stream: BodyStream | None = None
     has_head: bool = False
     trailers: int = 0
-    head_bytes: int = 0  # of values and the target, once the head is complete
+    head_bytes: int = 0  # once its head is whole, of values and the target
 
-    def count_trailer(self) -> None:
-        """Count a trailer, which is ignored; raise TooManyHeadersError beyond the limit."""
+    def has_trailer(self) -> None:
+        """Count a trailer, which is passed over; raise TooManyHeaders beyond what a message may have."""
         self.trailers += 1
-        if self.trailers > MAX_HEADERS:
+        if self.trailers > MOST_HEADERS:
             raise TooManyHeadersError
 
     @property
     def cost(self) -> int:
-        """The memory that the received part takes, in bytes, but for a header that is not complete."""
+        """What it takes of memory as far as it came, in bytes, but for a header that has not ended."""
         return REQUEST_COST + self.head_bytes + HEADER_COST * len(self.headers) + len(self.body)
 
     def values(self, name: bytes) -> list[bytes]:
-        """Return the values of all headers of this name."""
         return [value for key, value in self.headers if key == name]
 
 
-MakeStream = Callable[[int | None], BodyStream]
-"""Makes the stream for a body that is too large to be buffered, given its announced length."""
+MakePipe = Callable[[int | None], BodyStream]
+"""Makes the way for a body that is too large to be kept; it is given the length that was announced."""
 
 
 class _Reader:
-    """What the readers of requests and of responses share."""
+    """What both directions share."""
 
-    _part: _PartialMessage | None
-    _make_stream: MakeStream | None  # None: every body is buffered
+    _part: _Part | None
+    _make_pipe: MakePipe | None  # None: every body is kept
     _framing: FramingCount
 
     def release(self) -> None:
-        """Stop reading and free all that was read.
+        """Read no more, and let go of all that was read.
 
-        The parser and this object refer to each other: without this, the buffered part of a body would be
-        freed by a late garbage collection only.
+        Guards against memory that only a late collection frees: the parser holds this object, and this object
+        the parser with the part of a body that came.
         """
         self._part = None
-        self._make_stream = None
+        self._make_pipe = None
         vars(self).pop("_parser", None)
 
     @property
-    def has_partial_message(self) -> bool:
-        """Whether a message was received in part."""
+    def has_part(self) -> bool:
         return self._part is not None
 
     def on_message_begin(self) -> None:
-        """Begin a message; called by the parser."""
-        self._framing.has_progressed = True
-        self._part = _PartialMessage()
+        self._framing.has_gone_on = True
+        self._part = _Part()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header, or count a trailer; called by the parser."""
         part = self._part
         if part is None:
             return
         if part.has_head:
-            part.count_trailer()
+            part.has_trailer()
             return
-        if len(part.headers) >= MAX_HEADERS:
-            self._reject_headers()
-            raise TooManyHeadersError  # stops the parser
-        # Trailing whitespace is no part of a value (RFC 9112, 5.1); the parser leaves it there.
-        if value and value[-1] <= _SPACE:
+        if len(part.headers) >= MOST_HEADERS:
+            self._has_too_many_headers()
+            raise TooManyHeadersError  # so that the parser reads no further
+        # Blanks behind a value are none of it (RFC 9112, 5.1); the parser leaves them there.
+        if value and value[-1] <= _BLANK:
             value = value.rstrip(b" \t")
         part.headers.append((name.lower(), value))
 
-    def _reject_headers(self) -> None:
-        """Record why reading ends; the parser reports an error in any case."""
+    def _has_too_many_headers(self) -> None:
+        """Take note of why reading ends; what can't be read is a fault in any case."""
 
 
 class RequestReader(_Reader):
-    """Reads the requests of one connection into the queue `requests`; it stops for good at a `fault`."""
+    """Reads the requests of one connection.  Whole ones wait in `requests`; `fault` ends it for good."""
 
     def __init__(
         self,
-        max_body_bytes: int,
-        make_stream: MakeStream | None = None,
-        max_buffered_body: Callable[[], int] = lambda: MAX_BUFFERED_BODY,
+        most_body: int,
+        make_pipe: MakePipe | None = None,
+        most_kept: Callable[[], int] = lambda: MOST_KEPT,
     ) -> None:
-        """Start to read.
-
-        Args:
-            max_body_bytes: The largest body that is accepted.
-            make_stream: Makes the stream of a large body; without it, every body is buffered.
-            max_buffered_body: Returns the size up to which a body is buffered, in bytes.
-        """
         self.requests: deque[Request] = deque()
-        self._queued_cost = 0
-        self._max_buffered_body = max_buffered_body
-        self.fault: int | None = None  # the status to reject the connection with
+        self._waiting_cost = 0  # of these
+        self._most_kept = most_kept
+        self.fault: int | None = None  # the status that what came is to be turned away with
         self.awaits_continue = False
-        self._max_body_bytes = max_body_bytes
-        self._make_stream = make_stream
-        self._part: _PartialMessage | None = None
+        self._most_body = most_body
+        self._make_pipe = make_pipe
+        self._part: _Part | None = None
         self._framing = FramingCount()
         self._arrived_at = 0.0
         self._parser = httptools.HttpRequestParser(self)
 
     def release(self) -> None:
-        """Stop reading and free all that was read, queued requests as well."""
-        self._reject(400)
+        self._turn_away(400)
         self.requests.clear()
-        self._queued_cost = 0
+        self._waiting_cost = 0
         super().release()
 
     def take(self) -> Request:
-        """Remove and return the request that was queued first."""
+        """The request that waits for longest; it waits no more."""
         request = self.requests.popleft()
-        self._queued_cost -= request.cost
+        self._waiting_cost -= request.cost
         return request
 
     @property
     def cost(self) -> int:
-        """The memory that queued requests and the partial one take, in bytes."""
+        """What is kept here costs of memory, in bytes."""
         part = self._part
-        return self._queued_cost + (0 if part is None else part.cost + self._framing.pending_bytes)
+        return self._waiting_cost + (0 if part is None else part.cost + self._framing.pending)
 
     @property
     def has_head(self) -> bool:
-        """Whether the head of the current message is complete."""
         return self._part is not None and self._part.has_head
 
     def feed(self, data: bytes, arrived_at: float = 0.0) -> None:
-        """Parse received bytes; `arrived_at` is recorded in requests that end here, in seconds."""
+        """Read on; `arrived_at` is the time, in seconds, that requests which end here are given."""
         if self.fault is not None:
             return
         self._arrived_at = arrived_at
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._reject(400)  # unless it was rejected already, for another reason
-        if not self._framing.record_read(len(data)):
-            self._reject(431)
+            self._turn_away(400)  # unless it was turned away already, for what it did
+        if not self._framing.read(len(data)):
+            self._turn_away(431)
 
-    def _reject_headers(self) -> None:
-        self._reject(431)
+    def _has_too_many_headers(self) -> None:
+        self._turn_away(431)
 
-    def _reject(self, status: int) -> None:
+    def _turn_away(self, status: int) -> None:
         if self.fault is None:
             self.fault = status
 
-    # Callbacks of the parser
+    # What the parser calls
 
     def on_url(self, url: bytes) -> None:
-        """Add a part of the target; called by the parser."""
         if self._part is not None:
             self._part.target += url
 
     def on_headers_complete(self) -> None:
-        """Check the head; called by the parser."""
         part = self._part
         if part is None or self.fault is not None:
             return
-        self._framing.has_progressed = True
+        self._framing.has_gone_on = True
         part.has_head = True
         lengths, codings, expects = [], [], []
         size = len(part.target)
-        for name, value in part.headers:  # a single pass, as this is done for every request
+        for name, value in part.headers:  # one look for all: it is made for every request
             size += len(value)
             if name == b"content-length":
                 lengths.append(value)
@@ -224,54 +248,52 @@
         part.head_bytes = size
         part.version = self._parser.get_http_version()
         if part.version not in ("1.0", "1.1"):
-            self._reject(505)
+            self._turn_away(505)
         elif codings and [each.lower() for each in codings] != [b"chunked"]:
-            self._reject(501)
-        elif any(int(each) > self._max_body_bytes for each in lengths):
-            self._reject(413)
+            self._turn_away(501)
+        elif any(int(each) > self._most_body for each in lengths):
+            self._turn_away(413)
         elif expects and [each.lower() for each in expects] == [b"100-continue"]:
             self.awaits_continue = True
 
     def on_body(self, body: bytes) -> None:
-        """Add a part of the body; called by the parser."""
         if self._part is None or self.fault is not None:
             return
         part = self._part
-        self._framing.has_progressed = True
+        self._framing.has_gone_on = True
         part.size += len(body)
-        if part.size > self._max_body_bytes:
-            self._reject(413)
+        if part.size > self._most_body:
+            self._turn_away(413)
         elif part.stream is not None:
             part.stream.put(body)
         else:
             part.body += body
-            if self._make_stream is not None and len(part.body) > self._max_buffered_body():
-                self._start_streaming(part, self._make_stream)
+            if self._make_pipe is not None and len(part.body) > self._most_kept():
+                self._pass_on(part, self._make_pipe)
 
-    def _start_streaming(self, part: _PartialMessage, make_stream: MakeStream) -> None:
-        """Queue the request before its body is complete, and stream the body."""
+    def _pass_on(self, part: _Part, make_pipe: MakePipe) -> None:
+        """Too large to be kept: it is a request from here on, and its body comes as it comes."""
         length = next((int(each) for each in part.values(b"content-length")), None)
-        part.stream = make_stream(length)
+        part.stream = make_pipe(length)
         part.stream.put(bytes(part.body))
         part.body.clear()
-        self._enqueue(part)
+        self._append(part)
 
     def on_message_complete(self) -> None:
-        """Queue the request, or end its stream; called by the parser."""
         part, self._part = self._part, None
-        self._framing.has_progressed = True
+        self._framing.has_gone_on = True
         self.awaits_continue = False
         if part is None or self.fault is not None:
             return
         if part.stream is not None:
             part.stream.end()
         else:
-            self._enqueue(part)
+            self._append(part)
 
-    def _enqueue(self, part: _PartialMessage) -> None:
+    def _append(self, part: _Part) -> None:
         parser = self._parser
         cost = part.cost
-        self._queued_cost += cost
+        self._waiting_cost += cost
         self.requests.append(
             Request(
                 parser.get_method(),
@@ -288,138 +310,119 @@
 
 
 class ResponseReader(_Reader):
-    """Reads the one response that is expected on a connection, and detects bytes beyond it."""
+    """Reads the one answer that is due on a connection, and notices what comes beyond it."""
 
     def __init__(
         self,
-        max_body_bytes: int,
-        make_stream: MakeStream | None = None,
-        max_buffered_body: Callable[[], int] = lambda: MAX_BUFFERED_BODY,
+        most_body: int,
+        make_pipe: MakePipe | None = None,
+        most_kept: Callable[[], int] = lambda: MOST_KEPT,
     ) -> None:
-        """Start to read.
-
-        Args:
-            max_body_bytes: The largest body that is accepted.
-            make_stream: Makes the stream of a large body; without it, every body is buffered.
-            max_buffered_body: Returns the size up to which a body is buffered, in bytes.
-        """
         self.keep_alive = False
-        self._max_buffered_body = max_buffered_body
-        self.has_extra = False  # bytes were received after the response
-        self._max_body_bytes = max_body_bytes
-        self._make_stream = make_stream
+        self._most_kept = most_kept
+        self.has_more = False  # something came behind the answer
+        self._most_body = most_body
+        self._make_pipe = make_pipe
         self._begin: Callable[[Response], bool] | None = None
         self._framing = FramingCount()
         self._parser = httptools.HttpResponseParser(self)
         self.expect()
 
-    def expect(
-        self, begin: Callable[[Response], bool] | None = None, max_body_bytes: int | None = None
-    ) -> None:
-        """Expect the response to a further request.
+    def expect(self, begin: Callable[[Response], bool] | None = None, most_body: int | None = None) -> None:
+        """The answer to a further request is due, with a body of so many bytes at most, or the usual bound.
 
-        Args:
-            begin: Called with the head and the stream of a response that is too large to be buffered; it
-                returns whether the body is wanted.  Without it, every response is buffered.
-            max_body_bytes: A limit of the body below the usual one.
+        Should it be too large to be kept, `begin` gets its head and its body's stream, and says whether
+        anybody takes it.  Without that, it is kept.
         """
         self._begin = begin
-        self._max_response_body = self._max_body_bytes
-        if max_body_bytes is not None:
-            self._max_response_body = min(max_body_bytes, self._max_body_bytes)
-        self.response: Response | None = None  # once it is complete
-        self.is_malformed = False
-        self._part: _PartialMessage | None = None
-        self._interim_responses = 0
-        self._ends_with_connection = False
+        self._most_due = self._most_body if most_body is None else min(most_body, self._most_body)
+        self.response: Response | None = None  # once it is whole
+        self.is_spoilt = False
+        self._part: _Part | None = None
+        self._interim = 0
+        self._to_the_end = False  # whether the connection's end is the answer's
 
     def feed(self, data: bytes) -> None:
-        """Parse received bytes; afterwards see `response`, `is_malformed` and `has_extra`."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.is_malformed = True
-        if not self._framing.record_read(len(data)):
-            self.is_malformed = True
+            self.is_spoilt = True
+        if not self._framing.read(len(data)):
+            self.is_spoilt = True
         if self.response is not None:
-            self.has_extra = self.has_extra or self.is_malformed
-            self.is_malformed = False  # the response itself was complete by then
+            self.has_more = self.has_more or self.is_spoilt
+            self.is_spoilt = False  # the answer itself was whole by then
 
-    # Callbacks of the parser
+    # What the parser calls
 
     def on_message_begin(self) -> None:
-        """Begin a response, or detect a second one; called by the parser."""
-        self.has_extra = self.response is not None
+        self.has_more = self.response is not None
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Check whether the response has an end; called by the parser."""
         if self._part is None:
             return
-        self._framing.has_progressed = True
+        self._framing.has_gone_on = True
         self._part.has_head = True
         status = self._parser.get_status_code()
         if status < 200:
-            self._interim_responses += 1
-            has_end = self._interim_responses <= _MAX_INTERIM_RESPONSES
+            self._interim += 1
+            bounded = self._interim <= _MOST_INTERIM
         else:
-            # Don't wait for a body that will be discarded; and where nothing but the end of the connection
-            # delimits a response, a truncated one can't be detected.
+            # Guards against waiting for what will be thrown away, and against taking an answer that broke off
+            # for a whole one: where nothing but the connection's end frames it, nobody can tell.
             lengths = self._part.values(b"content-length")
             codings = [each.lower() for each in self._part.values(b"transfer-encoding")]
-            has_end = codings == [b"chunked"] or status in (204, 304)
-            has_end = has_end or (bool(lengths) and int(lengths[0]) <= self._max_response_body)
-            if not has_end and not lengths and not codings:
-                self._ends_with_connection = has_end = self._announces_close()
-        if not has_end and self.response is None:
-            self.is_malformed = True
+            bounded = codings == [b"chunked"] or status in (204, 304)
+            bounded = bounded or (bool(lengths) and int(lengths[0]) <= self._most_due)
+            if not bounded and not lengths and not codings:
+                self._to_the_end = bounded = self._says_close()
+        if not bounded and self.response is None:
+            self.is_spoilt = True
 
     def on_body(self, body: bytes) -> None:
-        """Add a part of the body; called by the parser."""
-        if self._part is None or self.is_malformed or self.response is not None:
+        if self._part is None or self.is_spoilt or self.response is not None:
             return
         part = self._part
-        self._framing.has_progressed = True
+        self._framing.has_gone_on = True
         part.size += len(body)
-        if part.size > self._max_response_body:
-            self.is_malformed = True
+        if part.size > self._most_due:
+            self.is_spoilt = True
         elif part.stream is not None:
             part.stream.put(body)
         else:
             part.body += body
-            if self._begin is not None and self._make_stream is not None and self._is_large(part):
-                self._start_streaming(part, self._begin, self._make_stream)
+            if self._begin is not None and self._make_pipe is not None and self._is_large(part):
+                self._pass_on(part, self._begin, self._make_pipe)
 
-    def _is_large(self, part: _PartialMessage) -> bool:
-        """Return whether to stream the body: by its announced length, or once some of it was received.
+    def _is_large(self, part: _Part) -> bool:
+        """Whether more comes than is kept: as it says, or guessed where it does not.
 
-        That forwards the first bytes of a slow response early, and does not start one whose announced length
-        is wrong, which can still be requested from another server.
+        Guards against holding the first bytes of a slow answer back until all that may be kept has come; and
+        against beginning one whose length is a lie, which could still be asked for elsewhere.
         """
-        if len(part.body) <= _MIN_STREAMED_BYTES:
+        if len(part.body) <= _MOST_WAITED:
             return False
         lengths = part.values(b"content-length")
-        return not lengths or int(lengths[0]) > self._max_buffered_body()
+        return not lengths or int(lengths[0]) > self._most_kept()
 
-    def _start_streaming(
-        self, part: _PartialMessage, begin: Callable[[Response], bool], make_stream: MakeStream
-    ) -> None:
+    def _pass_on(self, part: _Part, begin: Callable[[Response], bool], make_pipe: MakePipe) -> None:
         status = self._parser.get_status_code()
         if status != 200:
-            self.is_malformed = True  # it is not forwarded, so the rest is not needed
+            self.is_spoilt = True  # nothing of it is passed on, so nobody needs the rest
             return
         length = next((int(each) for each in part.values(b"content-length")), None)
-        part.stream = make_stream(length)
+        part.stream = make_pipe(length)
         part.stream.put(bytes(part.body))
         part.body.clear()
         if not begin(Response(status, part.headers, b"", part.stream)):
             part.stream.drop()
-            self.is_malformed = True
+            self.is_spoilt = True
 
-    def _announces_close(self) -> bool:
-        """Return whether the server announced that the response ends with the connection.
+    def _says_close(self) -> bool:
+        """Whether the server says that its answer ends with the connection.
 
-        Without that, a complete response can't be told from a truncated one.
+        Guards against taking an answer that broke off for a whole one: one that says nothing may be either.
         """
         assert self._part is not None
         options = {
@@ -429,28 +432,26 @@
 
     @property
     def cost(self) -> int:
-        """The memory that a partial response takes, in bytes."""
-        return 0 if self._part is None else self._part.cost + self._framing.pending_bytes
+        """What is kept of an answer in part costs of memory, in bytes."""
+        return 0 if self._part is None else self._part.cost + self._framing.pending
 
     @property
     def stream(self) -> BodyStream | None:
-        """The body that is being streamed."""
+        """The body that is being passed on."""
         return None if self._part is None else self._part.stream
 
     def end(self) -> None:
-        """Record the orderly end of the connection, which completes a response without a length."""
-        is_partial = self._part is not None and self.response is None
-        if is_partial and self._ends_with_connection and not self.is_malformed:
+        """The connection ended in order; an answer that ends with it is whole."""
+        if self._to_the_end and self._part is not None and not self.is_spoilt and self.response is None:
             self.on_message_complete()
             self.keep_alive = False
 
     def on_message_complete(self) -> None:
-        """Provide the response; called by the parser."""
         part, self._part = self._part, None
-        self._framing.has_progressed = True
+        self._framing.has_gone_on = True
         status = self._parser.get_status_code()
-        if part is None or self.is_malformed or self.response is not None or status < 200:
+        if part is None or self.is_spoilt or self.response is not None or status < 200:
             return
         self.response = Response(status, part.headers, bytes(part.body), part.stream)
-        self._begin = None  # so that an idle connection does not keep the caller alive
+        self._begin = None  # guards against holding on to who asked while the connection rests
         self.keep_alive = self._parser.should_keep_alive()
--- a/micadeck/http/idle_connections.py
+++ b/micadeck/http/idle_connections.py
@@ -1,9 +1,10 @@
-"""Idle connection eviction: time and count limits for clients' idle connections.  No I/O.
+"""Which of the clients' connections at rest are kept: for how long, and how many.  No input or output.
 
-An idle connection is useful while its client reuses it, and otherwise takes the slot of a new one.  A
-connection that served a second request stays open while there is capacity.  Those that served a single
-request share a part of the capacity that follows how many of them are reused.  Early eviction would hide
-whether they are, so a sample of them is never evicted, and only the sample is counted.
+A connection at rest is worth its place while clients use it again, and takes a place from a new one when
+they don't.  So reuse is seen, not guessed: a connection that asked a second time is proven and rests for as
+long as there is room.  Those that asked once share a part of the room that follows how many come back.
+Closing early would hide whether they do, so a few are witnesses: they are left alone, and only they are
+counted.
 """
 
 from __future__ import annotations
@@ -11,73 +12,67 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-# The part of the capacity for connections with a single request, when none and when all of them are reused;
-# the latter because clients may keep more connections than there is capacity for.
-_MIN_SINGLE_USE_FRACTION = 0.25
-_MAX_SINGLE_USE_FRACTION = 0.75
-_MAX_SAMPLED_FRACTION = 0.125  # of the capacity
-_SAMPLE_INTERVAL = 4  # one of so many connections with a single request is sampled
-_SAMPLE_WEIGHT = 1 / 16  # of one sampled connection in the estimate
-_FULL_TIMEOUT_UP_TO = 0.5  # of the capacity in use
-_MIN_TIMEOUT_FRACTION = 0.2  # of the timeout, when the capacity is used up
+_PART_AT_LEAST = 0.25  # of the room, for those that asked once, when none of them comes back
+_PART_AT_MOST = 0.75  # when all do: clients may hold fewer connections than there is room for
+_WITNESSES = 0.125  # of the room, at most
+_WITNESS_EACH = 4  # of those that ask once, as long as there are not too many
+_WEIGHT = 1 / 16  # of one witness in the estimate
+_LONG_UP_TO = 0.5  # of the room in use: so far each may rest for the whole time
+_SHORTEST = 0.2  # of the whole time, when the room is used up
 
 C = TypeVar("C")
 
 
 class IdleConnections(Generic[C]):
-    """Owns the order of idle connections that served a single request, and the estimate of their reuse."""
+    """The connections at rest that asked once, and what is known of such."""
 
     def __init__(self) -> None:
-        """Start without connections."""
-        self.reuse_rate = 0.0  # of the sampled connections; 0 until reuse is observed
-        self._single_use: dict[C, bool] = {}  # longest idle first; whether it is sampled
-        self._sampled = 0
-        self._since_sampled = 0
-
-    def add(self, connection: C, served: int, capacity: int) -> None:
-        """Record that a connection became idle after so many requests."""
-        if served != 1:
-            return
-        self._since_sampled += 1
-        max_sampled = max(capacity * _MAX_SAMPLED_FRACTION, 1)
-        is_sampled = self._since_sampled >= _SAMPLE_INTERVAL and self._sampled < max_sampled
-        self._single_use[connection] = is_sampled
-        if is_sampled:
-            self._sampled += 1
-            self._since_sampled = 0
-
-    def mark_reused(self, connection: C) -> None:
-        """Record that a request begins on an idle connection."""
-        self._remove(connection, is_reused=True)
-
-    def remove(self, connection: C) -> None:
-        """Record that a connection was closed, by either side."""
-        self._remove(connection, is_reused=False)
-
-    def _remove(self, connection: C, *, is_reused: bool) -> None:
-        if self._single_use.pop(connection, False):
-            self._sampled -= 1
-            self.reuse_rate += (float(is_reused) - self.reuse_rate) * _SAMPLE_WEIGHT
-
-    def single_use_limit(self, capacity: int) -> int:
-        """Return how many idle connections with a single request may stay open."""
-        variable_fraction = _MAX_SINGLE_USE_FRACTION - _MIN_SINGLE_USE_FRACTION
-        return int(capacity * (_MIN_SINGLE_USE_FRACTION + variable_fraction * self.reuse_rate))
-
-    def excess(self, capacity: int) -> int:
-        """Return how many connections with a single request are idle beyond their limit."""
-        return max(len(self._single_use) - self.single_use_limit(capacity), 0)
-
-    def eviction_candidates(self, capacity: int) -> Iterator[C]:
-        """Yield the connections that may be evicted, the first one first; none while there is no excess."""
-        if self.excess(capacity):
-            yield from (each for each, is_sampled in self._single_use.items() if not is_sampled)
-
-
-def idle_timeout_s(max_timeout_s: float, open_connections: int, capacity: int) -> float:
-    """Return how long a connection may be idle, in seconds, while so much of the capacity is in use."""
-    used = open_connections / capacity if capacity > 0 else 1.0
-    if used <= _FULL_TIMEOUT_UP_TO:
-        return max_timeout_s
-    beyond = min((used - _FULL_TIMEOUT_UP_TO) / (1.0 - _FULL_TIMEOUT_UP_TO), 1.0)
-    return max_timeout_s * (1.0 - beyond * (1.0 - _MIN_TIMEOUT_FRACTION))
+        self.comes_back = 0.0  # the part of those that asked once that asked again; none until it is seen
+        self._once: dict[C, bool] = {}  # at rest, the one that rests longest first; True: a witness
+        self._witnesses = 0
+        self._since_witness = 0
+
+    def rests(self, connection: C, served: int, room: int) -> None:
+        """Take note that a connection came to rest, having served so many requests."""
+        if served == 1:
+            self._since_witness += 1
+            is_witness = self._since_witness >= _WITNESS_EACH and self._witnesses < max(room * _WITNESSES, 1)
+            self._once[connection] = is_witness
+            if is_witness:
+                self._witnesses += 1
+                self._since_witness = 0
+
+    def asks(self, connection: C) -> None:
+        """Take note that a request began to come on a connection at rest."""
+        self._leave(connection, came_back=True)
+
+    def ends(self, connection: C) -> None:
+        """Take note that a connection ended, whoever closed it."""
+        self._leave(connection, came_back=False)
+
+    def _leave(self, connection: C, came_back: bool) -> None:
+        if self._once.pop(connection, False):
+            self._witnesses -= 1
+            self.comes_back += (float(came_back) - self.comes_back) * _WEIGHT
+
+    def most_once(self, room: int) -> int:
+        """How many that asked once may rest, of so much room."""
+        return int(room * (_PART_AT_LEAST + (_PART_AT_MOST - _PART_AT_LEAST) * self.comes_back))
+
+    def spare(self, room: int) -> Iterator[C]:
+        """Those that may be closed, in this order; none while there are not `too_many`."""
+        if self.too_many(room):
+            yield from (each for each, is_witness in self._once.items() if not is_witness)
+
+    def too_many(self, room: int) -> int:
+        """How many that asked once rest beyond their part of the room."""
+        return max(len(self._once) - self.most_once(room), 0)
+
+
+def rest_for_s(longest_s: float, used: int, room: int) -> float:
+    """How long a connection may rest, in seconds, while so much of the room is in use."""
+    full = used / room if room > 0 else 1.0
+    if full <= _LONG_UP_TO:
+        return longest_s
+    beyond = min((full - _LONG_UP_TO) / (1.0 - _LONG_UP_TO), 1.0)
+    return longest_s * (1.0 - beyond * (1.0 - _SHORTEST))
--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -16,17 +16,17 @@
 from micadeck.http.h1 import (
     CONTINUE,
     LAST_CHUNK,
-    MAX_BODY_BYTES,
+    MOST_BODY,
     Headers,
     Request,
     RequestReader,
     Response,
-    encode_chunk,
-    encode_head,
+    chunk,
+    head_of,
 )
-from micadeck.http.idle_connections import IdleConnections, idle_timeout_s
+from micadeck.http.idle_connections import IdleConnections, rest_for_s
 from micadeck.http.request_validation import BadRequestError, read_request
-from micadeck.http.settings_versions import FORMER_SETTINGS_US, SettingsVersions
+from micadeck.http.settings_versions import STRAY_US, SettingsVersions
 from micadeck.memory.budget import OPEN_REQUEST_COST, MemoryUse
 from micadeck.network import Address, Listener, Network, Stream, Timer
 from micadeck.policy.settings import Settings
@@ -79,7 +79,7 @@
 
     def __init__(self, frontend: HttpListener) -> None:
         self._frontend = frontend
-        self._reader = RequestReader(MAX_BODY_BYTES, self._make_pipe, frontend.budget.max_buffered_body)
+        self._reader = RequestReader(MOST_BODY, self._make_pipe, frontend.budget.most_kept)
         self._body: BodyStream | None = None  # that of the request at hand, where it is passed on
         self._upload: BodyStream | None = None  # the same, while it still comes
         self._download: Response | None = None  # the answer that is passed on
@@ -166,7 +166,7 @@
         if self._transport.is_closing() or not self._frontend.engine.started(owed):
             return False
         self._download = response
-        headers = error_responses.forwarded_headers(response)
+        headers = error_responses.begun(response)
         self._is_chunked = stream.length is None and request.version == "1.1"
         self._closes = self._frontend.is_draining or not request.keep_alive or self._upload is not None
         if stream.length is not None:
@@ -177,7 +177,7 @@
             self._closes = True  # the end of the connection is that of the answer
         if self._closes:
             headers.append((b"connection", b"close"))
-        self._transport.write(encode_head(200, headers))
+        self._transport.write(head_of(200, headers))
         if self._is_writing_paused:
             self._block(stream)
         stream.open(self._write_piece, self._download_ended)
@@ -214,7 +214,7 @@
         self.answers += 1
         self.came = self._at_hand = 0
         self._frontend.moved(self, State.RESTING)
-        if self._reader.has_partial_message or self._reader.requests or self._reader.fault is not None:
+        if self._reader.has_part or self._reader.requests or self._reader.fault is not None:
             # Guards against waiting for data when the next request came in one piece with this one.
             self.heard_at = self._frontend.network.time()  # reading was held up until now
             self._frontend.moved(self, State.READING)
@@ -301,7 +301,7 @@
             self._advance_and_hold()
         else:
             self._go_on_uploading()
-        behind = self._reader.has_partial_message or self._reader.requests or self._reader.fault is not None
+        behind = self._reader.has_part or self._reader.requests or self._reader.fault is not None
         if not behind:
             return
         self.heard_at = self._frontend.network.time()
@@ -411,7 +411,7 @@
 
     def _write_piece(self, data: bytes) -> None:
         assert self._transport is not None
-        self._transport.write(encode_chunk(data) if self._is_chunked else data)
+        self._transport.write(chunk(data) if self._is_chunked else data)
 
     def _download_ended(self) -> None:
         """All of the answer has gone out."""
@@ -577,13 +577,13 @@
                 if generations.settings is not before:
                     self.on_settings(generations.settings)
         incoming.begin = client.begin
-        incoming.detect_disconnect = client.look_for_end
+        incoming.look_for_end = client.look_for_end
         if request.arrived_at and incoming.is_complete:
             # Its time counts from its last byte, wherever it waited since: unread, or behind another.
             incoming.remaining_us -= int((self.network.time() - request.arrived_at) * 1e6)
         client.remaining_us = incoming.remaining_us
         if not incoming.is_complete:
-            length = MAX_BODY_BYTES if request.stream is None else request.stream.length or MAX_BODY_BYTES
+            length = MOST_BODY if request.stream is None else request.stream.length or MOST_BODY
             limits = self._limits
             upload_s = limits.request_timeout_s + length / limits.least_bytes_per_s
             incoming.remaining_us += int(upload_s * 1e6)  # its own time counts from its last byte
@@ -600,11 +600,11 @@
     def announce(self, settings: Settings) -> None:
         """Put these in force once clients follow them."""
         due = self._generations.announce(settings, self.network.now())
-        for at in (due, due + FORMER_SETTINGS_US):
+        for at in (due, due + STRAY_US):
             self.network.call_later((at - self.network.now()) / 1e6 + _TURN_SPARE_S, self._turn)
 
     def _turn(self) -> None:
-        if self._generations.apply_due(self.network.now()):
+        if self._generations.turn(self.network.now()):
             self.on_settings(self._generations.settings)
 
     def close_idle(self) -> None:
@@ -677,13 +677,13 @@
             if before is State.SILENT:
                 return  # its time runs from the connection on
             if before is State.RESTING:
-                self._resting.mark_reused(connection)
+                self._resting.asks(connection)
         connection.since = self.network.time()
         if state is State.RESTING or state is State.ENDING:
             self.let_go(connection)
         if state is State.RESTING:
-            self._resting.add(connection, connection.answers, self.most)
-            if self._resting.excess(self.most):
+            self._resting.rests(connection, connection.answers, self.most)
+            if self._resting.too_many(self.most):
                 # After this round, so that a request that came in one piece with the last one is seen.
                 self.network.call_soon(self._close_spare)
 
@@ -730,12 +730,12 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """What clients have not taken of their answers."""
+        """What clients have not taken of their error_responses."""
         return sum(each.unsent_bytes for each in self.connections())
 
     def closed(self, connection: DownstreamConnection) -> None:
         self._by_state[connection.state].pop(connection, None)
-        self._resting.remove(connection)
+        self._resting.ends(connection)
         self.let_go(connection)
 
     def _close_spare(self) -> None:
@@ -744,9 +744,9 @@
         Guards against clients that ask once on each connection and keep it: they may hold only so many, and
         when all of those rest here, no request can come until some are closed.
         """
-        idle = (each for each in self._resting.eviction_candidates(self.most) if each.is_idle)
-        for each in list(islice(idle, self._resting.excess(self.most))):
-            self._resting.remove(each)
+        idle = (each for each in self._resting.spare(self.most) if each.is_idle)
+        for each in list(islice(idle, self._resting.too_many(self.most))):
+            self._resting.ends(each)
             each.close()
 
     def let_go(self, connection: DownstreamConnection) -> None:
@@ -806,7 +806,7 @@
         for each in [*self._by_state[State.SERVING], *self._by_state[State.UPLOADING]]:
             if each.has_left:
                 each.leave()
-        rest_s = idle_timeout_s(limits.idle_timeout_s, self.open_connections, self.most)
+        rest_s = rest_for_s(limits.idle_timeout_s, self.open_connections, self.most)
         for each in list(self._by_state[State.RESTING]):
             if now - each.since < rest_s:
                 break  # they stand in the order in which they came to rest
--- a/micadeck/http/reuse_delay.py
+++ b/micadeck/http/reuse_delay.py
@@ -1,40 +1,38 @@
-"""The delay before a connection to a server is reused.  No I/O.
+"""When a connection to a server may carry its next request.  No input or output.
 
-Nothing in an HTTP/1.1 response names its request.  If a server sends a second response some milliseconds
-after the first, and the connection was reused meanwhile, that response would go to the wrong client, and so
-would each one after it.  So a connection is not reused for a while after its response: bytes received in that
-time close it.  After such bytes, the delay is longer for a minute.
+Nothing in an HTTP/1.1 answer names its request.  A server that sends a second answer some milliseconds behind
+one, on a connection that was handed on meanwhile, would have it served to the wrong client, and each further
+answer on that connection with it.  So every connection rests for a while after its answer was heard: what
+comes in that time closes it.  Where a second answer was seen, connections rest for longer, for a minute.
 
-A first second response that is later than the delay can't be told from the response to the next request.
+What comes later than the rest, and for the first time, can't be told from the next request's answer.
 """
 
 from __future__ import annotations
 
-MIN_REUSE_DELAY_US = 10_000  # for every server
-MIN_DELAY_AFTER_LATE_BYTES_US = 25_000
-MAX_REUSE_DELAY_US = 500_000
-_LATE_BYTES_FACTOR = 2.0  # of the longest lateness seen
-_MEMORY_US = 60_000_000  # how long late bytes are remembered
+LEAST_REST_US = 10_000  # from the first request on, at every server
+SEEN_REST_US = 25_000  # at least, once a second answer was seen, however late
+MOST_REST_US = 500_000
+_BEYOND_SEEN = 2.0  # times the longest delay that was seen
+_REMEMBERED_US = 60_000_000
 
 
 class ReuseDelay:
-    """The reuse delay of one connection pool.  Times are microseconds of one clock."""
+    """How long connections rest before they are used again; times are microseconds of one clock."""
 
     def __init__(self) -> None:
-        """Start without late bytes seen."""
-        self._max_lateness_us = 0
-        self._remembered_until = 0
-
-    def record_late_bytes(self, now: int, lateness_us: int) -> None:
-        """Record unsolicited bytes that were received so long after a connection became idle."""
-        if now >= self._remembered_until:
-            self._max_lateness_us = 0
-        self._max_lateness_us = max(self._max_lateness_us, lateness_us)
-        self._remembered_until = now + _MEMORY_US
-
-    def delay_us(self, now: int) -> int:
-        """Return how long a connection must be idle before it is reused, in microseconds."""
-        if now >= self._remembered_until:
-            return MIN_REUSE_DELAY_US
-        delay_us = min(int(self._max_lateness_us * _LATE_BYTES_FACTOR), MAX_REUSE_DELAY_US)
-        return max(MIN_DELAY_AFTER_LATE_BYTES_US, delay_us)
+        self._longest_us = 0
+        self._until = 0
+
+    def saw_late_bytes(self, now: int, delay_us: int) -> None:
+        """Take note of bytes that nobody had asked for, so long after a connection came to rest."""
+        if now >= self._until:
+            self._longest_us = 0
+        self._longest_us = max(self._longest_us, delay_us)
+        self._until = now + _REMEMBERED_US
+
+    def rest_us(self, now: int) -> int:
+        """For how long a connection rests, by what was seen up to now."""
+        if now >= self._until:
+            return LEAST_REST_US
+        return max(SEEN_REST_US, min(int(self._longest_us * _BEYOND_SEEN), MOST_REST_US))
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -10,9 +10,9 @@
 
 from micadeck.engine import AttemptCallback, EndpointUpdate
 from micadeck.engine.send_guard import SendDenial, send_denial
-from micadeck.http.body_stream import MAX_BUFFERED_BODY, BufferBudget
-from micadeck.http.client import STREAM_GRACE_S, ClientConnection, Failure
-from micadeck.http.h1 import MAX_BODY_BYTES, Request, Response
+from micadeck.http.body_stream import MOST_KEPT, BufferBudget
+from micadeck.http.client import BEYOND_TIME_S, ClientConnection, Failure
+from micadeck.http.h1 import MOST_BODY, Request, Response
 from micadeck.http.request_validation import ValidatedRequest
 from micadeck.http.reuse_delay import ReuseDelay
 from micadeck.network import Address, Network, Timer
@@ -78,7 +78,7 @@
     def end_by(self) -> float:
         """When an answer that is passed on has to be over, on the network's clock."""
         left_us = self.until - self._network.now()
-        return self._network.time() + left_us / 1e6 + STREAM_GRACE_S
+        return self._network.time() + left_us / 1e6 + BEYOND_TIME_S
 
     def begun(self, response: Response) -> bool:
         """An answer that is too large to be kept has begun; say whether anybody takes it."""
@@ -87,7 +87,7 @@
             return False  # nobody waits, or it is no answer to a request that is not there yet
         if self.timer is not None:
             self.timer.cancel()  # from here on its connection sees to its time
-        connection.set_stream_deadline(self.end_by())
+        connection.end_by(self.end_by())
         response.abandon = connection.abandon
         return self.begin(response)
 
@@ -290,7 +290,7 @@
         message = call.message(max(call.until - self._network.now(), 1_000))
         if call.is_probe:
             connection.exchange(
-                message, ended, max_body_bytes=MAX_BUFFERED_BODY
+                message, ended, most_body=MOST_KEPT
             )  # its answer is kept: nobody waits for it
         else:
             connection.exchange(message, ended, self._count_try, call.begun if call.begin else None)
@@ -315,7 +315,7 @@
             async with self._network.timeout(self._dial_within_s):
                 connection = await self._network.dial(
                     lambda: ClientConnection(
-                        self._network, MAX_BODY_BYTES, self._freed, self._closed, budget=self._budget
+                        self._network, MOST_BODY, self._freed, self._closed, budget=self._budget
                     ),
                     server.address,
                 )
@@ -379,7 +379,7 @@
     def _take(self, server: _Server) -> ClientConnection | None:
         """The most recently used idle connection that is good and has rested, if there is one."""
         now = self._network.now()
-        rested = now - self._reuse.delay_us(now)
+        rested = now - self._reuse.rest_us(now)
         for idle in [each for each in reversed(server.idle) if each.since <= rested]:
             if now - idle.since < self._use_within_us and idle.connection.is_usable():  # else it is closed
                 server.idle.remove(idle)
@@ -410,10 +410,10 @@
         server = self._owners.pop(connection, None)
         if server is None:
             return
-        if connection.received_unsolicited:
+        if connection.brought_more:
             now = self._network.now()
             since = next((each.since for each in server.idle if each.connection is connection), now)
-            self._reuse.record_late_bytes(now, now - since)
+            self._reuse.saw_late_bytes(now, now - since)
         server.idle = [each for each in server.idle if each.connection is not connection]
 
     def _close_idle(self, server: _Server) -> None:
@@ -427,7 +427,7 @@
         return Outcome.CONNECT_FAILED
     if how is Failure.BROKEN:
         return Outcome.CONNECTION_LOST
-    if how is Failure.MALFORMED:
+    if how is Failure.SPOILT:
         return Outcome.MALFORMED
     if how is Failure.ABANDONED:
         return Outcome.CANCELLED
--- a/micadeck/httpx.py
+++ b/micadeck/httpx.py
@@ -12,7 +12,7 @@
 
 import httpx
 
-from micadeck.http.h1 import MAX_BODY_BYTES
+from micadeck.http.h1 import MOST_BODY
 from micadeck.library import Answer, Micadeck
 from micadeck.library.request_validation import new_id
 from micadeck.policy.settings import Idempotency
@@ -74,8 +74,8 @@
 
 def _join(body: bytearray, piece: bytes) -> bool:
     """Take a piece in; whether more may come.  One byte over the limit is enough to be turned away for it."""
-    body += piece[: MAX_BODY_BYTES + 1 - len(body)]
-    return len(body) <= MAX_BODY_BYTES
+    body += piece[: MOST_BODY + 1 - len(body)]
+    return len(body) <= MOST_BODY
 
 
 class AsyncMicadeckTransport(httpx.AsyncBaseTransport):
--- a/micadeck/library/request_validation.py
+++ b/micadeck/library/request_validation.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from micadeck.http.framing import MAX_HEAD_BYTES, MAX_HEADERS
-from micadeck.http.h1 import MAX_BODY_BYTES, Headers, Request
+from micadeck.http.framing import MOST_HEAD, MOST_HEADERS
+from micadeck.http.h1 import MOST_BODY, Headers, Request
 from micadeck.http.request_validation import BadRequestError, ValidatedRequest, key_of, read_request
 from micadeck.http.settings_versions import SettingsVersions
 from micadeck.policy.settings import Idempotency, ServiceClass, Settings
@@ -54,9 +54,9 @@
             raise Malformed("the method is nonsense")
         if not _TARGET.fullmatch(target):
             raise Malformed("the target is nonsense")
-        if size > MAX_HEAD_BYTES or len(given) > MAX_HEADERS:
+        if size > MOST_HEAD or len(given) > MOST_HEADERS:
             raise Malformed("the headers are too large", 431)
-        if len(body) > MAX_BODY_BYTES:
+        if len(body) > MOST_BODY:
             raise Malformed("the body is too large", 413)
         return read_request(Request(method, target, given, body), self._generations)
 
@@ -124,7 +124,7 @@
         wanted.headers
         or wanted.work_hint_us is not None
         or wanted.client_retry
-        or len(wanted.body) > MAX_BODY_BYTES
+        or len(wanted.body) > MOST_BODY
         or len(wanted.target) > _PLAIN_SIZE
         or (key is not None) != (kind.repeat is Idempotency.KEYED)
         or not (timeout is None or 0.001 <= timeout <= 99_999.0)
--- a/micadeck/membership/consul/client.py
+++ b/micadeck/membership/consul/client.py
@@ -159,7 +159,7 @@
         how = await answer
         if isinstance(how, Response):
             return how
-        if how is Failure.MALFORMED:
+        if how is Failure.SPOILT:
             raise ConsulError("the answer is no HTTP, breaks off, or is over 4 MiB")
         raise ConsulError("the connection broke before the answer was whole")
 
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -236,7 +236,7 @@
         self.for_clients = int(room * _FOR_CLIENTS)
         self.upstream.most = room - self.for_clients
         memory_mb = divide_limit(self.config.memory_mb, self.others)
-        self.budget.capacity_bytes = memory_mb * _PASSED_ON_OF_MEMORY
+        self.budget.most = memory_mb * _PASSED_ON_OF_MEMORY
         self.memory.set_limit(memory_mb * MB)
 
     def beside(self, others: int) -> None:
@@ -395,7 +395,7 @@
     def count_memory(self) -> None:
         """Book what is not counted with each message."""
         self.memory.set_charge(MemoryUse.UNSENT, self.frontend.unsent_bytes)
-        self.memory.set_charge(MemoryUse.BODIES, self._core.budget.held_bytes)
+        self.memory.set_charge(MemoryUse.BODIES, self._core.budget.held)
 
     def _relieve_soon(self, stage: PressureLevel) -> None:
         """Act on a stage, but not within whatever booked something just now."""
--- a/micadeck/stand_ins/http_server.py
+++ b/micadeck/stand_ins/http_server.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from micadeck.http.h1 import MAX_BODY_BYTES, Request, RequestReader, Response
+from micadeck.http.h1 import MOST_BODY, Request, RequestReader, Response
 
 HOST = "127.0.0.1"
 
@@ -73,7 +73,7 @@
 
     def __init__(self, server: StandInServer) -> None:
         self._server = server
-        self._reader = RequestReader(MAX_BODY_BYTES)
+        self._reader = RequestReader(MOST_BODY)
         self._is_working = False
         self.transport: asyncio.Transport
 
--- a/tests/embedding_parity.py
+++ b/tests/embedding_parity.py
@@ -67,7 +67,7 @@
 
 def parsed(raw: bytes) -> list[Request]:
     """The requests in these bytes; none if they are not HTTP."""
-    reader = RequestReader(max_body_bytes=1 << 26)
+    reader = RequestReader(most_body=1 << 26)
     reader.feed(raw)
     return [] if reader.fault is not None else list(reader.requests)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,7 +18,7 @@
 
 from micadeck.config import parse
 from micadeck.http.listener import DownstreamLimits
-from micadeck.http.reuse_delay import MIN_REUSE_DELAY_US
+from micadeck.http.reuse_delay import LEAST_REST_US
 from micadeck.stand_ins.consul import NODE, StandInConsul, State
 
 way = "daemon"  # how the stage's balancer is reached; `ways` says which there are
@@ -75,7 +75,7 @@
 
 async def rested() -> None:
     """Wait until a connection to a server may be used again."""
-    await asyncio.sleep(1.2 * MIN_REUSE_DELAY_US / 1e6)
+    await asyncio.sleep(1.2 * LEAST_REST_US / 1e6)
 
 
 async def until(condition: Callable[[], bool]) -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,7 +13,7 @@
 import pytest
 from loopback import HOST, PATIENCE_S, Client, Stage, played, read_head, request, rested, soon, stage, until
 
-from micadeck.http.body_stream import MAX_BUFFERED_BODY, BodyStream, BufferBudget
+from micadeck.http.body_stream import MOST_KEPT, BodyStream, BufferBudget
 from micadeck.http.h1 import Request, RequestReader, Response, ResponseReader
 from micadeck.http.listener import DownstreamLimits
 
@@ -57,7 +57,7 @@
         ends.pipe.put(each)
     assert ends.paused  # nobody takes it yet
     ends.pipe.open(ends.take, ends.ended)
-    assert not ends.paused and ends.out == b"".join(given[:4]) and ends.budget.held_bytes == 0
+    assert not ends.paused and ends.out == b"".join(given[:4]) and ends.budget.held == 0
     ends.pipe.block()
     for each in given[4:]:
         ends.pipe.put(each)
@@ -65,20 +65,20 @@
     assert ends.paused and ends.ends == 0
     ends.pipe.unblock()
     assert ends.out == b"".join(given) and ends.ends == 1
-    assert (ends.budget.held_bytes, ends.budget.open_streams) == (0, 0)
+    assert (ends.budget.held, ends.budget.pipes) == (0, 0)
     ends.pipe.drop()
-    assert (ends.budget.held_bytes, ends.budget.open_streams) == (0, 0)
+    assert (ends.budget.held, ends.budget.pipes) == (0, 0)
 
 
 def test_a_dropped_pipe_lets_go_of_all_and_of_its_writer() -> None:
     ends = Ends()
     ends.pipe.put(b"x" * 100_000)
-    assert ends.paused and ends.budget.held_bytes == 100_000
+    assert ends.paused and ends.budget.held == 100_000
     ends.pipe.drop()
-    assert not ends.paused and (ends.budget.held_bytes, ends.budget.open_streams) == (0, 0)
+    assert not ends.paused and (ends.budget.held, ends.budget.pipes) == (0, 0)
     ends.pipe.put(b"more")
     ends.pipe.end()
-    assert ends.budget.held_bytes == 0 and ends.ends == 0
+    assert ends.budget.held == 0 and ends.ends == 0
 
 
 def test_many_pipes_share_one_budget() -> None:
@@ -88,10 +88,10 @@
         for each in pipes:
             if not each.is_paused:
                 each.put(b"x" * 1_000)
-    assert budget.held_bytes <= 400_000 + 40 * 1_000
+    assert budget.held <= 400_000 + 40 * 1_000
     for each in pipes:
         each.drop()
-    assert (budget.held_bytes, budget.open_streams) == (0, 0)
+    assert (budget.held, budget.pipes) == (0, 0)
 
 
 # Reading, in any cutting
@@ -181,16 +181,12 @@
     for at in range(0, len(raw), cut):
         reader.feed(raw[at : at + cut])
     reader.end()
-    assert (None if reader.response is None or reader.is_malformed else reader.response.body) == body
+    assert (None if reader.response is None or reader.is_spoilt else reader.response.body) == body
 
 
 def test_only_a_large_answer_is_passed_on_and_nobody_needs_a_large_error() -> None:
     budget = BufferBudget(1 << 30)
-    for status, size, passed in (
-        (200, MAX_BUFFERED_BODY, 0),
-        (200, MAX_BUFFERED_BODY + 1, 1),
-        (500, MAX_BUFFERED_BODY + 1, 0),
-    ):
+    for status, size, passed in ((200, MOST_KEPT, 0), (200, MOST_KEPT + 1, 1), (500, MOST_KEPT + 1, 0)):
         begun: list[Response] = []
 
         def begin(response: Response, begun: list[Response] = begun) -> bool:
@@ -203,7 +199,7 @@
         reader.expect(begin)
         reader.feed(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, size) + b"x" * size)
         assert len(begun) == passed
-        assert reader.is_malformed == (status == 500)
+        assert reader.is_spoilt == (status == 500)
         if begun:
             assert begun[0].stream is not None and begun[0].stream.length == size
             begun[0].stream.drop()
@@ -270,7 +266,7 @@
         yield server, scene
         await until(lambda: scene.sidecar.open_requests == 0)
         budget = scene.sidecar._core.budget
-        assert (budget.held_bytes, budget.open_streams) == (0, 0)
+        assert (budget.held, budget.pipes) == (0, 0)
     server.stop()
 
 
@@ -415,12 +411,12 @@
             client = Client(*await asyncio.open_connection(sock=with_little, limit=1_024))
             client.send(request("check", target="/large"))
             slow.append(client)
-        await until(lambda: budget.open_streams == 10)
+        await until(lambda: budget.pipes == 10)
         for _ in range(20):
             assert (await scene.ask("check")).status == 200  # nobody else waits
-        assert budget.held_bytes <= 10 * (96 << 10)
+        assert budget.held <= 10 * (96 << 10)
         # Past its bound each is cut off, in a way that its client can tell.
-        await until(lambda: budget.open_streams == 0)
+        await until(lambda: budget.pipes == 0)
         for client in slow:
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await soon(read_head(client.reader))
@@ -566,13 +562,13 @@
         async def watch() -> None:
             nonlocal most
             while True:
-                most = max(most, budget.held_bytes)
+                most = max(most, budget.held)
                 await asyncio.sleep(0.001)
 
         watching = asyncio.ensure_future(watch())
         await asyncio.gather(*(client(scene) for _ in range(10)))
         watching.cancel()
-        assert most <= budget.capacity_bytes
+        assert most <= budget.most
 
 
 def test_the_head_of_a_request_that_is_passed_on_says_how_its_body_is_framed() -> None:
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -55,10 +55,10 @@
         begun(reader, what)
         piece = ENDLESS[what][1]
     read = 0
-    while not reader.is_malformed and read < MOST_READ:
+    while not reader.is_spoilt and read < MOST_READ:
         reader.feed(piece * at_once)
         read += at_once * len(piece)
-    assert reader.is_malformed and reader.response is None
+    assert reader.is_spoilt and reader.response is None
 
 
 @pytest.mark.parametrize(("count", "fault"), [(99, None), (100, 431), (3_800, 431)])
@@ -72,12 +72,12 @@
     assert len(reader.requests) == (fault is None)
 
 
-@pytest.mark.parametrize(("count", "is_malformed"), [(99, False), (100, True), (3_800, True)])
-def test_an_answer_has_a_hundred_headers_at_most(count: int, is_malformed: bool) -> None:
+@pytest.mark.parametrize(("count", "is_spoilt"), [(99, False), (100, True), (3_800, True)])
+def test_an_answer_has_a_hundred_headers_at_most(count: int, is_spoilt: bool) -> None:
     reader = ResponseReader(MOST_BODY)
     reader.feed(OK + b"content-length: 2\r\n" + b"a:\r\n" * count + b"\r\nok")
-    assert reader.is_malformed is is_malformed
-    assert (reader.response is None) is is_malformed
+    assert reader.is_spoilt is is_spoilt
+    assert (reader.response is None) is is_spoilt
 
 
 def test_what_is_no_end_of_a_message_is_counted_in_a_row_alone() -> None:
@@ -107,9 +107,9 @@
 )
 def test_an_answer_that_may_only_be_small_is_spoilt_before_it_is_kept(raw: bytes) -> None:
     reader = ResponseReader(64 << 20)
-    reader.expect(max_body_bytes=64 << 10)
+    reader.expect(most_body=64 << 10)
     reader.feed(raw)
-    assert reader.is_malformed
+    assert reader.is_spoilt
     reader = ResponseReader(64 << 20)
     reader.feed(raw)
-    assert not reader.is_malformed
+    assert not reader.is_spoilt
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -9,7 +9,7 @@
 import pytest
 from loopback import OK, Heard, play, request, soon, stage, until
 
-from micadeck.http.h1 import MAX_BODY_BYTES
+from micadeck.http.h1 import MOST_BODY
 from micadeck.http.listener import DownstreamLimits
 
 
@@ -77,7 +77,7 @@
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
-            body = b"x" * (MAX_BODY_BYTES + 1)
+            body = b"x" * (MOST_BODY + 1)
             client.send(request("lodge", body=body))
             assert (await client.answer()).status == 413
             assert scene.heard == []
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -113,7 +113,7 @@
             assert beside.refresh()
             sidecar._share()
             assert core.for_clients + core.upstream.most == 256 // 2 - _RESERVED
-            assert core.budget.capacity_bytes == 32 * (1 << 20) // 8
+            assert core.budget.most == 32 * (1 << 20) // 8
             await until(lambda: sidecar.frontend.open_connections <= core.for_clients)
         assert beside.refresh()
         sidecar._share()
--- a/tests/test_httpx.py
+++ b/tests/test_httpx.py
@@ -13,7 +13,7 @@
 from test_program import GOOD
 
 from micadeck import Answer, Kind, Micadeck
-from micadeck.http.h1 import MAX_BODY_BYTES
+from micadeck.http.h1 import MOST_BODY
 from micadeck.httpx import AsyncMicadeckTransport, MicadeckTransport
 
 
@@ -80,7 +80,7 @@
                 assert (await client.post("http://x/api/1", content=pieces(7))).status_code == 200
                 assert (await client.post("http://x/api/2", content=pieces(500))).status_code == 413
                 assert sent < 400  # it is not read to its end
-                large = await client.post("http://x/api/3", content=b"x" * (MAX_BODY_BYTES + 1))
+                large = await client.post("http://x/api/3", content=b"x" * (MOST_BODY + 1))
                 assert large.status_code == 413
         (heard,) = server.heard
         assert heard.body == b"x" * 700_000 and heard.headers["content-length"] == "700000"
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -7,7 +7,7 @@
 import pytest
 from loopback import OK, Client, Stage, play, request, soon, stage, until
 
-from micadeck.http.idle_connections import IdleConnections, idle_timeout_s
+from micadeck.http.idle_connections import IdleConnections, rest_for_s
 from micadeck.http.listener import DownstreamLimits
 
 ROOM = 160
@@ -16,9 +16,9 @@
 def _ask_once(resting: IdleConnections[int], numbers: range) -> None:
     """Each comes to rest after one request; what is too many is closed."""
     for number in numbers:
-        resting.add(number, 1, ROOM)
-        for spare in list(resting.eviction_candidates(ROOM))[: resting.excess(ROOM)]:
-            resting.remove(spare)
+        resting.rests(number, 1, ROOM)
+        for spare in list(resting.spare(ROOM))[: resting.too_many(ROOM)]:
+            resting.ends(spare)
 
 
 def test_those_that_never_come_back_keep_a_quarter_of_the_room() -> None:
@@ -26,41 +26,41 @@
     for turn in range(5):  # the witnesses are closed by time, 20 in each turn
         _ask_once(resting, range(turn * 1_000, turn * 1_000 + 400))
         for number in range(turn * 1_000, turn * 1_000 + 400):
-            resting.remove(number)
-    assert resting.single_use_limit(ROOM) == ROOM // 4
+            resting.ends(number)
+    assert resting.most_once(ROOM) == ROOM // 4
 
 
 def test_those_that_come_back_keep_more_and_the_estimate_recovers() -> None:
     resting: IdleConnections[int] = IdleConnections()
     for number in range(800):
-        resting.add(number, 1, ROOM)
-        resting.remove(number)
-    assert resting.reuse_rate < 0.01
+        resting.rests(number, 1, ROOM)
+        resting.ends(number)
+    assert resting.comes_back < 0.01
     for number in range(800):
-        resting.add(number, 1, ROOM)
-        resting.mark_reused(number)
-    assert resting.reuse_rate > 0.99
-    assert resting.single_use_limit(ROOM) >= 0.74 * ROOM
+        resting.rests(number, 1, ROOM)
+        resting.asks(number)
+    assert resting.comes_back > 0.99
+    assert resting.most_once(ROOM) >= 0.74 * ROOM
 
 
 def test_closing_early_teaches_nothing() -> None:
     # Guards against a part that shrinks because it is small: whoever is closed early can't come back.
     resting: IdleConnections[int] = IdleConnections()
-    resting.reuse_rate = 0.5
+    resting.comes_back = 0.5
     _ask_once(resting, range(5_000))  # all but the witnesses are closed
-    assert resting.reuse_rate == 0.5
+    assert resting.comes_back == 0.5
 
 
 def test_one_that_asked_twice_counts_against_nobody() -> None:
     resting: IdleConnections[int] = IdleConnections()
     for number in range(1_000):
-        resting.add(number, 2, ROOM)
-    assert resting.excess(ROOM) == 0 and list(resting.eviction_candidates(ROOM)) == []
+        resting.rests(number, 2, ROOM)
+    assert resting.too_many(ROOM) == 0 and list(resting.spare(ROOM)) == []
 
 
 @pytest.mark.parametrize(("used", "seconds"), [(0, 5.0), (80, 5.0), (120, 3.0), (160, 1.0), (200, 1.0)])
 def test_the_time_to_rest_follows_how_full_the_room_is(used: int, seconds: float) -> None:
-    assert idle_timeout_s(5.0, used, ROOM) == pytest.approx(seconds)
+    assert rest_for_s(5.0, used, ROOM) == pytest.approx(seconds)
 
 
 PATIENT = DownstreamLimits(idle_timeout_s=60.0)  # nothing here is closed by time
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -18,8 +18,8 @@
 import micadeck.library.balancer
 from micadeck import Answer, FailedError, Kind, Micadeck, RefusedError
 from micadeck.config import ConfigError
-from micadeck.http.h1 import MAX_BODY_BYTES
-from micadeck.http.reuse_delay import MIN_REUSE_DELAY_US
+from micadeck.http.h1 import MOST_BODY
+from micadeck.http.reuse_delay import LEAST_REST_US
 from micadeck.library import NotStartedError
 
 GRACE_S = 0.5  # after word of a drain
@@ -101,7 +101,7 @@
                 target,
                 how,
             )
-        assert balancer.call("lodge", "/api/1", body=b"x" * (MAX_BODY_BYTES + 1)).status == 413
+        assert balancer.call("lodge", "/api/1", body=b"x" * (MOST_BODY + 1)).status == 413
         assert balancer.call("check", "/api/1", headers=[("X-Pad", "x" * 17_000)]).status == 431
         assert there.heard() == []
 
@@ -510,6 +510,6 @@
             while not new.heard() and time.monotonic() < deadline:
                 # Each call finds a connection that has rested: none is dialled as the list moves its server,
                 # which refuses the call.
-                time.sleep(1.2 * MIN_REUSE_DELAY_US / 1e6)
+                time.sleep(1.2 * LEAST_REST_US / 1e6)
                 assert balancer.call("check", "/api/2").kind is Kind.SERVED
             assert new.heard() and any(each.startswith("reloaded") for each in lines)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_connection_that_received_unsolicited_than_its_answer_is_not_used_again(late: bool) -> None:
+def test_a_connection_that_brought_more_than_its_answer_is_not_used_again(late: bool) -> None:
     # Guards against a second copy of an answer that the next request would be served with.
     async def work() -> None:
         async def twice(heard: Heard) -> bytes:
