--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -12,9 +12,10 @@
 from micadeck.config import Config
 from micadeck.engine import Engine
 from micadeck.http.body_stream import BufferBudget
-from micadeck.http.listener import DownstreamLimits, HttpListener
+from micadeck.http.connection_limits import DownstreamLimits
+from micadeck.http.listener import HttpListener
 from micadeck.http.upstream import ConnectionPool
-from micadeck.membership.discovery_watcher import DiscoveryWatcher
+from micadeck.membership.discovery_watcher import DiscoveryWatcher, WatchOptions
 from micadeck.memory.budget import MemoryBudget, MemoryUse, PressureLevel
 from micadeck.memory.resident import MB, open_descriptors
 from micadeck.network import Address, Network, format_address
@@ -89,17 +90,10 @@
         self.budget = BufferBudget(config.memory_mb * _PASSED_ON_OF_MEMORY, self.memory)
         self.upstream = ConnectionPool(network, settings, self.budget)
         is_pushed = settings.discovery is DiscoveryMode.PUSHED
+        rules, seed = settings.rules, f"{config.seed} {config.name}"
+        options = WatchOptions(is_pushed, rules.max_poll_interval_us, rules.drain_grace_us, seed)
         self.roster = (
-            DiscoveryWatcher(
-                network,
-                config.discovery,
-                config.known.version,
-                is_pushed,
-                allowed_us=settings.rules.max_poll_interval_us,
-                grace_us=settings.rules.drain_grace_us,
-                seed=f"{config.seed} {config.name}",
-                log=log,
-            )
+            DiscoveryWatcher(network, config.discovery, config.known.version, options, log)
             if config.discovery
             else None
         )
@@ -168,10 +162,11 @@
         """The roster and Consul as one source; without Consul, nothing of it is loaded."""
         if config.consul is None:
             return None
-        from micadeck.membership.sources import EndpointSources
+        from micadeck.membership.sources import DiscoveryState, EndpointSources
 
+        discovery = DiscoveryState(self.roster, config.known)
         return EndpointSources(
-            self.network, self.roster, config.known, config.consul, config.seed, config.name, self._log
+            self.network, discovery, config.consul, f"{config.seed} {config.name}", self._log
         )
 
     async def start(self) -> None:
@@ -190,7 +185,7 @@
         self.config = replace(self.config, settings=settings)
         self.upstream.retune(settings)
         if self.roster is not None:
-            self.roster.allow(settings.rules.max_poll_interval_us, settings.rules.drain_grace_us)
+            self.roster.update_limits(settings.rules.max_poll_interval_us, settings.rules.drain_grace_us)
         self.engine.retune(settings)
 
     def reload(self, config: Config, announce: Callable[[Settings], object] | None = None) -> None:
@@ -211,7 +206,7 @@
             if (getattr(config, key) is None) != (getattr(before, key) is None)
         ]
         if self.roster is not None and config.discovery not in (None, before.discovery):
-            self.roster.move(config.discovery)
+            self.roster.change_address(config.discovery)
         if self.sources is not None and config.consul not in (None, before.consul):
             self.sources.reload(config.consul)
         self.peers.rename(config.peers, config.peers_all)
@@ -236,7 +231,7 @@
         self.for_clients = int(room * _FOR_CLIENTS)
         self.upstream.most = room - self.for_clients
         memory_mb = divide_limit(self.config.memory_mb, self.others)
-        self.budget.most = memory_mb * _PASSED_ON_OF_MEMORY
+        self.budget.max_bytes = memory_mb * _PASSED_ON_OF_MEMORY
         self.memory.set_limit(memory_mb * MB)
 
     def beside(self, others: int) -> None:
@@ -281,10 +276,10 @@
         self._engine = self._core.engine
         if self._core.sources is not None:
             # A list of thousands comes after the start: a collection that looks at all of it takes 50 ms.
-            self._core.sources.settle = gc.freeze
-        client_limits = client_limits or DownstreamLimits(most_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
+            self._core.sources.on_partial_list = gc.freeze
+        client_limits = client_limits or DownstreamLimits(max_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
         self.frontend = HttpListener(config.settings, client_limits, self._engine, network, self._core.budget)
-        self.frontend.most = self._core.for_clients
+        self.frontend.connections.max_connections = self._core.for_clients
         self.frontend.on_settings = self._core.retune
         self._engine.memory = self._core.memory  # a host's own memory is not this library's to ration
         self._core.memory.on_level_change = self._relieve_soon
@@ -359,7 +354,7 @@
         """Take over what a new configuration may change in a running sidecar; name what it may not."""
         self._core.reload(config, self.frontend.announce)
         self._loads += 1
-        self.frontend.most = self._core.for_clients
+        self.frontend.connections.max_connections = self._core.for_clients
         if self.mysql is not None and config.mysql is not None:
             self.mysql.reload(config.mysql)
 
@@ -378,8 +373,8 @@
             self._ids.close(keep_file=ids is not None)
         self._ids = ids
         self._core.beside(self._beside.sibling_count)
-        self.frontend.most = self._core.for_clients
-        self.frontend.trim()
+        self.frontend.connections.max_connections = self._core.for_clients
+        self.frontend.connections.trim()
 
     def turned_down(self) -> None:
         """Count a configuration that can't be used."""
@@ -394,7 +389,7 @@
 
     def count_memory(self) -> None:
         """Book what is not counted with each message."""
-        self.memory.set_charge(MemoryUse.UNSENT, self.frontend.unsent_bytes)
+        self.memory.set_charge(MemoryUse.UNSENT, self.frontend.connections.unsent_bytes)
         self.memory.set_charge(MemoryUse.BODIES, self._core.budget.held)
 
     def _relieve_soon(self, stage: PressureLevel) -> None:
@@ -405,15 +400,13 @@
             self._network.call_soon(self._relieve)
 
     def _relieve(self) -> None:
-        """Free what may be freed, for as long as memory is short: nothing that is owed an answer.
-
-        A part at a time: what is resident is only seen to shrink a moment later.
-        """
-        for _ in range(self.frontend.half_sent // _GIVEN_UP_AT_ONCE + 1):
-            if self.memory.level < PressureLevel.GIVE_UP or not self.frontend.give_up_oldest():
+        """Free a part of what no answer is due to, again and again while memory is short."""
+        connections = self.frontend.connections
+        for _ in range(connections.partial_requests // _GIVEN_UP_AT_ONCE + 1):
+            if self.memory.level < PressureLevel.GIVE_UP or not connections.reject_oldest_partial():
                 break
         if self.memory.level >= PressureLevel.CLOSE_IDLE:
-            self.frontend.close_idle()
+            self.frontend.connections.close_idle()
             self._core.upstream.close_all_idle()
         self._is_relieving = self.memory.level >= PressureLevel.GIVE_UP
         if self._is_relieving:
@@ -434,7 +427,7 @@
     def statistics_report(self) -> bytes:
         engine = self._engine
         counts = RuntimeStatistics(
-            in_progress=engine.in_progress + self.frontend.tails,
+            in_progress=engine.in_progress + self.frontend.connections.trailing_answers,
             known_servers=engine.known_servers,
             skipped_servers=engine.skipped_servers,
             attempts=self._core.upstream.tries,
@@ -478,9 +471,9 @@
         while self.life.is_draining:
             what = self.life.connections_to_close(self._network.time())
             if what is ConnectionsToClose.SAFE_IDLE:
-                self.frontend.close_idle()
+                self.frontend.connections.close_idle()
             elif what is ConnectionsToClose.ALL_IDLE:
-                self.frontend.close_resting()
+                self.frontend.connections.close_unowed()
             await self._network.sleep(_LOOK_AGAIN_S)
 
     # The end
@@ -502,7 +495,7 @@
         second = network.spawn(self.mysql.drain(left_s)) if self.mysql is not None else None
         await network.sleep(max(began + _NEW_FOR_S - network.time(), 0.0))
         closes_by = min(began + KILL_GRACE_S, until)
-        while network.time() < min(frontend.last_opened + _QUIET_S, closes_by):
+        while network.time() < min(frontend.connections.last_opened_at + _QUIET_S, closes_by):
             await network.sleep(_QUIET_S / 2)
         frontend.stop_listening()
         while self._is_needed() and network.time() < until:
@@ -510,15 +503,15 @@
         engine.fail_open_requests()
         if second is not None:
             await second
-        frontend.close_all()
-        while frontend.open_connections and network.time() < until + CLIENT_FLUSH_S:
+        frontend.connections.close_all()
+        while len(frontend.connections) and network.time() < until + CLIENT_FLUSH_S:
             await network.sleep(_LOOK_AGAIN_S)  # until clients have their last answers, and ended their side
         self.close()
 
     def _is_needed(self) -> bool:
         """Whether an answer is owed, or a client may still send a request that would be."""
         frontend = self.frontend
-        return bool(self._engine.owed_answers or frontend.open_connections or frontend.is_accepting)
+        return bool(self._engine.owed_answers or len(frontend.connections) or frontend.is_accepting)
 
     def close(self) -> None:
         for task in (self._leaving, self._watching):
--- a/tests/fleet_stage.py
+++ b/tests/fleet_stage.py
@@ -1,4 +1,4 @@
-"""A fleet on one virtual clock: datagrams late, lost, doubled or cut; members killed, stopped, restarted."""
+"""A fleet on a virtual clock: datagrams delayed, lost, duplicated or cut; members killed or stopped."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from micadeck.fleet import Changed, Fleet, FleetSettings, Keys, Output, State
+from micadeck.fleet import FleetMember, FleetSettings, Keys, MemberChanged, MemberRecord, MemberState, Output
 from micadeck.network import Address
 
 S = 1_000_000
@@ -24,15 +24,15 @@
         self, count: int, seed: int = 1, settings: FleetSettings | None = None, loss: float = 0.0
     ) -> None:
         self.now = 0
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.settings = settings or FleetSettings()
         self.loss = loss
-        self.doubled = 0.0
+        self.duplicated = 0.0
         self.delay_us = (500, 20_000)
         self.cut: Callable[[str, str], bool] = lambda source, target: False
-        self.members: dict[str, Fleet] = {}
+        self.members: dict[str, FleetMember] = {}
         self.stopped: dict[str, list[tuple[Address, bytes]]] = {}
-        self.changes: list[tuple[int, str, Changed]] = []
+        self.changes: list[tuple[int, str, MemberChanged]] = []
         self.events: list[tuple[int, str, object]] = []
         self.sent: Counter[str] = Counter()
         self.bytes = 0
@@ -48,10 +48,10 @@
         number = int(name[1:])
         return f"10.0.{number // 250}.{number % 250 + 1}", 9100
 
-    def start(self, name: str, known: Iterable[str], keys: Keys = KEYS, ahead_us: int = 0) -> Fleet:
-        member = Fleet(
-            name, WALL + self.now + ahead_us, self.address(name), keys,
-            self.chance.getrandbits(32), self.settings, self.now,
+    def start(self, name: str, known: Iterable[str], keys: Keys = KEYS, ahead_us: int = 0) -> FleetMember:
+        member = FleetMember(
+            MemberRecord.of_process(name, WALL + self.now + ahead_us, self.address(name)), keys,
+            self.rng.getrandbits(32), self.settings, self.now,
         )  # fmt: skip
         member.join([self.address(each) for each in known])
         self.members[name] = member
@@ -62,19 +62,19 @@
         del self.members[name]
 
     def leave(self, name: str) -> None:
-        """As SIGTERM: it says so, and ends."""
+        """As SIGTERM: it announces that it leaves, and ends."""
         self.play(name, self.members[name].leave(self.now, WALL + self.now))
         self.kill(name)
 
     def stop(self, name: str) -> None:
-        """As SIGSTOP: what comes waits in its socket."""
+        """As SIGSTOP: datagrams wait in its socket."""
         self.stopped[name] = []
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         waiting = self.stopped.pop(name)
         member = self.members[name]
         for source, data in waiting:
-            self.play(name, member.heard(self.now, WALL + self.now, source, data))
+            self.play(name, member.receive(self.now, WALL + self.now, source, data))
         self._push(self.now, lambda: self._tick(name, member))
 
     def run(self, span_us: int) -> None:
@@ -84,10 +84,10 @@
             call()
         self.now = until
 
-    def _tick(self, name: str, member: Fleet) -> None:
+    def _tick(self, name: str, member: FleetMember) -> None:
         self._ticking.pop(name, None)
         if self.members.get(name) is member and name not in self.stopped:
-            if self.now >= member.due:
+            if self.now >= member.next_due:
                 self.play(name, member.tick(self.now, WALL + self.now))
             self._tick_at(name, member)
 
@@ -96,34 +96,34 @@
             self.stopped[name].append((source, data))
         elif name in self.members:
             member = self.members[name]
-            self.play(name, member.heard(self.now, WALL + self.now, source, data))
+            self.play(name, member.receive(self.now, WALL + self.now, source, data))
             self._tick_at(name, member)
 
     def later(self, wait_us: int, call: Callable[[], object]) -> None:
         self._push(self.now + wait_us, call)
 
-    def until(self, done: Callable[[], bool], within_us: int, look_us: int = 50 * MS) -> int:
-        """Run until it holds; say how long that took."""
+    def until(self, done: Callable[[], bool], within_us: int, check_us: int = 50 * MS) -> int:
+        """Run until the condition holds; return how long that took."""
         began = self.now
         while not done():
-            assert self.now - began < within_us, "it never came to hold"
-            self.run(look_us)
+            assert self.now - began < within_us, "the condition never held"
+            self.run(check_us)
         return self.now - began
 
     def play(self, name: str, output: Output) -> None:
         for event in output.events:
             self.events.append((self.now, name, event))
-            if isinstance(event, Changed):
+            if isinstance(event, MemberChanged):
                 self.changes.append((self.now, name, event))
         for to, data in output.datagrams:
             assert len(data) <= 256
             self.sent[name] += 1
             self.bytes += len(data)
             target = self._name(to)
-            if self.cut(name, target) or self.chance.random() < self.loss:
+            if self.cut(name, target) or self.rng.random() < self.loss:
                 continue
-            for _ in range(1 + (self.chance.random() < self.doubled)):
-                wait = self.chance.randint(*self.delay_us)
+            for _ in range(1 + (self.rng.random() < self.duplicated)):
+                wait = self.rng.randint(*self.delay_us)
                 self._push(self.now + wait, partial(self._arrive, target, self.address(name), data))
 
     @staticmethod
@@ -131,8 +131,8 @@
         _, _, high, low = address[0].split(".")
         return f"n{int(high) * 250 + int(low) - 1}"
 
-    def _tick_at(self, name: str, member: Fleet) -> None:
-        due = max(member.due, self.now)
+    def _tick_at(self, name: str, member: FleetMember) -> None:
+        due = max(member.next_due, self.now)
         known = self._ticking.get(name)
         if known is None or known < self.now or due < known:
             self._ticking[name] = due
@@ -142,16 +142,21 @@
         self._order += 1
         heapq.heappush(self._queue, (at, self._order, call))
 
-    # What is asked of it
+    # Its state
 
     def agree(self, names: Iterable[str] | None = None) -> bool:
-        """Whether these members hold one view: just themselves."""
+        """Whether the tables of these members have exactly themselves."""
         wanted = set(names or self.members)
         return all(
-            {name for name, held in self.members[each].view.members.items() if held.claim.is_there} == wanted
-            and self.members[each].settled
+            {name for name, entry in self.members[each].table.entries.items() if entry.record.is_live}
+            == wanted
+            and self.members[each].is_settled
             for each in wanted
         )
 
-    def said_dead(self) -> list[tuple[int, str, str]]:
-        return [(at, by, each.claim.name) for at, by, each in self.changes if each.claim.state is State.DEAD]
+    def declared_dead(self) -> list[tuple[int, str, str]]:
+        return [
+            (at, by, each.record.name)
+            for at, by, each in self.changes
+            if each.record.state is MemberState.DEAD
+        ]
