--- a/micadeck/network/interfaces.py
+++ b/micadeck/network/interfaces.py
@@ -8,7 +8,7 @@
 from contextlib import AbstractAsyncContextManager
 from typing import Any, Protocol, TypeVar
 
-from micadeck.errors import MicadeckError
+from micadeck.errors import OperatorError
 
 Address = tuple[str, int]
 MAX_PORT = 65_535
@@ -17,12 +17,10 @@
 T = TypeVar("T")
 
 
-class InvalidAddressError(MicadeckError, ValueError):
+class InvalidAddressError(OperatorError, ValueError):
     """A value is no `address:port`; the message says what is needed."""
 
-    def __str__(self) -> str:
-        """Return the message alone: it says what to write."""
-        return str(self.args[0])
+    advice = "Write a numeric address and a port, such as 10.0.0.1:8080 or [fe80::1]:8080."
 
 
 class AddressFormatError(InvalidAddressError):
--- a/micadeck/operations/admin_protocol.py
+++ b/micadeck/operations/admin_protocol.py
@@ -9,7 +9,7 @@
 from enum import Enum, unique
 from typing import Protocol
 
-from micadeck.errors import MicadeckError
+from micadeck.errors import OperatorError
 
 MAX_COMMAND_BYTES = 64  # without the line ending
 _STOPPING_REPLY = b"400 stopping\n"
@@ -41,16 +41,11 @@
         """Accept clients again; return False if the process is stopping."""
 
 
-class BadCommandError(MicadeckError):
+class BadCommandError(OperatorError):
     """The bytes received can't become a command."""
 
     advice = "Send one of READY, STATS, DRAIN and UNDRAIN on a line of its own."
 
-    @property
-    def reason(self) -> str:
-        """The text of the reply, without the advice."""
-        return str(self.args[0])
-
 
 class CommandTooLongError(BadCommandError):
     """The line is longer than any command."""
--- a/micadeck/operations/admin_server.py
+++ b/micadeck/operations/admin_server.py
@@ -91,7 +91,7 @@
         try:
             line = self._reader.feed(data)
         except BadCommandError as error:
-            self._reply(error_reply(error.reason))
+            self._reply(error_reply(str(error)))
         else:
             if line is not None:
                 self._reply(execute(line, self._server.target))
--- a/micadeck/operations/admin_thread.py
+++ b/micadeck/operations/admin_thread.py
@@ -3,7 +3,7 @@
 On a sidecar that is short of CPU, one iteration of its event loop takes over a second, and an admin client
 needs two.  The thread waits for no iteration; the interpreter schedules it within milliseconds.
 
-The thread reads only numbers and copies made in one step, so that a report never shows half of a change.
+The thread reads only numbers and copies made in one step, so that a report never shows an incomplete change.
 Changes of the sidecar's state are carried out on the sidecar's own thread.
 """
 
--- a/micadeck/operations/request_id_registry.py
+++ b/micadeck/operations/request_id_registry.py
@@ -2,7 +2,7 @@
 
 During a hot restart, a client may resend a request to the process that does not have it.  Each process keeps
 a hash table in the file that it holds a lock on (`hot_restart`) and reads its siblings'.  Only the owner
-writes to a table, one slot at a time; a slot is eight bytes, so no reader sees half of one.
+writes to a table, one slot at a time; a slot is eight bytes, so no reader sees an incomplete one.
 
 The table is made of buckets of a few slots, and an id may be in any slot of its bucket: a lookup reads one
 bucket.  A file that can't be read (truncated, of another format, removed) holds nothing.  An id whose bucket
--- a/micadeck/operations/startup_retry.py
+++ b/micadeck/operations/startup_retry.py
@@ -9,7 +9,7 @@
 
 import errno
 
-from micadeck.errors import MicadeckError
+from micadeck.errors import OperatorError
 from micadeck.operations.shutdown_budget import KILL_GRACE_S, MAX_COUNTED_DEADLINE_S
 
 MAX_WAIT_S = 30.0
@@ -31,7 +31,7 @@
 )
 
 
-class StartCancelledError(MicadeckError):
+class StartCancelledError(OperatorError):
     """The process was asked to stop while its startup was waiting; it had accepted nothing."""
 
     advice = "Start it again if the stop was not intended."
