--- a/micadeck/operations/admin_protocol.py
+++ b/micadeck/operations/admin_protocol.py
@@ -46,11 +46,6 @@
 
     advice = "Send one of READY, STATS, DRAIN and UNDRAIN on a line of its own."
 
-    @property
-    def reason(self) -> str:
-        """The text of the reply, without the advice."""
-        return str(self.args[0])
-
 
 class CommandTooLongError(BadCommandError):
     """The line is longer than any command."""
