--- a/micadeck/policy/balancer.py
+++ b/micadeck/policy/balancer.py
@@ -31,10 +31,12 @@
     SettingsChanged,
     TimerFired,
 )
-from micadeck.policy.latency import HANDSHAKE_OBJECTIVE_FRACTION, LatencyEstimates, cost_exponent
+from micadeck.policy.latency import LatencyEstimates, cost_exponent
 from micadeck.policy.open_requests import Attempt, OpenRequest
+from micadeck.policy.outcome_recording import OutcomeRecorder
 from micadeck.policy.outcomes import Outcome
 from micadeck.policy.outlier_detection import OutlierDetector
+from micadeck.policy.overdue_attempts import OverdueDetector
 from micadeck.policy.retry_policy import (
     RetryBudget,
     has_attempts_left,
@@ -50,11 +52,9 @@
 from micadeck.policy.slow_start import SlowStart
 from micadeck.policy.stale_connections import StaleConnectionDetector
 from micadeck.policy.statistics import BalancerStatistics
-from micadeck.policy.timers import DISCOVERY, WHOLE_REQUEST, TimerQueue
+from micadeck.policy.timers import DISCOVERY, NO_ATTEMPT, TimerQueue
 
 ANSWER_MARGIN_TICKS: Final = 2  # a final answer leaves this long before the client's deadline
-SILENCE_MULTIPLE: Final = 2.0  # of the time after which an attempt is overdue: its endpoint is silent
-MIN_SILENCE_OBJECTIVE_FRACTION: Final = 0.5
 
 
 class Balancer:
@@ -86,6 +86,12 @@
         self._selector = EndpointSelector(
             context, self._endpoints, self._concurrency, self._slow_start, self._outliers
         )
+        self._outcomes = OutcomeRecorder(
+            context, self._endpoints, self._concurrency, self._latency, self._outliers
+        )
+        self._overdue = OverdueDetector(
+            context, self._timers, self._concurrency, self._latency, self._outliers
+        )
         self._updates = EndpointUpdates(
             context, self._endpoints, self._polling, self._slow_start, self._outliers
         )
@@ -177,7 +183,7 @@
         )
         request.cost_exponent = cost_exponent(cost)
         self._requests[event.request] = request
-        self._timers.schedule(request.answer_by, event.request, WHOLE_REQUEST)
+        self._timers.schedule(request.answer_by, event.request, NO_ATTEMPT)
         if event.sticky_server is None and self._admission.is_shed(service_class, event.tenant):
             self._finish(request)
         else:
@@ -189,9 +195,10 @@
     def _dispatch(self, request: OpenRequest) -> None:
         """Send the request to the best endpoint, or answer it where nothing is left to try."""
         endpoint = self._selector.choose(request)
-        if endpoint is None or not self._send(request, endpoint):
-            if not request.has_pending_attempt():
-                self._finish(request)
+        if endpoint is not None and self._send(request, endpoint):
+            return
+        if not request.has_pending_attempt():
+            self._finish(request)
 
     def _request_completed(self, event: RequestCompleted) -> None:
         """Count its time from here: no server began it before, however long its transfer took."""
@@ -200,12 +207,12 @@
             return
         request.is_complete = True
         request.answer_by = self._answer_by(event.remaining_us)
-        self._timers.schedule(request.answer_by, request.request_id, WHOLE_REQUEST)
+        self._timers.schedule(request.answer_by, request.request_id, NO_ATTEMPT)
         for attempt in request.attempts:
             if attempt.is_pending:
                 attempt.sent_at = self._context.now
                 self._concurrency.set_transferring(attempt, False)
-                self._schedule_overdue(request, attempt)
+                self._overdue.schedule(request, attempt)
                 deadline = SetAttemptDeadline(request.request_id, attempt.index, request.answer_by)
                 self._context.actions.append(deadline)
 
@@ -246,7 +253,7 @@
         if endpoint.ejected_until is not None and request.sticky_endpoint is None:
             endpoint.probation_attempt = attempt
         if request.is_complete:
-            self._schedule_overdue(request, attempt)
+            self._overdue.schedule(request, attempt)
         else:
             self._concurrency.set_transferring(attempt, True)
         context.actions.append(Send(request.request_id, endpoint.name, request.answer_by, write_by))
@@ -263,9 +270,9 @@
             return False  # rule 2
         if not may_run_again(request, now, settings) or not is_in_deduplication_scope(request, endpoint):
             return False  # rule 2
-        if endpoint.state is not ServerState.READY:
-            if not may_finish_session(request, endpoint, now, settings.rules):
-                return False  # rule 3: as soon as it is known, without use of the grace period
+        is_ready = endpoint.state is ServerState.READY
+        if not is_ready and not may_finish_session(request, endpoint, now, settings.rules):
+            return False  # rule 3: as soon as it is known, without use of the grace period
         return self._slow_start.has_budget(endpoint, request.relative_cost)  # rule 4
 
     # The one way out for a final answer
@@ -285,10 +292,10 @@
     def _close(self, request: OpenRequest) -> None:
         """Mark the request as answered and cancel its pending attempts where that is permitted."""
         request.is_answered = True
+        may_cancel = self._context.settings.limits.may_cancel
         for attempt in request.attempts:
-            if attempt.is_pending and not attempt.response_started:
-                if self._context.settings.limits.may_cancel:
-                    self._context.actions.append(Cancel(request.request_id, attempt.index))
+            if may_cancel and attempt.is_pending and not attempt.response_started:
+                self._context.actions.append(Cancel(request.request_id, attempt.index))
         self._forget_if_over(request)
 
     def _forget_if_over(self, request: OpenRequest) -> None:
@@ -304,11 +311,7 @@
         attempt = request.attempts[event.attempt]
         if not attempt.is_pending:
             return
-        self._release(attempt, event.outcome)
-        objective = request.service_class.latency_objective_us
-        is_late_cancel = event.outcome is Outcome.CANCELLED and event.elapsed_us >= objective
-        self._outliers.record_outcome(attempt, Outcome.TIMED_OUT if is_late_cancel else event.outcome)
-        self._learn(request, attempt, event)
+        self._outcomes.record(request, attempt, event)
         if event.answered:
             if not request.is_answered:
                 self._close(request)
@@ -321,52 +324,6 @@
         self._forget_if_over(request)
         self._endpoints.forget_if_removed(attempt.endpoint)
 
-    def _release(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Count the attempt as ended, and its connection as closed where the outcome shows that."""
-        endpoint = attempt.endpoint
-        attempt.is_pending = False
-        if attempt.is_transferring:
-            self._concurrency.set_transferring(attempt, False)
-        attempt.may_have_run = not self._context.settings.rules.never_ran(outcome)
-        endpoint.in_flight -= 1
-        if outcome not in (Outcome.DELIVERED, Outcome.FULL, Outcome.REJECTED):
-            endpoint.connections = max(endpoint.connections - 1, endpoint.in_flight)
-        self._concurrency.attempt_ended(attempt)
-        self._endpoints.close_idle_if_leaving(endpoint)
-
-    def _learn(self, request: OpenRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Take the outcome into the estimates of load, latency and capacity."""
-        endpoint = attempt.endpoint
-        outcome = event.outcome
-        if event.report and "util" in event.report:
-            self._concurrency.record_utilization(min(max(event.report["util"], 0.0), 1.0))
-        if outcome is Outcome.DELIVERED:
-            endpoint.full_backoffs.pop(request.service_class.name, None)
-            self._learn_from_response(request, attempt, event.elapsed_us)
-        elif outcome is Outcome.FULL:
-            self._selector.record_full(endpoint, request.service_class.name)
-        elif outcome is Outcome.ERROR:
-            self._latency.record_error(endpoint, request)
-        elif outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
-            self._concurrency.attempt_abandoned(attempt, event.elapsed_us)
-            self._latency.record_abandoned(endpoint, request, event.elapsed_us)
-
-    def _learn_from_response(self, request: OpenRequest, attempt: Attempt, elapsed_us: int) -> None:
-        """Learn from the latency of a response, less what a handshake takes.
-
-        After a start, or when servers are replaced, most connections are new, and their first responses are
-        as late as those of an overloaded server.  What is late even so does count.
-        """
-        objective = request.service_class.latency_objective_us
-        self._concurrency.record_answer(objective)
-        is_new = attempt.opens_connection
-        fraction = elapsed_us / objective - HANDSHAKE_OBJECTIVE_FRACTION * is_new
-        if not is_new:
-            self._latency.record_response(attempt.endpoint, request, elapsed_us)
-        if not attempt.is_overload_recorded:
-            if not is_new or fraction > self._concurrency.objective_fraction:
-                self._concurrency.record_latency(fraction)
-
     def _retry_or_finish(self, request: OpenRequest, attempt: Attempt, event: AttemptEnded) -> None:
         """Send a request whose attempt failed to another endpoint, or answer it."""
         settings = self._context.settings
@@ -387,50 +344,6 @@
         if is_full and request.is_answered:
             self._concurrency.record_overload()  # all servers are full, not one
 
-    # Overdue attempts
-
-    def _schedule_overdue(self, request: OpenRequest, attempt: Attempt) -> None:
-        due = self._context.now + self._latency.overdue_after_us(request, attempt)
-        self._timers.schedule(due, request.request_id, attempt.index)
-
-    def _attempt_overdue(self, request: OpenRequest, attempt: Attempt) -> None:
-        """Handle an attempt that takes far longer than usual.
-
-        It finds servers that take requests and answer nothing, long before timeouts would.  A server that
-        answered anything since is slow, not silent; if others are as silent, all are overloaded.
-        """
-        endpoint = attempt.endpoint
-        self._record_lateness(request, attempt)
-        is_silent = endpoint.last_answer_at <= attempt.sent_at
-        if not is_silent:
-            return
-        silence = max(
-            SILENCE_MULTIPLE * self._latency.overdue_after_us(request, attempt),
-            MIN_SILENCE_OBJECTIVE_FRACTION * request.service_class.latency_objective_us,
-        )
-        if self._context.now - attempt.sent_at < silence:
-            self._timers.schedule(attempt.sent_at + int(silence), request.request_id, attempt.index)
-        else:
-            self._outliers.record_silence(attempt)
-        if endpoint.ejected_until is not None or attempt.suspects_stale_connection:
-            self._replace_silent_attempt(request, attempt)
-
-    def _record_lateness(self, request: OpenRequest, attempt: Attempt) -> None:
-        """Count a late attempt as overload before its response comes, which would show a surge too late."""
-        objective = request.service_class.latency_objective_us
-        late_after = int(objective * (1.0 + HANDSHAKE_OBJECTIVE_FRACTION * attempt.opens_connection))
-        if self._context.now - attempt.sent_at < late_after:
-            self._timers.schedule(attempt.sent_at + late_after, request.request_id, attempt.index)
-        elif (
-            not attempt.is_overload_recorded
-            and attempt.endpoint.ejected_until is None
-            and not attempt.suspects_stale_connection
-        ):
-            attempt.is_overload_recorded = True
-            if self._concurrency.utilization is not None:
-                self._concurrency.record_utilization(1.0)  # late responses bring no report
-            self._concurrency.record_overload()
-
     def _replace_silent_attempt(self, request: OpenRequest, attempt: Attempt) -> None:
         """Hedge the request, or cancel its attempt for a retry, where that is permitted."""
         context = self._context
@@ -457,15 +370,19 @@
                 self._polling.poll_if_due()
                 continue
             request = self._requests.get(request_id)
-            if request is None or request.is_answered:
-                continue
-            if any(each.response_started for each in request.attempts):
-                continue
-            if index == WHOLE_REQUEST:
-                if self._context.now >= request.answer_by:
-                    self._finish(request)
-            elif request.attempts[index].is_pending:
-                self._attempt_overdue(request, request.attempts[index])
+            if request is not None and not request.is_answered:
+                self._request_timer_due(request, index)
+
+    def _request_timer_due(self, request: OpenRequest, index: int) -> None:
+        if any(each.response_started for each in request.attempts):
+            return
+        if index == NO_ATTEMPT:
+            if self._context.now >= request.answer_by:
+                self._finish(request)
+            return
+        attempt = request.attempts[index]
+        if attempt.is_pending and self._overdue.check(request, attempt):
+            self._replace_silent_attempt(request, attempt)
 
     def _arm_timer(self) -> None:
         entries = self._timers.entries
@@ -480,4 +397,4 @@
         request = self._requests.get(request_id)
         if request is None or request.is_answered:
             return True
-        return index != WHOLE_REQUEST and not request.attempts[index].is_pending
+        return index != NO_ATTEMPT and not request.attempts[index].is_pending
--- a/micadeck/policy/concurrency_limit.py
+++ b/micadeck/policy/concurrency_limit.py
@@ -110,7 +110,7 @@
         while self.abandoned_until and self.abandoned_until[0] <= self._context.now:
             heapq.heappop(self.abandoned_until)
         load = self.pending_attempts - self._at_ejected - self.transferring_attempts
-        return int(min(len(self.abandoned_until), UNRESTRICTED_FILL * self.limit)) + (load if load > 0 else 0)
+        return int(min(len(self.abandoned_until), UNRESTRICTED_FILL * self.limit)) + max(load, 0)
 
     def update_mean_load(self) -> None:
         """Follow the load; to be called at every event."""
--- a/micadeck/policy/decaying_rate.py
+++ b/micadeck/policy/decaying_rate.py
@@ -1,4 +1,4 @@
-"""A rate over time, by a fading count.  It decides nothing."""
+"""A rate over time, by an exponentially decaying count.  It decides nothing."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 
 class DecayingRate:
-    """A rate over a sliding span of time: an exponentially fading count."""
+    """A rate over a sliding span of time: an exponentially decaying count."""
 
     __slots__ = ("_at", "_count", "span_us")
 
     def __init__(self, span_us: float) -> None:
+        """Start from 0, to be averaged over this span."""
         self.span_us = span_us
         self._count = 0.0
         self._at = 0
@@ -21,13 +22,15 @@
         self.span_us = span_us
 
     def add(self, now: int, amount: float) -> None:
-        # The fading stands here and below: a call of its own would double the cost of the commonest one.
+        """Count this amount at time `now`, in microseconds."""
+        # The decay stands here and below: a call of its own would double the cost of the commonest one.
         if now > self._at:
             self._count *= math.exp((self._at - now) / self.span_us)
             self._at = now
         self._count += amount
 
     def per_us(self, now: int) -> float:
+        """Return the rate per microsecond at time `now`."""
         if now > self._at:
             self._count *= math.exp((self._at - now) / self.span_us)
             self._at = now
--- a/micadeck/policy/discovery_polling.py
+++ b/micadeck/policy/discovery_polling.py
@@ -7,7 +7,7 @@
 from micadeck.policy.actions import WatchEndpoints
 from micadeck.policy.context import DecisionContext
 from micadeck.policy.settings import NOTIFICATION_DEADLINE_US, DiscoveryMode
-from micadeck.policy.timers import DISCOVERY, WHOLE_REQUEST, TimerQueue
+from micadeck.policy.timers import DISCOVERY, NO_ATTEMPT, TimerQueue
 
 FIRST_BACKOFF_FRACTION: Final = 0.02  # of the longest permitted poll interval
 MAX_BACKOFF_FRACTION: Final = (
@@ -67,4 +67,4 @@
     def _poll_after(self, wait_us: float) -> None:
         """Replace the planned poll; at least one tick later, or polling would never pause."""
         self._next_poll = self._context.now + max(int(wait_us), self._context.settings.tick_us)
-        self._timers.schedule(self._next_poll, DISCOVERY, WHOLE_REQUEST)
+        self._timers.schedule(self._next_poll, DISCOVERY, NO_ATTEMPT)
--- a/micadeck/policy/endpoints.py
+++ b/micadeck/policy/endpoints.py
@@ -13,8 +13,8 @@
 from micadeck.policy.events import ServerState
 
 if TYPE_CHECKING:
+    from micadeck.policy.full_backoff import FullBackoff
     from micadeck.policy.open_requests import Attempt
-    from micadeck.policy.selection import FullBackoff
 
 MIN_SUBSET_SIZE: Final = 4.0  # endpoints of an idle balancer
 SUBSET_PER_REQUEST_IN_FLIGHT: Final = 1.0  # further endpoints, since as many again may be empty
--- a/micadeck/policy/outlier_detection.py
+++ b/micadeck/policy/outlier_detection.py
@@ -38,7 +38,7 @@
 MAX_EJECTED_FRACTION: Final = 0.6  # of the list: the rest must bear the load
 MAX_SILENT_FRACTION: Final = 0.34  # more silent endpoints are overload
 MIN_ENDPOINTS_LEFT: Final = 4  # by ejections of endpoints where nobody listens
-MIN_ANSWERS_BY_OTHERS: Final = 4  # since an attempt was sent, that make the silence its endpoint's own
+MIN_ANSWERS_SINCE_SENT: Final = 4  # of all endpoints: fewer show no difference between them
 
 
 class OutlierDetector:
@@ -167,7 +167,7 @@
         """Eject an endpoint that has not answered an overdue attempt, while the others answer theirs."""
         if attempt.endpoint.ejected_until is not None:
             return
-        if self.answers - attempt.answers_before < MIN_ANSWERS_BY_OTHERS:
+        if self.answers - attempt.answers_before < MIN_ANSWERS_SINCE_SENT:
             return
         if not self._stale_connections.record_silence(attempt):
             self.eject(attempt.endpoint, SILENT_REASON, MAX_SILENT_FRACTION)
@@ -232,7 +232,9 @@
             return None
         for endpoint in self._endpoints.ejected:
             is_due = endpoint.ejected_until is not None and self._context.now >= endpoint.ejected_until
-            if is_due and endpoint.state is ServerState.READY and endpoint.probation_attempt is None:
-                if self._slow_start.has_budget(endpoint, request.relative_cost):
-                    return endpoint
+            if not is_due or endpoint.state is not ServerState.READY:
+                continue
+            is_free = endpoint.probation_attempt is None
+            if is_free and self._slow_start.has_budget(endpoint, request.relative_cost):
+                return endpoint
         return None
--- a/micadeck/policy/retry_policy.py
+++ b/micadeck/policy/retry_policy.py
@@ -108,9 +108,9 @@
     service_class = request.service_class
     if service_class.idempotency is Idempotency.IDEMPOTENT:
         return True
-    if service_class.idempotency is Idempotency.KEYED:
-        if service_class.deduplication_scope is DeduplicationScope.ALL:
-            return True
+    is_keyed = service_class.idempotency is Idempotency.KEYED
+    if is_keyed and service_class.deduplication_scope is DeduplicationScope.ALL:
+        return True
     return _first_that_may_have_run(request) is None
 
 
--- a/micadeck/policy/selection.py
+++ b/micadeck/policy/selection.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
 from typing import Final
 
 from micadeck.policy.concurrency_limit import ConcurrencyLimit
 from micadeck.policy.context import DecisionContext
 from micadeck.policy.endpoints import Endpoint, EndpointRegistry, subset_size
+from micadeck.policy.full_backoff import is_backing_off
 from micadeck.policy.latency import MAX_RELATIVE_LATENCY
 from micadeck.policy.locality import LocalityWeights
 from micadeck.policy.open_requests import OpenRequest
@@ -18,23 +18,13 @@
 
 CANDIDATES: Final = 4  # k: counts are mostly small here, where two candidates find too little
 MAX_LATENCY_EXPONENT: Final = 3.0  # for requests of four times the mean cost or more
-FIRST_BACKOFF_OBJECTIVES: Final = 0.5  # longest objectives after a full response; doubles with each in a row
-MAX_BACKOFF_OBJECTIVES: Final = 4.0
-
-
-@dataclass(slots=True, eq=False)
-class FullBackoff:
-    """The pause of one class at an endpoint that was full for it."""
-
-    objectives: float = 0.0  # length of the pause, in longest objectives
-    until: int = 0
 
 
 class EndpointSelector:
     """Decides which endpoint an attempt goes to, from load, latency, locality and earlier attempts.
 
-    Owns nothing but the pauses after full responses, which are kept with the endpoints.  It only proposes:
-    the rules are enforced where attempts are sent.
+    Owns no state but that of its locality weights.  It only proposes: the rules are enforced where attempts
+    are sent.
     """
 
     def __init__(
@@ -91,7 +81,7 @@
         for each in self._endpoints.ready:
             if not self._is_eligible(each, request):
                 continue
-            if self._is_backing_off(each, request.service_class.name):
+            if is_backing_off(self._context, each, request.service_class.name):
                 backing_off.append(each)
                 continue
             if each.zone == zone:
@@ -133,7 +123,7 @@
 
     def draw(self, pool: list[Endpoint], weights: list[float], count: int) -> list[Endpoint]:
         """Draw distinct endpoints by weight; in random order, so that ties are broken by chance."""
-        drawn = []
+        chosen = []
         left = list(range(len(pool)))
         total = sum(weights)
         for _ in range(min(count, len(pool))):
@@ -144,8 +134,8 @@
                 at += 1
             index = left.pop(at)
             total -= weights[index]
-            drawn.append(pool[index])
-        return drawn
+            chosen.append(pool[index])
+        return chosen
 
     def requests_at(self, endpoint: Endpoint) -> int:
         """Return the own requests in flight at an endpoint, abandoned ones included.
@@ -157,17 +147,3 @@
             now = self._context.now
             endpoint.abandoned_until = [until for until in endpoint.abandoned_until if until > now]
         return endpoint.in_flight - endpoint.transferring + len(endpoint.abandoned_until)
-
-    def _is_backing_off(self, endpoint: Endpoint, service_class: str) -> bool:
-        backoff = endpoint.full_backoffs.get(service_class)
-        return backoff is not None and self._context.now < backoff.until
-
-    def record_full(self, endpoint: Endpoint, service_class: str) -> None:
-        """Keep a class off an endpoint that was full for it, as long as there are others.
-
-        Some servers reject one class or tenant while they have capacity for the rest.
-        """
-        backoff = endpoint.full_backoffs.setdefault(service_class, FullBackoff())
-        doubled = min(2.0 * backoff.objectives, MAX_BACKOFF_OBJECTIVES)
-        backoff.objectives = doubled if backoff.objectives else FIRST_BACKOFF_OBJECTIVES
-        backoff.until = self._context.jittered_time_after(backoff.objectives)
--- a/micadeck/policy/timers.py
+++ b/micadeck/policy/timers.py
@@ -11,7 +11,7 @@
 TimerEntry = tuple[int, int, int, int]
 """Due time in microseconds, order of scheduling, request, attempt."""
 
-WHOLE_REQUEST: Final = -1  # in place of an attempt: the entry concerns the request itself
+NO_ATTEMPT: Final = -1  # the entry concerns no single attempt
 DISCOVERY: Final = -1  # in place of a request, whose numbers are never negative: the next poll of discovery
 TIMER_TOKEN: Final = "agenda"
 
