--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -136,7 +136,7 @@
 
     def statistics(self) -> BalancerStatistics:
         """The statistics of the decisions."""
-        return self._policy.figures()
+        return self._policy.statistics()
 
     def wrap_balancer(self, wrap: Callable[[Balancer], Balancer]) -> None:
         """Put something round the decisions that gets their events; before `start`."""
--- a/micadeck/http/request_validation.py
+++ b/micadeck/http/request_validation.py
@@ -142,7 +142,7 @@
     else:
         repeat = Idempotency.IDEMPOTENT if request.method == b"GET" else Idempotency.NON_IDEMPOTENT
     service_class = versions.classes.get(class_name)
-    if service_class is not None and service_class.repeat is repeat:
+    if service_class is not None and service_class.idempotency is repeat:
         return service_class, False
     found = versions.find(class_name, repeat, now_us)
     if found is None:
@@ -162,11 +162,11 @@
 def _check_form(request: Request, own: Mapping[bytes, bytes], service_class: ServiceClass) -> None:
     """Check that method, key and target go with the class."""
     is_get = request.method == b"GET"
-    is_idempotent = service_class.repeat is Idempotency.IDEMPOTENT
+    is_idempotent = service_class.idempotency is Idempotency.IDEMPOTENT
     if request.method not in (b"GET", b"POST") or is_get != is_idempotent:
         raise BadRequestError("the method is not that of the class")
     key = own.get(b"idempotency-key")
-    if (key is not None) != (service_class.repeat is Idempotency.KEYED) or key == b"":
+    if (key is not None) != (service_class.idempotency is Idempotency.KEYED) or key == b"":
         raise BadRequestError("idempotency-key does not go with the class")
     if not request.target.startswith(b"/"):
         raise BadRequestError("the target is no path")
--- a/micadeck/http/settings_versions.py
+++ b/micadeck/http/settings_versions.py
@@ -67,15 +67,15 @@
         for whoever reports the error.
         """
         service_class = self.classes.get(name)
-        if service_class is not None and service_class.repeat is repeat:
+        if service_class is not None and service_class.idempotency is repeat:
             return service_class, False
         if self._next is not None:
             upcoming = next((each for each in self._next.classes if each.name == name), None)
-            if upcoming is not None and upcoming.repeat is repeat:
+            if upcoming is not None and upcoming.idempotency is repeat:
                 self._advance(now_us)
                 return upcoming, False
         if self._previous and now_us < self._previous_until:
             previous = self._previous.get(name)
-            if previous is not None and previous.repeat is repeat:
+            if previous is not None and previous.idempotency is repeat:
                 return previous, True
         return None if service_class is None else (service_class, False)
--- a/micadeck/httpx.py
+++ b/micadeck/httpx.py
@@ -37,7 +37,7 @@
         self._default_class = service_class
         self._deadlines_s = {each.name: each.deadline_us / 1e6 for each in classes}
         self._classes_by_idempotency = {
-            idempotency: [each.name for each in classes if each.repeat is idempotency]
+            idempotency: [each.name for each in classes if each.idempotency is idempotency]
             for idempotency in Idempotency
         }
 
--- a/micadeck/library/request_validation.py
+++ b/micadeck/library/request_validation.py
@@ -179,7 +179,7 @@
 
 
 def _method_of(service_class: ServiceClass) -> bytes:
-    return b"GET" if service_class.repeat is Idempotency.IDEMPOTENT else b"POST"
+    return b"GET" if service_class.idempotency is Idempotency.IDEMPOTENT else b"POST"
 
 
 def _to_bytes(text: str) -> bytes:
@@ -196,7 +196,7 @@
         or options.client_retry
         or len(options.body) > MAX_BODY_BYTES
         or len(options.target) > _FAST_PATH_MAX_TARGET
-        or has_key != (service_class.repeat is Idempotency.KEYED)
+        or has_key != (service_class.idempotency is Idempotency.KEYED)
         or not (timeout_s is None or _FAST_PATH_MIN_TIMEOUT_S <= timeout_s <= _FAST_PATH_MAX_TIMEOUT_S)
         or not _FAST_PATH_TARGET.fullmatch(options.target)
     ):
@@ -223,7 +223,7 @@
         headers.append((b"tenant", options.tenant.encode()))
     if options.idempotency_key is not None:
         headers.append((b"idempotency-key", options.idempotency_key.encode()))
-    is_write = service_class.repeat is not Idempotency.IDEMPOTENT
+    is_write = service_class.idempotency is not Idempotency.IDEMPOTENT
     if options.body or is_write:
         headers.append((b"content-length", b"%d" % len(options.body)))
     remaining_us = service_class.deadline_us
--- a/micadeck/membership/watch_health.py
+++ b/micadeck/membership/watch_health.py
@@ -28,11 +28,13 @@
 import random
 from dataclasses import dataclass, replace
 
-from micadeck.policy.balancer import ASK_AGAIN_TOLD
+from micadeck.policy.discovery_polling import MAX_BACKOFF_NOTIFICATION_FRACTION
 from micadeck.policy.settings import NOTIFICATION_DEADLINE_US
 
 NOTIFICATION_DEADLINE_S = NOTIFICATION_DEADLINE_US / 1e6
-MAX_RETRY_WAIT_S = ASK_AGAIN_TOLD * NOTIFICATION_DEADLINE_S  # the longest backoff after a failed call
+MAX_RETRY_WAIT_S = (
+    MAX_BACKOFF_NOTIFICATION_FRACTION * NOTIFICATION_DEADLINE_S
+)  # the longest backoff after a failed call
 DIAL_TIMEOUT_S = 1.0
 MAX_CALL_GAP_S = 3.2
 RESPONSE_TIME_S = 1.5
--- a/micadeck/policy/compiled.py
+++ b/micadeck/policy/compiled.py
@@ -14,15 +14,31 @@
 
 MODULES = (
     "actions",
+    "admission",
     "balancer",
+    "concurrency_limit",
+    "context",
     "decaying_rate",
+    "discovery_polling",
+    "endpoint_updates",
+    "endpoints",
     "events",
+    "full_backoff",
+    "latency",
+    "locality",
+    "open_requests",
+    "outcome_recording",
     "outcomes",
+    "outlier_detection",
+    "overdue_attempts",
+    "retry_policy",
+    "selection",
     "settings",
     "settings_reader",
     "slow_start",
+    "stale_connections",
     "statistics",
-    "traffic",
+    "timers",
 )
 ROOT = Path(__file__).parent
 PACKAGE_PATH = Path("micadeck", "policy")
