--- a/micadeck/daemon.py
+++ b/micadeck/daemon.py
@@ -49,10 +49,7 @@
     on_loop_running()
     network = LoopNetwork()
     log = RateLimitedLog(network.time)
-    loop = asyncio.get_running_loop()
-    loop.set_exception_handler(
-        lambda _, context: log(f"internal error: {context['message']}: {context.get('exception')!r}")
-    )
+    loop = _running_loop(log)
     if signals.ended_at is not None:
         _log_cancelled_start(signals, log)
         return
@@ -84,6 +81,15 @@
     signals.ignore()
 
 
+def _running_loop(log: RateLimitedLog) -> asyncio.AbstractEventLoop:
+    """The event loop, set to log exceptions that nothing handles."""
+    loop = asyncio.get_running_loop()
+    loop.set_exception_handler(
+        lambda _, context: log(f"internal error: {context['message']}: {context.get('exception')!r}")
+    )
+    return loop
+
+
 def _log_start(sidecar: Sidecar, config: Config, log: RateLimitedLog) -> None:
     admin = ""
     if sidecar.admin is not None and config.operator is not None:
