--- a/micadeck/policy/actions.py
+++ b/micadeck/policy/actions.py
@@ -1,6 +1,6 @@
-"""The actions that a balancer asks for, in the order in which they are to be carried out.
+"""The actions that a balancer returns, in the order in which they are to be carried out.
 
-Times are whole microseconds.  Actions are plain slotted dataclasses; treat them as values.
+Times are integers, in microseconds.  Actions are plain slotted dataclasses; treat them as values.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
     request: int
     server: str
     until: int  # clock time at which the attempt is abandoned
-    write_by: int | None = None  # its last byte is written by then or never; None: any time
+    write_by: int | None = None  # no byte of it may be written later; None: any time
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused; trying again is harmless."""
+    """Final answer: rejected; sending the request again is safe."""
 
     request: int
     retry_after_us: int = 0
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; nothing is promised."""
+    """Final answer: failed; the request may have run."""
 
     request: int
 
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class SetAttemptDeadline:
-    """Abandon an attempt that is out at another time than its Send said."""
+    """Replace the time at which a pending attempt is abandoned."""
 
     request: int
     attempt: int
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired."""
+    """Deliver a TimerFired after this time."""
 
     in_us: int
     token: str
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Test a server."""
+    """Send a health check to a server."""
 
     server: str
 
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send a message to one balancer of the tier, or to all (None)."""
+    """Send a message to one peer, or to all (None)."""
 
     receiver: int | None
     payload: bytes
@@ -82,19 +82,19 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the server list, or end that."""
+    """Subscribe to changes of the server list, or unsubscribe."""
 
     wanted: bool = True
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Ask once for the complete server list."""
+    """Fetch the complete server list once."""
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line for the operators."""
 
     text: str
 
--- a/micadeck/policy/compiled.py
+++ b/micadeck/policy/compiled.py
@@ -1,7 +1,7 @@
-"""Where the compiled form of the decisions lies, if the build made one of exactly these sources.
+"""Finds the compiled form of the decisions, if the build made one of exactly these sources.
 
 `deploy/compile.py` puts it into a folder named by a digest of the sources and of the interpreter, so that
-what was compiled of other sources is never loaded: then the decisions run interpreted, a third dearer.
+what was compiled from other sources is never loaded.  Without it the decisions run interpreted, and slower.
 """
 
 from __future__ import annotations
@@ -42,23 +42,33 @@
 )
 ROOT = Path(__file__).parent
 PACKAGE_PATH = Path("micadeck", "policy")
-"""Where the compiled modules lie below the folder of one build."""
+"""The package of the compiled modules, below the folder of one build."""
 
 _INTERPRETED_VARIABLES = ("MICADECK_INTERPRETED", "MAGPIEMUX_INTERPRETED")  # the second: the former name
 
 
 def folder() -> Path:
-    """Where it belongs, whether it is there or not; raise OSError if the sources can't be read."""
+    """Return the folder of the compiled form, whether it exists or not.
+
+    Raises:
+        OSError: The sources cannot be read.
+    """
     digest = hashlib.blake2b(sysconfig.get_config_var("SOABI").encode(), digest_size=12)
     for name in MODULES:
         digest.update((ROOT / f"{name}.py").read_bytes())
     return ROOT.parent.parent / ".compiled" / digest.hexdigest()
 
 
-def take_up(paths: list[str]) -> bool:
-    """Put it before the sources on a package's `__path__`, if it is there; say whether it was.
+def use_if_built(paths: list[str]) -> bool:
+    """Put the compiled form before the sources on a package's `__path__`, if it exists.
+
+    `MICADECK_INTERPRETED` in the environment prevents that: tests replace parts of the sources.
+
+    Args:
+        paths: The `__path__` of the package.
 
-    `MICADECK_INTERPRETED` in the environment keeps to the sources: tests replace parts of them.
+    Returns:
+        Whether the compiled form is used.
     """
     if any(os.environ.get(name) for name in _INTERPRETED_VARIABLES):
         return False
--- a/micadeck/policy/events.py
+++ b/micadeck/policy/events.py
@@ -1,6 +1,6 @@
-"""The events that a balancer hears of.
+"""The events that a balancer handles.
 
-Times are whole microseconds.  Events are plain slotted dataclasses; treat them as values.
+Times are integers, in microseconds.  Events are plain slotted dataclasses; treat them as values.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @unique
 class ServerState(Enum):
-    """What the server list says of a server."""
+    """The state that the server list gives a server."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -27,14 +27,14 @@
     """How a server list is to be read."""
 
     CHANGES = "changes"  # changed entries only
-    COMPLETE = "complete"  # who is missing is gone
-    REMEMBERED = "remembered"  # complete, but as last held before a restart
+    COMPLETE = "complete"  # a server that is missing is removed
+    REMEMBERED = "remembered"  # complete, but as cached before a restart
     FAILED = "failed"  # a call failed or the subscription broke; nothing changes
 
 
 @dataclass(slots=True)
 class ListedServer:
-    """A line of the server list."""
+    """An entry of the server list."""
 
     server: str
     zone: str = ""
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class ServersListed:
-    """The server list was heard, or a call for it failed."""
+    """The server list was received, or a call for it failed."""
 
     kind: ListKind
     servers: Sequence[ListedServer] = ()
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; one final answer is owed from here on."""
+    """A client's request arrived; it must get exactly one final answer."""
 
     request: int
     service_class: str
@@ -66,14 +66,14 @@
     cost_us: int | None = None  # a hint of the work, where the client gave one
     client_retry: bool = False
     write: bool = False
-    sticky_server: str | None = None  # the one server that can serve it, which holds its session
-    kind: ServiceClass | None = None  # None: the class of that name that is in force
-    is_complete: bool = True  # False: its last byte has not come; RequestCompleted follows
+    sticky_server: str | None = None  # session affinity: the one server that can serve it
+    kind: ServiceClass | None = None  # None: the class of that name in the settings in force
+    is_complete: bool = True  # False: its last byte was not received yet; RequestCompleted follows
 
 
 @dataclass(slots=True)
 class RequestCompleted:
-    """The last byte of a request came that was taken before; its time counts from here."""
+    """The last byte of an earlier request was received; its time counts from here."""
 
     request: int
     remaining_us: int
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class AnswerStarted:
-    """The streamed answer of an attempt has begun; the attempt now belongs to the client."""
+    """The response of an attempt has started, and is streamed to the client."""
 
     request: int
     attempt: int
@@ -100,12 +100,12 @@
     elapsed_us: int
     answered: bool
     report: Mapping[str, float] | None = None
-    can_retry: bool = True  # False: a part of the request is not kept, so it can be sent to nobody else
+    can_retry: bool = True  # False: a part of the request is not buffered, so it cannot be sent again
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client went away; nothing is owed any more."""
+    """The client disconnected; the request needs no answer any more."""
 
     request: int
 
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """A probe came back."""
+    """A health check ended."""
 
     server: str
     outcome: Outcome
@@ -131,7 +131,7 @@
 class SettingsChanged:
     """Other settings are in force from here on; open requests keep the class that they came with.
 
-    What the instance was told once and for all stays: its zone, its number, and how discovery is asked.
+    The zone and number of the instance and the discovery mode never change.
     """
 
     settings: Settings
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """A message from another balancer of the tier."""
+    """A message from a peer arrived."""
 
     sender: int
     payload: bytes
--- a/micadeck/policy/outcomes.py
+++ b/micadeck/policy/outcomes.py
@@ -14,9 +14,9 @@
     FULL = "full"
     TIMED_OUT = "expired"
     CONNECT_FAILED = "dial_failed"
-    CONNECTION_REFUSED = "turned_down"  # nobody listens there, and the dial was told so at once
+    CONNECTION_REFUSED = "turned_down"  # nobody listens there
     CONNECTION_LOST = "dropped"
     CANCELLED = "cancelled"
     NOT_SENT = "unsent"
-    MALFORMED = "spoilt"  # an answer came that can't be used; nothing is said of the server's health
-    REJECTED = "rejected"  # the server is well and found fault with the request
+    MALFORMED = "spoilt"  # an unusable response, which says nothing of the server's health
+    REJECTED = "rejected"  # the server is healthy and refused the request as faulty
--- a/micadeck/policy/settings.py
+++ b/micadeck/policy/settings.py
@@ -1,7 +1,7 @@
 """The settings of one balancer.
 
-Times are whole microseconds.  Settings carry what a decision, or the program around the balancer, can act
-on; the balancer itself does not read all of them.  Left out on purpose: the names of zones, tiers and the
+Times are integers, in microseconds.  Settings hold what a decision, or the program around the balancer, can
+act on; the balancer itself does not read all of them.  Left out on purpose: the names of zones, tiers and the
 kind of service (a decision that followed a name would be wrong elsewhere), and the prices of things that no
 action here can cause.
 """
@@ -14,28 +14,28 @@
 from typing import Any
 
 from micadeck.policy.outcomes import Outcome
-from micadeck.policy.settings_reader import MappingReader
+from micadeck.policy.settings_reader import MappingReader, SettingsError
 
 NOTIFICATION_DEADLINE_US = 6_000_000
-"""What discovery has, and could be reached for, counts as told so long after, whatever became of the calls.
+"""Deadline for noticing a change that discovery has and can be reached for, whatever calls failed before.
 
-The one clock of all that is asked of discovery: each wait before a call and each limit on one is a part of
-it (`micadeck.membership.watch_health` adds them up), however long the settings allow for asking.
+Each wait before a call to discovery and each timeout of one is a part of it, however long a poll interval the
+settings allow; `micadeck.membership.watch_health` adds them up.
 """
 
 
 @unique
 class Idempotency(Enum):
-    """What a class of requests says of a second attempt."""
+    """Whether requests of a class may run more than once."""
 
     IDEMPOTENT = "safe"  # may run any number of times
-    KEYED = "keyed"  # repeats are dropped inside one group of servers, for a while
+    KEYED = "keyed"  # they carry an idempotency key, which some servers remember for a while
     NON_IDEMPOTENT = "unsafe"  # must never run twice
 
 
 @unique
 class DeduplicationScope(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """Which servers share their memory of idempotency keys."""
 
     ALL = "all"
     ZONE = "zone"
@@ -44,7 +44,7 @@
 
 @unique
 class DiscoveryMode(Enum):
-    """Whether changes of the server list come unasked."""
+    """Whether discovery pushes changes of the server list, or has to be polled."""
 
     PUSHED = "pushed"
     ON_REQUEST = "on_request"
@@ -52,7 +52,7 @@
 
 @unique
 class CapacityWeights(Enum):
-    """What a server's nominal figure means."""
+    """What the nominal size of a server means."""
 
     SILENT = "silent"
     NOMINAL = "nominal"
@@ -71,7 +71,7 @@
 
 @unique
 class PriorityWeightUnit(Enum):
-    """What a class's worth is counted for."""
+    """What the priority weight of a class is counted for."""
 
     REQUEST = "request"
     WORK = "work"
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and what it may ask of the whole fleet."""
+    """One tenant and its quota of all traffic."""
 
     name: str
     share: float = 1.0
@@ -116,28 +116,28 @@
     dial_timeout_us: int = 250_000
     idle_close_us: int = 15_000_000
     streams_per_connection: int = 1
-    max_open: int | None = None  # requests held at once, kept by the sidecar; None: no limit
+    max_open: int | None = None  # open requests, enforced by the sidecar; None: no limit
     cpu_us_per_s: int | None = None  # of CPU, for the whole instance
     cpu_us_per_request: float = 0.0  # of CPU, for a request with its outcomes, on average; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules.  The defaults are the cautious ends."""
+    """The parameters of the rules.  The defaults are the cautious ends."""
 
     answer_slack_us: int = 0
     max_poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
-    session_drain_grace_us: int = 0  # of that, from hearing of a drain: what bound requests may use
+    session_drain_grace_us: int = 0  # of that, for requests with session affinity
     slow_start_initial_share: float = 0.1
     slow_start_us: int = 30_000_000
     overload_multiple: float = 1.0
     overload_window_us: int = 2_000_000
-    full_may_have_run: bool = False  # servers may answer full for work that they had begun
-    close_idle_within_us: int | None = None  # idle connections to draining servers go; None: no such rule
+    full_may_have_run: bool = False  # servers may answer full for requests that they had started
+    close_idle_within_us: int | None = None  # to draining servers; None: no such rule
 
     def never_ran(self, outcome: Outcome) -> bool:
-        """Whether the outcome proves that the server did nothing of the request: the one place to ask."""
+        """Return whether the outcome proves that the server did nothing of the request."""
         if outcome is Outcome.FULL:
             return not self.full_may_have_run
         return outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_REFUSED, Outcome.NOT_SENT)
@@ -145,33 +145,33 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficPrices:
-    """What extra traffic costs, as a part of all service, mostly for one a request."""
+    """What extra traffic costs, as a part of all service, mostly for one per request."""
 
     cross_zone: float = 0.0
     probe: float = 0.0
     message: float = 0.0  # for 256 bytes a request, delivered
-    waste: float = 0.0  # for server work without an answer, as much as was asked for
+    waste: float = 0.0  # for server work without an answer, as much as was requested
     handshake: float = 0.0
     connection: float = 0.0  # for a hundred open connections a server
-    discovery: float = 0.0  # for a hundred list lines a request
-    late_fail: float = 0.0  # for all worth ending unserved after its aim
+    discovery: float = 0.0  # for a hundred list entries a request
+    late_fail: float = 0.0  # for all priority weight that is unserved after its latency objective
 
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """What counts how much of the whole; all zero: not told."""
+    """The weights of the goals in the total; all zero: not given."""
 
     overall: float = 0.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
     tail: float = 0.0
-    tail_slack: float = 0.0  # the part of requests that may miss their aim before the tail shrinks
+    tail_slack: float = 0.0  # the part of requests that may miss their objective before the tail shrinks
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """All settings of one instance."""
 
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -191,32 +191,36 @@
     goal: Goal = field(default_factory=Goal)
     kinds: tuple[str, ...] = ()  # the kinds of machines that lists may name
     clients_mark_retries: bool = False
-    warm_keys: bool = False  # a server that met a key lately needs less work for it
+    warm_keys: bool = False  # a server that has seen a key lately needs less work for it
 
     @staticmethod
     def from_mapping(given: Mapping[str, Any]) -> Settings:
-        """Read settings from plain nested mappings; raise ValueError, naming the key, on nonsense."""
+        """Read settings from plain nested mappings.
+
+        Raises:
+            SettingsError: A value cannot be used; the text names its key.
+        """
         top = MappingReader(given, "settings")
-        classes = tuple(_service_class(each) for each in top.parts("classes"))
+        classes = tuple(_service_class(each) for each in top.mappings("classes"))
         if not classes:
-            raise ValueError("classes: at least one class of requests is needed")
+            raise SettingsError("classes", "at least one class of requests is needed")
         tenants = tuple(
             Tenant(each.text("name"), each.number("share", 1.0), each.number("quota_per_s", 0.0))
-            for each in top.parts("tenants")
+            for each in top.mappings("tenants")
         )
         for label, names in (("classes", [c.name for c in classes]), ("tenants", [t.name for t in tenants])):
             if len(set(names)) != len(names):
-                raise ValueError(f"{label}: a name stands twice")
-        report = top.part("report")
-        limits, rules, prices = top.part("limits"), top.part("rules"), top.part("prices")
-        goal, habits, domain = top.part("goal"), top.part("client_habits"), top.part("domain")
+                raise SettingsError(label, "a name stands twice")
+        report = top.mapping("report")
+        limits, rules, prices = top.mapping("limits"), top.mapping("rules"), top.mapping("prices")
+        goal, habits, domain = top.mapping("goal"), top.mapping("client_habits"), top.mapping("domain")
         return Settings(
             classes=classes,
             tenants=tenants,
             zone=top.text("zone", ""),
-            me=top.whole("me", 0),
-            group_size=top.whole("group_size", 1, low=1),
-            tick_us=top.whole("tick_us", 1_000, low=1),
+            me=top.integer("me", 0),
+            group_size=top.integer("group_size", 1, low=1),
+            tick_us=top.integer("tick_us", 1_000, low=1),
             discovery=top.choice("discovery", DiscoveryMode, DiscoveryMode.ON_REQUEST),
             weights=top.choice("weights", CapacityWeights, CapacityWeights.SILENT),
             priority_weight_unit=top.choice("worth_by", PriorityWeightUnit, PriorityWeightUnit.REQUEST),
@@ -224,31 +228,31 @@
             report_source=report.choice("source", ReportSource, ReportSource.SILENT),
             report_columns=report.texts("columns"),
             limits=Limits(
-                max_attempts=limits.whole("max_attempts", 1),
+                max_attempts=limits.integer("max_attempts", 1),
                 allow_hedging=limits.flag("second_copies", False),
                 may_cancel=limits.flag("may_cancel", False),
                 may_probe=limits.flag("may_probe", False),
                 may_message=limits.flag("may_message", False),
                 retry_after=limits.flag("retry_after", False),
-                max_retry_after_us=limits.whole("max_retry_after_us", 0),
-                dial_timeout_us=limits.whole("dial_timeout_us", 250_000),
-                idle_close_us=limits.whole("idle_close_us", 15_000_000),
-                streams_per_connection=limits.whole("streams_per_connection", 1, low=1),
-                max_open=limits.optional_whole("max_open"),
-                cpu_us_per_s=limits.optional_whole("cpu_us_per_s"),
+                max_retry_after_us=limits.integer("max_retry_after_us", 0),
+                dial_timeout_us=limits.integer("dial_timeout_us", 250_000),
+                idle_close_us=limits.integer("idle_close_us", 15_000_000),
+                streams_per_connection=limits.integer("streams_per_connection", 1, low=1),
+                max_open=limits.optional_integer("max_open"),
+                cpu_us_per_s=limits.optional_integer("cpu_us_per_s"),
                 cpu_us_per_request=limits.number("cpu_us_per_request", 0.0),
             ),
             rules=Rules(
-                answer_slack_us=rules.whole("answer_slack_us", 0),
-                max_poll_interval_us=rules.whole("ask_within_us", 10_000_000, low=1),
-                drain_grace_us=rules.whole("drain_grace_us", 0),
-                session_drain_grace_us=rules.whole("bound_grace_us", 0),
+                answer_slack_us=rules.integer("answer_slack_us", 0),
+                max_poll_interval_us=rules.integer("ask_within_us", 10_000_000, low=1),
+                drain_grace_us=rules.integer("drain_grace_us", 0),
+                session_drain_grace_us=rules.integer("bound_grace_us", 0),
                 slow_start_initial_share=rules.number("cold_from", 0.1, low=0.001, high=1.0),
-                slow_start_us=rules.whole("cold_us", 30_000_000),
+                slow_start_us=rules.integer("cold_us", 30_000_000),
                 overload_multiple=rules.number("fall_multiple", 1.0, low=0.001),
-                overload_window_us=rules.whole("fall_us", 2_000_000, low=1),
+                overload_window_us=rules.integer("fall_us", 2_000_000, low=1),
                 full_may_have_run=rules.flag("full_may_have_run", False),
-                close_idle_within_us=rules.optional_whole("close_idle_within_us"),
+                close_idle_within_us=rules.optional_integer("close_idle_within_us"),
             ),
             prices=TrafficPrices(
                 cross_zone=prices.number("cross_zone", 0.0),
@@ -275,16 +279,16 @@
 
 
 def _service_class(each: MappingReader) -> ServiceClass:
-    deadline = each.whole("deadline_us", None, low=1)
+    deadline = each.integer("deadline_us", None, low=1)
     return ServiceClass(
         name=each.text("name"),
         deadline_us=deadline,
-        latency_objective_us=min(each.whole("aim_us", deadline, low=1), deadline),
+        latency_objective_us=min(each.integer("aim_us", deadline, low=1), deadline),
         priority_weight=each.number("worth", 1.0),
         late_priority_weight=each.number("late_worth", 0.0),
         idempotency=each.choice("repeat", Idempotency, Idempotency.NON_IDEMPOTENT),
         deduplication_scope=each.choice("group", DeduplicationScope, DeduplicationScope.CELL),
-        idempotency_window_us=each.whole("memory_us", 0),
+        idempotency_window_us=each.integer("memory_us", 0),
         streaming=each.flag("streaming", False),
         objective_scaling=each.number("aim_stretch", 0.0),
     )
