--- a/micadeck/policy/balancer.py
+++ b/micadeck/policy/balancer.py
@@ -153,7 +153,7 @@
         )
 
     def _settings_changed(self, settings: Settings) -> None:
-        """Keep what is known of endpoints and load; drop what was learnt of classes that are gone."""
+        """Keep what is known of endpoints and load; drop what was learnt of removed classes."""
         self._context.replace_settings(settings)
         self._classes = {each.name: each for each in settings.classes}
         self._slow_start.settings_changed()
--- a/micadeck/policy/locality.py
+++ b/micadeck/policy/locality.py
@@ -42,7 +42,7 @@
         if self._context.settings.prices.cross_zone <= 0.0:
             return 1.0
         if concurrency.late_fraction >= LATE_FRACTION_ALLOWED or concurrency.fill() > UNRESTRICTED_FILL:
-            return 1.0  # capacity anywhere is worth more than a crossing
+            return 1.0  # capacity anywhere matters more than cross-zone traffic
         lag = self._lag_of_own_zone()
         if lag is None:
             return 1.0
--- a/micadeck/policy/open_requests.py
+++ b/micadeck/policy/open_requests.py
@@ -22,14 +22,14 @@
     may_have_run: bool = True  # until an outcome proves that it did not
     is_transferring: bool = False  # its request or its response is in transfer, and nothing is worked on
     response_started: bool = False
-    connection_idle_us: int = 0  # how long its connection had gone unused; 0: it was new or in steady use
+    connection_idle_us: int = 0  # 0: its connection was new or in steady use
     is_silence_recorded: bool = False  # the stale connection detector has counted its silence
     opens_connection: bool = False  # it is the first on its connection, and pays for the handshake
     is_overload_recorded: bool = False  # the concurrency limit has counted its lateness
 
     @property
     def suspects_stale_connection(self) -> bool:
-        """Whether its silence is put down to a connection that had gone unused."""
+        """Whether its silence is attributed to a connection that had been idle."""
         return self.is_silence_recorded and self.connection_idle_us > 0
 
 
@@ -42,7 +42,7 @@
     answer_by: int
     relative_cost: float  # 1.0: the mean of its class
     sticky_endpoint: str | None  # the one endpoint that can serve it
-    attempt_limit: int  # as allowed when it came, and as long as its content can be sent again
+    attempt_limit: int  # as allowed at its arrival; 0 once its content cannot be sent again
     is_complete: bool  # its last byte was received
     cost_exponent: int = 0  # of its relative cost, by powers of two
     attempts: list[Attempt] = field(default_factory=list)
--- a/micadeck/policy/retry_policy.py
+++ b/micadeck/policy/retry_policy.py
@@ -62,7 +62,7 @@
     """Return until when another attempt may begin to run, or None for any time.
 
     An idempotency key protects until the servers forget it, counted from the first moment at which an earlier
-    attempt may have begun: less one tick, since the clock is read once a tick, and less the delivery.
+    attempt may have started: less one tick, since the clock is read once a tick, and less the delivery.
     """
     idempotency = request.service_class.idempotency
     first = _first_that_may_have_run(request)
@@ -118,7 +118,7 @@
     """Return when a rejected client should try again; random, so that not all return at once.
 
     Clients that return at once would be rejected again, and take the time in which others could be served.
-    An answer later than the objective would be worth little.
+    An answer later than the objective would have little value.
     """
     if not limits.retry_after:
         return 0
