--- a/micadeck/simulator_adapter.py
+++ b/micadeck/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Puts balancers on the simulator's wire: a map of names, and no decision.
+"""Adapts balancers to the simulator's line protocol: it translates names and decides nothing.
 
-Run as `python -m micadeck.simulator_adapter`.  Input that breaks the wire's grammar ends the process with one
+Run as `python -m micadeck.simulator_adapter`.  Input that violates the protocol ends the process with one
 line on standard error and exit code 2.
 """
 
@@ -45,10 +45,10 @@
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """A line that violates the protocol; the text says what was expected."""
 
 
-# Settings: wire name -> name in interface.py; what has no entry is passed over.
+# Settings: name in the protocol -> key of `Settings.from_mapping`; others are ignored.
 _TOP = {
     "lanes": "classes",
     "realms": "tenants",
@@ -131,8 +131,8 @@
     "client_habits": {"marksRetry": "mark_retries"},
     "domain": {"warmKeys": "warm_keys"},
 }
-# Words that stand for values.
-_WORDS = {
+# Values of settings: name in the protocol -> value of `Settings.from_mapping`.
+_VALUE_NAMES = {
     "repeat": {"read_like": "safe", "idempotency_key": "keyed", "non_idempotent": "unsafe"},
     "source": {"piggyback": "answers", "pull": "probes"},
 }
@@ -158,7 +158,11 @@
 
 
 def settings_from_wire(given: object) -> Settings:
-    """Translate the settings object of the wire."""
+    """Translate the settings object of the protocol.
+
+    Raises:
+        ValueError: A setting cannot be used; the text names its key.
+    """
     if not isinstance(given, Mapping):
         raise ValueError("settings: an object is needed")
     named = _renamed(given, _TOP)
@@ -177,7 +181,7 @@
         if wire in given:
             value = given[wire]
             if isinstance(value, str):
-                value = _WORDS.get(name, {}).get(value, value)
+                value = _VALUE_NAMES.get(name, {}).get(value, value)
             out[name] = value
     return out
 
@@ -186,7 +190,7 @@
 # Fields of a message
 
 
-def _whole(value: object) -> int:
+def _integer(value: object) -> int:
     if type(value) is not int:
         raise WireError(f"a whole number is needed, not {value!r:.60}")
     return value
@@ -204,13 +208,13 @@
     return value
 
 
-def _optional_whole(value: object) -> int | None:
-    return None if value is None else _whole(value)
+def _optional_integer(value: object) -> int | None:
+    return None if value is None else _integer(value)
 
 
-def _word(value: object, words: Mapping[str, Any]) -> Any:
+def _named(value: object, values: Mapping[str, Any]) -> Any:
     try:
-        return words[value]  # type: ignore[index]
+        return values[value]  # type: ignore[index]
     except (KeyError, TypeError):
         raise WireError(f"unknown word {value!r:.60}") from None
 
@@ -220,9 +224,9 @@
         return None
     if not isinstance(value, dict):
         raise WireError("a load report must be an object")
-    for figure in value.values():
-        if isinstance(figure, bool) or not isinstance(figure, (int, float)):
-            raise WireError(f"a load report holds numbers, not {figure!r:.60}")
+    for number in value.values():
+        if isinstance(number, bool) or not isinstance(number, (int, float)):
+            raise WireError(f"a load report holds numbers, not {number!r:.60}")
     return value
 
 
@@ -233,68 +237,68 @@
         raise WireError("hex digits are needed") from None
 
 
-def _listed(line: object) -> ListedServer:
-    if not isinstance(line, list) or len(line) < 6:
+def _listed_server(entry: object) -> ListedServer:
+    if not isinstance(entry, list) or len(entry) < 6:
         raise WireError("an entry of a server list has at least 6 values")
-    nominal = line[5]
+    nominal = entry[5]
     if isinstance(nominal, bool) or not isinstance(nominal, (int, float)):
         raise WireError("a nominal figure must be a number")
-    started = _optional_whole(line[6]) if len(line) > 6 else None
+    started = _optional_integer(entry[6]) if len(entry) > 6 else None
     return ListedServer(
-        server=_text(line[0]),
-        zone=_text(line[1]),
-        kind=_text(line[2]),
-        cell=_whole(line[3]),
-        state=_word(line[4], _STATES),
+        server=_text(entry[0]),
+        zone=_text(entry[1]),
+        kind=_text(entry[2]),
+        cell=_integer(entry[3]),
+        state=_named(entry[4], _STATES),
         nominal=float(nominal),
         started_at=started or None,
     )
 
 
-def _request(m: list[Any]) -> Event:
-    flags = _whole(m[8])
+def _request(message: list[Any]) -> Event:
+    flags = _integer(message[8])
     return RequestArrived(
-        request=_whole(m[2]),
-        service_class=_text(m[3]),
-        tenant=None if m[4] is None or m[4] == 0 else _text(m[4]),
-        key=_optional_whole(m[5]),
-        remaining_us=_whole(m[6]),
-        cost_us=_optional_whole(m[7]) if flags & _HINT_VALID else None,
+        request=_integer(message[2]),
+        service_class=_text(message[3]),
+        tenant=None if message[4] is None or message[4] == 0 else _text(message[4]),
+        key=_optional_integer(message[5]),
+        remaining_us=_integer(message[6]),
+        cost_us=_optional_integer(message[7]) if flags & _HINT_VALID else None,
         client_retry=bool(flags & _CLIENT_RETRY),
         write=bool(flags & _WRITE),
     )
 
 
-def _started(m: list[Any]) -> Event:
-    return AnswerStarted(_whole(m[2]), _whole(m[3]), _text(m[5]), _whole(m[4]))
+def _started(message: list[Any]) -> Event:
+    return AnswerStarted(_integer(message[2]), _integer(message[3]), _text(message[5]), _integer(message[4]))
 
 
-def _ended(m: list[Any]) -> Event:
+def _ended(message: list[Any]) -> Event:
     return AttemptEnded(
-        request=_whole(m[2]),
-        attempt=_whole(m[3]),
-        server=_text(m[4]),
-        outcome=_word(m[5], _OUTCOMES),
-        elapsed_us=_whole(m[6]),
-        answered=_flag(m[7]),
-        report=_report(m[8]) if len(m) > 8 else None,
+        request=_integer(message[2]),
+        attempt=_integer(message[3]),
+        server=_text(message[4]),
+        outcome=_named(message[5], _OUTCOMES),
+        elapsed_us=_integer(message[6]),
+        answered=_flag(message[7]),
+        report=_report(message[8]) if len(message) > 8 else None,
     )
 
 
-def _probed(m: list[Any]) -> Event:
-    report = _report(m[5]) if len(m) > 5 else None
-    return ProbeEnded(_text(m[4]), _word(m[3], _OUTCOMES), _whole(m[2]), report)
+def _probed(message: list[Any]) -> Event:
+    report = _report(message[5]) if len(message) > 5 else None
+    return ProbeEnded(_text(message[4]), _named(message[3], _OUTCOMES), _integer(message[2]), report)
 
 
-# Event name -> least number of values (the name included) and how to read them.
+# Event name -> minimum number of values (the name included) and how to read them.
 _EVENTS: dict[str, tuple[int, Callable[[list[Any]], Event]]] = {
     "WORK_ITEM": (9, _request),
     "FIRST": (6, _started),
     "ATTEMPT_END": (8, _ended),
-    "CLIENT_GONE": (3, lambda m: ClientDisconnected(_whole(m[2]))),
+    "CLIENT_GONE": (3, lambda m: ClientDisconnected(_integer(m[2]))),
     "WAKE": (3, lambda m: TimerFired(_text(m[2]))),
     "SAMPLED": (5, _probed),
-    "MEMO": (4, lambda m: MessageReceived(_whole(m[2]), _payload(m[3]))),
+    "MEMO": (4, lambda m: MessageReceived(_integer(m[2]), _payload(m[3]))),
 }
 
 # Action type -> how to write it, after the instance's name.
@@ -308,7 +312,7 @@
     CloseIdle: ("SHUT_IDLE", lambda a: [a.server]),
     SendPeerMessage: ("POST", lambda a: [_EVERY_PEER if a.receiver is None else a.receiver, a.payload.hex()]),
     WatchEndpoints: ("FOLLOW", lambda a: [a.wanted]),
-    FetchList: ("REFRESH", lambda a: []),
+    FetchList: ("REFRESH", lambda _: []),
     Log: ("REMARK", lambda a: [a.text]),
 }
 
@@ -326,6 +330,7 @@
     """Hosts independent balancers and plays batches through them."""
 
     def __init__(self) -> None:
+        """Start with no balancer."""
         self._balancers: dict[str, Balancer] = {}
         self._pages: dict[int, list[ListedServer]] = {}
         self._now = 0
@@ -333,7 +338,11 @@
         self._reply: list[str] = []
 
     def line(self, text: str) -> list[str] | None:
-        """Take one line; at the end of a batch, give the lines of its reply."""
+        """Handle one line; return the lines of the reply at the end of a batch, else None.
+
+        Raises:
+            WireError: The line violates the protocol.
+        """
         try:
             message = json.loads(text)
         except (ValueError, RecursionError):
@@ -345,7 +354,7 @@
             if self._open:
                 raise WireError("FRAME inside a batch")
             self._need(message, 2)
-            self._now, self._open, self._reply = _whole(message[1]), True, []
+            self._now, self._open, self._reply = _integer(message[1]), True, []
             return None
         if not self._open:
             raise WireError(f"{name!r:.60} outside a batch")
@@ -356,16 +365,16 @@
         return None
 
     @staticmethod
-    def _need(message: list[Any], least: int) -> None:
-        if len(message) < least:
-            raise WireError(f"{message[0]} needs {least - 1} values, {len(message) - 1} came")
+    def _need(message: list[Any], minimum: int) -> None:
+        if len(message) < minimum:
+            raise WireError(f"{message[0]} needs {minimum - 1} values, {len(message) - 1} came")
 
     def _message(self, name: object, message: list[Any]) -> None:
         if name == "PAGE":
             self._need(message, 3)
             if not isinstance(message[2], list):
                 raise WireError("the entries of a PAGE must be an array")
-            self._pages[_whole(message[1])] = [_listed(line) for line in message[2]]
+            self._pages[_integer(message[1])] = [_listed_server(entry) for entry in message[2]]
             return
         if not isinstance(name, str) or name not in ("BEGIN", "EXIT", "TARGETS", *_EVENTS):
             raise WireError(f"unknown message {name!r:.60}")
@@ -374,9 +383,9 @@
         if name == "BEGIN":
             self._need(message, 4)
             try:
-                self._balancers[who] = Balancer(settings_from_wire(message[3]), _whole(message[2]))
-            except ValueError as nonsense:
-                raise WireError(f"settings: {nonsense}") from None
+                self._balancers[who] = Balancer(settings_from_wire(message[3]), _integer(message[2]))
+            except ValueError as error:
+                raise WireError(f"settings: {error}") from None
             return
         balancer = self._balancers.get(who)
         if balancer is None:
@@ -387,23 +396,23 @@
             self._need(message, 5)
             self._play(who, balancer, self._targets(message))
         else:
-            least, read = _EVENTS[name]
-            self._need(message, least)
+            minimum, read = _EVENTS[name]
+            self._need(message, minimum)
             self._play(who, balancer, read(message))
 
     def _targets(self, message: list[Any]) -> ServersListed:
-        kind = _word(message[2], _LIST_KINDS)
+        kind = _named(message[2], _LIST_KINDS)
         if kind is ListKind.FAILED:
             return ServersListed(kind)
-        page = self._pages.get(_whole(message[3]))
+        page = self._pages.get(_integer(message[3]))
         if page is None:
             raise WireError(f"TARGETS names list {message[3]}, which was not given")
-        return ServersListed(kind, page, _whole(message[4]))
+        return ServersListed(kind, page, _integer(message[4]))
 
     def _play(self, who: str, balancer: Balancer, event: Event) -> None:
         try:
             actions = balancer.handle(self._now, event)
-        except Exception as fault:  # the wire has a message for a defect of the decisions
+        except Exception as fault:  # the protocol has a message for a defect of the decisions
             self._reply.append(json.dumps(["INTERNAL_ERROR", who, f"{type(fault).__name__}: {fault}"[:500]]))
             return
         for action in actions:
@@ -411,13 +420,13 @@
 
 
 def run(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
-    """Play all lines; give the exit code."""
+    """Handle all lines; return the exit code."""
     adapter = Adapter()
     for number, text in enumerate(lines, 1):
         try:
             reply = adapter.line(text)
-        except WireError as bad:
-            err.write(f"line {number}: {bad}\n")
+        except WireError as error:
+            err.write(f"line {number}: {error}\n")
             return 2
         if reply is not None:
             out.write("\n".join(reply) + "\n")
@@ -426,6 +435,7 @@
 
 
 def main() -> int:
+    """Serve the protocol on standard input and output; return the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return run(sys.stdin, sys.stdout, sys.stderr)
