--- a/micadeck/policy/settings.py
+++ b/micadeck/policy/settings.py
@@ -227,51 +227,10 @@
             over_share_priority_weight=top.number("over_share_worth", 1.0, high=1.0),
             report_source=report.choice("source", ReportSource, ReportSource.SILENT),
             report_columns=report.texts("columns"),
-            limits=Limits(
-                max_attempts=limits.integer("max_attempts", 1),
-                allow_hedging=limits.flag("second_copies", False),
-                may_cancel=limits.flag("may_cancel", False),
-                may_probe=limits.flag("may_probe", False),
-                may_message=limits.flag("may_message", False),
-                retry_after=limits.flag("retry_after", False),
-                max_retry_after_us=limits.integer("max_retry_after_us", 0),
-                dial_timeout_us=limits.integer("dial_timeout_us", 250_000),
-                idle_close_us=limits.integer("idle_close_us", 15_000_000),
-                streams_per_connection=limits.integer("streams_per_connection", 1, low=1),
-                max_open=limits.optional_integer("max_open"),
-                cpu_us_per_s=limits.optional_integer("cpu_us_per_s"),
-                cpu_us_per_request=limits.number("cpu_us_per_request", 0.0),
-            ),
-            rules=Rules(
-                answer_slack_us=rules.integer("answer_slack_us", 0),
-                max_poll_interval_us=rules.integer("ask_within_us", 10_000_000, low=1),
-                drain_grace_us=rules.integer("drain_grace_us", 0),
-                session_drain_grace_us=rules.integer("bound_grace_us", 0),
-                slow_start_initial_share=rules.number("cold_from", 0.1, low=0.001, high=1.0),
-                slow_start_us=rules.integer("cold_us", 30_000_000),
-                overload_multiple=rules.number("fall_multiple", 1.0, low=0.001),
-                overload_window_us=rules.integer("fall_us", 2_000_000, low=1),
-                full_may_have_run=rules.flag("full_may_have_run", False),
-                close_idle_within_us=rules.optional_integer("close_idle_within_us"),
-            ),
-            prices=TrafficPrices(
-                cross_zone=prices.number("cross_zone", 0.0),
-                probe=prices.number("probe", 0.0),
-                message=prices.number("message", 0.0),
-                waste=prices.number("waste", 0.0),
-                handshake=prices.number("handshake", 0.0),
-                connection=prices.number("connection", 0.0),
-                discovery=prices.number("discovery", 0.0),
-                late_fail=prices.number("late_fail", 0.0),
-            ),
-            goal=Goal(
-                overall=goal.number("whole", 0.0),
-                worst_window=goal.number("worst_window", 0.0),
-                worst_class=goal.number("worst_class", 0.0),
-                worst_tenant=goal.number("worst_tenant", 0.0),
-                tail=goal.number("tail", 0.0),
-                tail_slack=goal.number("tail_slack", 0.0, high=1.0),
-            ),
+            limits=_limits(limits),
+            rules=_rules(rules),
+            prices=_prices(prices),
+            goal=_goal(goal),
             kinds=top.texts("kinds"),
             clients_mark_retries=habits.flag("mark_retries", False),
             warm_keys=domain.flag("warm_keys", False),
@@ -292,3 +251,60 @@
         streaming=each.flag("streaming", False),
         objective_scaling=each.number("aim_stretch", 0.0),
     )
+
+
+def _limits(limits: MappingReader) -> Limits:
+    return Limits(
+        max_attempts=limits.integer("max_attempts", 1),
+        allow_hedging=limits.flag("second_copies", False),
+        may_cancel=limits.flag("may_cancel", False),
+        may_probe=limits.flag("may_probe", False),
+        may_message=limits.flag("may_message", False),
+        retry_after=limits.flag("retry_after", False),
+        max_retry_after_us=limits.integer("max_retry_after_us", 0),
+        dial_timeout_us=limits.integer("dial_timeout_us", 250_000),
+        idle_close_us=limits.integer("idle_close_us", 15_000_000),
+        streams_per_connection=limits.integer("streams_per_connection", 1, low=1),
+        max_open=limits.optional_integer("max_open"),
+        cpu_us_per_s=limits.optional_integer("cpu_us_per_s"),
+        cpu_us_per_request=limits.number("cpu_us_per_request", 0.0),
+    )
+
+
+def _rules(rules: MappingReader) -> Rules:
+    return Rules(
+        answer_slack_us=rules.integer("answer_slack_us", 0),
+        max_poll_interval_us=rules.integer("ask_within_us", 10_000_000, low=1),
+        drain_grace_us=rules.integer("drain_grace_us", 0),
+        session_drain_grace_us=rules.integer("bound_grace_us", 0),
+        slow_start_initial_share=rules.number("cold_from", 0.1, low=0.001, high=1.0),
+        slow_start_us=rules.integer("cold_us", 30_000_000),
+        overload_multiple=rules.number("fall_multiple", 1.0, low=0.001),
+        overload_window_us=rules.integer("fall_us", 2_000_000, low=1),
+        full_may_have_run=rules.flag("full_may_have_run", False),
+        close_idle_within_us=rules.optional_integer("close_idle_within_us"),
+    )
+
+
+def _prices(prices: MappingReader) -> TrafficPrices:
+    return TrafficPrices(
+        cross_zone=prices.number("cross_zone", 0.0),
+        probe=prices.number("probe", 0.0),
+        message=prices.number("message", 0.0),
+        waste=prices.number("waste", 0.0),
+        handshake=prices.number("handshake", 0.0),
+        connection=prices.number("connection", 0.0),
+        discovery=prices.number("discovery", 0.0),
+        late_fail=prices.number("late_fail", 0.0),
+    )
+
+
+def _goal(goal: MappingReader) -> Goal:
+    return Goal(
+        overall=goal.number("whole", 0.0),
+        worst_window=goal.number("worst_window", 0.0),
+        worst_class=goal.number("worst_class", 0.0),
+        worst_tenant=goal.number("worst_tenant", 0.0),
+        tail=goal.number("tail", 0.0),
+        tail_slack=goal.number("tail_slack", 0.0, high=1.0),
+    )
