--- a/micadeck/http/client.py
+++ b/micadeck/http/client.py
@@ -187,7 +187,7 @@
         else:
             self._is_written()
 
-    def get_buffer(self, sizehint: int) -> memoryview:  # asyncio's signature
+    def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002  # asyncio's signature
         """Read into the buffer that all connections share."""
         return _BUFFER
 
@@ -207,7 +207,7 @@
             return
         self._fail(Failure.UNWRITTEN if self.is_unwritten else Failure.BROKEN)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # asyncio's signature
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio's signature
         """End the exchange under way."""
         self._fail(Failure.UNWRITTEN if self.is_unwritten else Failure.BROKEN)
 
--- a/micadeck/http/downstream_connection.py
+++ b/micadeck/http/downstream_connection.py
@@ -114,7 +114,7 @@
         """Answer that the request was shed; see `ResponseHandler`."""
         self.answer(*error_responses.refused(retry_after_us))
 
-    def failed(self, cause: FailureCause, may_have_run: bool) -> None:  # of the port
+    def failed(self, cause: FailureCause, may_have_run: bool) -> None:  # noqa: ARG002  # of the port
         """Answer that the request failed; see `ResponseHandler`."""
         if self._download is None:
             self.answer(*error_responses.failed(cause))
@@ -242,7 +242,7 @@
             return
         self._table.add(self)
 
-    def get_buffer(self, sizehint: int) -> memoryview:  # asyncio's signature
+    def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002  # asyncio's signature
         """Read into the buffer that all connections share."""
         return self._listener.buffer
 
@@ -304,7 +304,7 @@
         """The client ended its side, so it waits for no answer."""
         self._end_client()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # asyncio's signature
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio's signature
         """Forget everything of a connection that is closed."""
         self._end_client()
         self._drop_upload()
--- a/micadeck/policy/compiled.py
+++ b/micadeck/policy/compiled.py
@@ -9,7 +9,7 @@
 import hashlib
 import os
 import sys
-import sysconfig
+from importlib.machinery import EXTENSION_SUFFIXES
 from pathlib import Path
 
 MODULES = (
@@ -53,7 +53,7 @@
     Raises:
         OSError: The sources cannot be read.
     """
-    digest = hashlib.blake2b(sysconfig.get_config_var("SOABI").encode(), digest_size=12)
+    digest = hashlib.blake2b(EXTENSION_SUFFIXES[0].encode(), digest_size=12)  # names the interpreter's ABI
     for name in MODULES:
         digest.update((ROOT / f"{name}.py").read_bytes())
     return ROOT.parent.parent / ".compiled" / digest.hexdigest()
@@ -74,10 +74,7 @@
         return False
     try:
         found = folder()
-    except (
-        OSError,
-        AttributeError,
-    ):  # installed without sources, or an interpreter without a name for its ABI
+    except OSError:  # installed without sources
         return False
     if not (found / PACKAGE_PATH).is_dir():
         return False
--- a/micadeck/simulator_adapter.py
+++ b/micadeck/simulator_adapter.py
@@ -164,7 +164,7 @@
         ValueError: A setting cannot be used; the text names its key.
     """
     if not isinstance(given, Mapping):
-        raise ValueError("settings: an object is needed")
+        raise ValueError("settings: an object is needed")  # noqa: TRY004  # nonsense of any kind is one type
     named = _renamed(given, _TOP)
     for key, names in _NESTED.items():
         part = named.get(key)
