--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -4,12 +4,16 @@
 
 from dataclasses import replace
 from typing import Any
+from unittest import mock
 
 import pytest
+from loopback import played
 from test_program import GOOD
 
 from micadeck.config import Config, ConfigError, parse
+from micadeck.network import LoopNetwork
 from micadeck.reload import plan_reload
+from micadeck.runtime import Runtime
 
 
 def config(**changes: Any) -> Config:
@@ -51,3 +55,16 @@
     running = config()
     with pytest.raises(ConfigError, match=r"^settings\.extra: it is missing"):
         plan_reload(replace(running, keys=running.keys | {"settings.extra"}), config())
+
+
+@played
+async def test_settings_that_a_host_puts_back_are_in_force_again() -> None:
+    """Without a listener, as in the library, settings are in force at once: the engine follows each."""
+    first = config()
+    classes = tuple(replace(each, deadline_us=each.deadline_us + 1) for each in first.settings.classes)
+    second = replace(first, settings=replace(first.settings, classes=classes))
+    runtime = Runtime(first, LoopNetwork(), lambda _: None)
+    with mock.patch.object(runtime.engine, "apply_settings") as applied:
+        for loaded in (second, first):
+            runtime.reload(loaded)
+    assert [call.args for call in applied.call_args_list] == [(second.settings,), (first.settings,)]
