--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -98,6 +98,41 @@
             assert _layer(module) <= own, f"{_name(path)} imports {module}"
 
 
+def _imported_at_load(tree: ast.Module) -> Iterator[str]:
+    """What a module imports as it is loaded: neither in functions nor for the type checker alone."""
+    waiting: list[ast.stmt] = list(tree.body)
+    while waiting:
+        node = waiting.pop()
+        if isinstance(node, (ast.Import, ast.ImportFrom)):
+            yield from _imported(node)
+        elif isinstance(node, ast.If) and ast.unparse(node.test) != "TYPE_CHECKING":
+            waiting += [*node.body, *node.orelse]
+        elif isinstance(node, ast.Try):
+            waiting += [*node.body, *node.orelse, *node.finalbody]
+
+
+def test_no_modules_import_each_other_in_a_circle() -> None:
+    names = {_name(path) for path in FILES}
+    graph = {
+        _name(path): {
+            each
+            for each in _imported_at_load(ast.parse(path.read_text(encoding="utf-8")))
+            if each in names and each != _name(path) and not path.samefile(ROOT / "__init__.py")
+        }
+        for path in FILES
+    }
+    # A package's own `__init__` names its public things: what is below it is loaded by it, not the reverse.
+    graph = {
+        name: {each for each in found if not name.startswith(each + ".")} for name, found in graph.items()
+    }
+    while True:
+        done = {name for name, found in graph.items() if not found & graph.keys()}
+        if not done:
+            break
+        graph = {name: found for name, found in graph.items() if name not in done}
+    assert graph == {}
+
+
 @pytest.mark.parametrize("path", FILES, ids=_name)
 def test_no_module_is_longer_than_a_sitting_takes_to_read(path: Path) -> None:
     lines = path.read_text(encoding="utf-8").splitlines()
