--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -17,7 +17,7 @@
 from micadeck.cli import main
 from micadeck.policy import Balancer
 from micadeck.policy.actions import Action, Send
-from micadeck.policy.events import Event, ListedServer, RequestArrived, TimerFired
+from micadeck.policy.events import Event, ListedServer, RequestArrived, RequestCompleted, TimerFired
 from micadeck.policy.outcomes import Outcome
 from micadeck.traces.format import Encoder, TraceError, decode, encode
 from micadeck.traces.record import Recorder
@@ -195,3 +195,8 @@
     "seed": 1,
     "settings": {"lanes": [{"name": "a", "giveUpUs": 2, "promiseUs": 1}], "zone": "a"},
 }
+
+
+def test_a_request_that_completes_late_is_recorded() -> None:
+    encoder = Encoder(settings(), seed=1)
+    assert encoder.add(1, RequestCompleted(7, 2)) > 0
