--- a/micadeck/policy/__init__.py
+++ b/micadeck/policy/__init__.py
@@ -4,7 +4,7 @@
 
 IS_COMPILED = compiled.use_if_built(__path__)
 
-from micadeck.policy.balancer import Balancer  # noqa: E402  # from the path set above
+from micadeck.policy.balancer import Balancer  # noqa: E402  # compiled or not, by the path set above
 from micadeck.policy.settings import Settings  # noqa: E402
 
 __all__ = ["IS_COMPILED", "Balancer", "Settings"]
--- a/micadeck/policy/actions.py
+++ b/micadeck/policy/actions.py
@@ -14,8 +14,8 @@
 
     request: int
     server: str
-    until: int  # clock time at which the attempt is abandoned
-    write_by: int | None = None  # no byte of it may be written later; None: any time
+    until: int  # time at which the attempt is abandoned
+    write_by: int | None = None  # no byte of the request may be written later; None: no such limit
 
 
 @dataclass(slots=True)
--- a/micadeck/policy/admission.py
+++ b/micadeck/policy/admission.py
@@ -11,11 +11,9 @@
 from micadeck.policy.decaying_rate import DecayingRate
 from micadeck.policy.settings import ServiceClass, Settings, Tenant
 
-TRAFFIC_OBJECTIVES: Final = 4.0  # traffic is averaged over this many of the longest objective
-FULL_LIMIT_PRESSURE: Final = 4.0  # of typical requests, one in fifty is admitted at a full limit
-PRESSURE_SPREAD: Final = (
-    2.0  # the lowest priority feels this many times the pressure, the highest almost none
-)
+TRAFFIC_OBJECTIVES: Final = 4.0  # traffic is averaged over this many longest objectives
+FULL_LIMIT_PRESSURE: Final = 4.0  # near a full limit, one in fifty requests of median priority is admitted
+PRESSURE_SPREAD: Final = 2.0  # the lowest priority gets this many times the pressure, the highest almost none
 
 
 @dataclass(slots=True, eq=False)
@@ -30,8 +28,8 @@
 class AdmissionControl:
     """Decides whether a new request is rejected at once, from the concurrency limit and the traffic mix.
 
-    Owns the rates of arrivals by class and tenant.  Guards no rule alone: it prevents the collapse in which
-    servers answer everything too late, and clients repeat what fails late.
+    Owns the rates of arrivals by class and tenant.  No rule depends on it alone: it prevents a congestion
+    collapse, in which servers answer late and clients retry what fails late.
     """
 
     def __init__(self, context: DecisionContext, concurrency: ConcurrencyLimit) -> None:
@@ -39,23 +37,23 @@
         self._context = context
         self._concurrency = concurrency
         self._traffic: dict[tuple[str, str | None], TrafficShare] = {}
-        self._use(context.settings)
+        self._apply_settings(context.settings)
 
-    def _use(self, settings: Settings) -> None:
-        self._tenants: dict[str, Tenant] = {each.name: each for each in settings.tenants}
-        self._all_shares = sum(each.share for each in settings.tenants) or 1.0
+    def _apply_settings(self, settings: Settings) -> None:
+        self._tenants: dict[str, Tenant] = {tenant.name: tenant for tenant in settings.tenants}
+        self._total_share = sum(tenant.share for tenant in settings.tenants) or 1.0
 
     def settings_changed(self, classes: dict[str, ServiceClass]) -> None:
-        """Take up the settings in force; forget the traffic of classes that they no longer name."""
-        self._use(self._context.settings)
-        self._traffic = {key: each for key, each in self._traffic.items() if key[0] in classes}
+        """Apply the current settings; forget the traffic of classes that were removed."""
+        self._apply_settings(self._context.settings)
+        self._traffic = {key: share for key, share in self._traffic.items() if key[0] in classes}
         for (name, _), traffic in self._traffic.items():
             traffic.service_class = classes[name]
 
     def is_shed(self, service_class: ServiceClass, tenant: str | None) -> bool:
         """Count a new request and return whether to reject it.
 
-        As the limit fills, the part admitted falls exponentially, sooner for lower priorities.
+        The admitted part falls exponentially as the limit fills, sooner for lower priorities.
         """
         context = self._context
         own = self._traffic.get((service_class.name, tenant))
@@ -74,29 +72,29 @@
         return True
 
     def _priority_rank(self, own: TrafficShare) -> float:
-        """Return the part of the traffic with a lower priority, and half of that with the same.
+        """Return the part of the traffic with a lower priority plus half of that with the same.
 
-        The priority of a request is that of its class, reduced by what its tenant sends beyond its quota.
-        Balancers see different parts of the traffic, so only the tenants' proportions are compared.
+        The priority is that of the class, reduced for what the tenant sends above its share.  Balancers see
+        different parts of the traffic, so tenants are compared by proportions, not by rates.
         """
         now = self._context.now
         shares = list(self._traffic.values())
-        rates = [each.rate.per_us(now) for each in shares]
+        rates = [share.rate.per_us(now) for share in shares]
         total = sum(rates)
         by_tenant: dict[str | None, float] = {}
-        for each, rate in zip(shares, rates, strict=True):
-            by_tenant[each.tenant] = by_tenant.get(each.tenant, 0.0) + rate
-        priorities = [self._priority(each, by_tenant[each.tenant], total) for each in shares]
+        for share, rate in zip(shares, rates, strict=True):
+            by_tenant[share.tenant] = by_tenant.get(share.tenant, 0.0) + rate
+        priorities = [self._priority(share, by_tenant[share.tenant], total) for share in shares]
         own_priority = priorities[shares.index(own)]
         below = sum(rate for rate, priority in zip(rates, priorities, strict=True) if priority < own_priority)
         same = sum(rate for rate, priority in zip(rates, priorities, strict=True) if priority == own_priority)
         return (below + 0.5 * same) / total if total > 0.0 else 0.5
 
-    def _priority(self, traffic: TrafficShare, of_tenant: float, total: float) -> float:
+    def _priority(self, traffic: TrafficShare, tenant_rate: float, total: float) -> float:
         weight = traffic.service_class.priority_weight
         tenant = self._tenants.get(traffic.tenant or "")
-        if tenant is None or of_tenant <= 0.0:
+        if tenant is None or tenant_rate <= 0.0:
             return weight
-        within_quota = min(1.0, total * tenant.share / self._all_shares / of_tenant)
+        within_quota = min(1.0, total * tenant.share / self._total_share / tenant_rate)
         over_weight = self._context.settings.over_share_priority_weight
         return weight * (within_quota + (1.0 - within_quota) * over_weight)
--- a/micadeck/policy/balancer.py
+++ b/micadeck/policy/balancer.py
@@ -1,8 +1,8 @@
 """The coordinator of a balancer's decisions: dispatches events and enforces the rules.
 
-For each request it draws k random distinct ready endpoints and sends to the one with the fewest own requests
-in flight; on a full response it draws again, wider.  Every attempt leaves through `_send` and every final
-answer through `_finish`; those two enforce the rules, whatever the code around them decides.
+For every request it draws k random distinct ready endpoints and sends to the one with the fewest own requests
+in flight; after a full response it draws again, with more candidates.  `_send` starts all attempts, and
+`_finish` answers where no server did; these two enforce the rules, whatever their callers decide.
 
 Types: `settings`, `events`, `actions`.  The reasons for the design: docs/design.md.
 """
@@ -52,23 +52,23 @@
 from micadeck.policy.slow_start import SlowStart
 from micadeck.policy.stale_connections import StaleConnectionDetector
 from micadeck.policy.statistics import BalancerStatistics
-from micadeck.policy.timers import DISCOVERY, NO_ATTEMPT, TimerQueue
+from micadeck.policy.timers import DISCOVERY_POLL, NO_ATTEMPT, TimerQueue
 
-ANSWER_MARGIN_TICKS: Final = 2  # a final answer leaves this long before the client's deadline
+ANSWER_MARGIN_TICKS: Final = 2  # a final answer is due this long before the client's deadline
 
 
 class Balancer:
-    """The decisions of one instance: takes events in order and returns the actions to carry out in order.
+    """The decisions of one instance: handles events in order and returns the actions to carry out in order.
 
-    Owns the open requests.  Guards all four rules: 1, one final answer in time; 2, no effect twice; 3,
-    nothing new to endpoints that drain or were removed; 4, slow start.
+    Owns the open requests.  Guards all four rules: 1, one final answer in time; 2, no repeated effect; 3, no
+    new request to draining or removed endpoints; 4, slow start.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start with these settings; equal seeds and events give equal actions."""
+        """Equal settings, seeds and events give equal actions."""
         context = DecisionContext(settings, random.Random(seed))
         self._context = context
-        self._classes = {each.name: each for each in settings.classes}
+        self._classes = {service_class.name: service_class for service_class in settings.classes}
         self._requests: dict[int, OpenRequest] = {}
         self._has_started = False
         self._timers = TimerQueue(context)
@@ -97,11 +97,11 @@
         )
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event and return what to do, in order.
+        """Handle one event and return the actions, in order.
 
         Args:
-            now: The time of the event in microseconds, of a clock that never steps back.
-            event: What happened.
+            now: The time of the event in microseconds, on a monotonic clock.
+            event: The event.
         """
         context = self._context
         context.now = now
@@ -128,7 +128,7 @@
             case SettingsChanged():
                 self._settings_changed(event.settings)
             case _:
-                pass  # probes and peer messages: none are sent, so none are awaited
+                pass  # probes and peer messages are never sent, so nothing is expected of them
         self._arm_timer()
         return context.actions
 
@@ -137,7 +137,7 @@
         return self._endpoints.listed_count()
 
     def avoided(self) -> int:
-        """Return how many of these get nothing new but probation attempts; safe on any thread."""
+        """Return how many of these get only probation attempts; safe on any thread."""
         return self._endpoints.listed_count() - self._endpoints.available_count()
 
     def statistics(self) -> BalancerStatistics:
@@ -153,9 +153,9 @@
         )
 
     def _settings_changed(self, settings: Settings) -> None:
-        """Keep what is known of endpoints and load; drop what was learnt of removed classes."""
+        """Apply new settings; drop the estimates of removed classes, keep all others."""
         self._context.replace_settings(settings)
-        self._classes = {each.name: each for each in settings.classes}
+        self._classes = {service_class.name: service_class for service_class in settings.classes}
         self._slow_start.settings_changed()
         self._outliers.settings_changed()
         self._admission.settings_changed(self._classes)
@@ -166,7 +166,7 @@
     def _request_arrived(self, event: RequestArrived) -> None:
         service_class = event.kind or self._classes.get(event.service_class)
         if service_class is None:
-            # For a class that the settings do not name, the most cautious assumptions hold.
+            # A class that the settings do not name gets the most cautious defaults.
             span_us = max(event.remaining_us, 1)
             service_class = ServiceClass(event.service_class, span_us, span_us)
         self._slow_start.record_arrival()
@@ -193,7 +193,7 @@
         return self._context.now + remaining_us - ANSWER_MARGIN_TICKS * self._context.settings.tick_us
 
     def _dispatch(self, request: OpenRequest) -> None:
-        """Send the request to the best endpoint, or answer it where nothing is left to try."""
+        """Send the request to the best endpoint, or answer it if there is none to try."""
         endpoint = self._selector.choose(request)
         if endpoint is not None and self._send(request, endpoint):
             return
@@ -201,7 +201,7 @@
             self._finish(request)
 
     def _request_completed(self, event: RequestCompleted) -> None:
-        """Count its time from here: no server began it before, however long its transfer took."""
+        """Restart the request's times at its last byte: no server can have begun it earlier."""
         request = self._requests.get(event.request)
         if request is None or request.is_answered:
             return
@@ -227,7 +227,7 @@
             request.attempts[event.attempt].response_started = True
             self._concurrency.set_transferring(request.attempts[event.attempt], True)
 
-    # The one way out for an attempt
+    # Sending an attempt
 
     def _send(self, request: OpenRequest, endpoint: Endpoint) -> bool:
         """Send an attempt if the rules allow it; return whether it was sent."""
@@ -263,22 +263,22 @@
         now = self._context.now
         settings = self._context.settings
         if request.is_answered or now >= request.answer_by:
-            return False  # rule 1: nothing after the final answer, nothing that cannot be answered in time
+            return False  # rule 1: no attempt after the final answer or its deadline
         if not has_attempts_left(request, settings.limits):
             return False
         if not settings.limits.allow_hedging and request.has_pending_attempt():
-            return False  # rule 2
+            return False  # rule 2: no two attempts at a time
         if not may_run_again(request, now, settings) or not is_in_deduplication_scope(request, endpoint):
-            return False  # rule 2
+            return False  # rule 2: no second effect
         is_ready = endpoint.state is ServerState.READY
         if not is_ready and not may_finish_session(request, endpoint, now, settings.rules):
-            return False  # rule 3: as soon as it is known, without use of the grace period
+            return False  # rule 3: from the moment the state is known, the grace period is not used
         return self._slow_start.has_budget(endpoint, request.relative_cost)  # rule 4
 
-    # The one way out for a final answer
+    # Final answers
 
     def _finish(self, request: OpenRequest) -> None:
-        """Give the final answer in place of a server: a rejection where that is safe, else a failure."""
+        """Answer in place of a server: reject where a retry by the client is safe, else fail."""
         if request.is_answered:
             return
         context = self._context
@@ -296,9 +296,9 @@
         for attempt in request.attempts:
             if may_cancel and attempt.is_pending and not attempt.response_started:
                 self._context.actions.append(Cancel(request.request_id, attempt.index))
-        self._forget_if_over(request)
+        self._remove_if_finished(request)
 
-    def _forget_if_over(self, request: OpenRequest) -> None:
+    def _remove_if_finished(self, request: OpenRequest) -> None:
         if request.is_answered and not request.has_pending_attempt():
             self._requests.pop(request.request_id, None)
 
@@ -316,16 +316,16 @@
             if not request.is_answered:
                 self._close(request)
         elif event.outcome is Outcome.REJECTED and not request.is_answered:
-            # Another server would find the same fault.
+            # The request is at fault: another server would reject it too.
             self._context.actions.append(Fail(request.request_id))
             self._close(request)
         elif not request.is_answered:
             self._retry_or_finish(request, attempt, event)
-        self._forget_if_over(request)
+        self._remove_if_finished(request)
         self._endpoints.forget_if_removed(attempt.endpoint)
 
     def _retry_or_finish(self, request: OpenRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Send a request whose attempt failed to another endpoint, or answer it."""
+        """After a failed attempt, send the request to another endpoint or answer it."""
         settings = self._context.settings
         request.failed_endpoints.append(attempt.endpoint)
         if not event.can_retry:
@@ -336,16 +336,16 @@
         request.refused_connections += is_refused
         may_retry = has_attempts_left(request, settings.limits)
         may_retry = may_retry and may_run_again(request, self._context.now, settings)
-        # A further draw after a full response is a part of the selection, not a retry.
+        # After a full response or a refused connection, trying other endpoints uses no retry budget.
         if may_retry and (is_full or is_refused or self._retry_budget.withdraw()):
             self._dispatch(request)
         elif not request.has_pending_attempt():
             self._finish(request)
         if is_full and request.is_answered:
-            self._concurrency.record_overload()  # all servers are full, not one
+            self._concurrency.record_overload()  # the servers are full, not just this one
 
     def _replace_silent_attempt(self, request: OpenRequest, attempt: Attempt) -> None:
-        """Hedge the request, or cancel its attempt for a retry, where that is permitted."""
+        """Hedge the request, or cancel its attempt so that it is retried, where permitted."""
         context = self._context
         limits = context.settings.limits
         if not may_run_again(request, context.now, context.settings):
@@ -356,7 +356,7 @@
             if self._retry_budget.withdraw():
                 self._dispatch(request)
         elif limits.may_cancel and self._retry_budget.has_retry():
-            # The end of the attempt brings the retry, which is then taken from the budget.
+            # The retry follows when the cancelled attempt ends, and is withdrawn from the budget then.
             self._outliers.prolong_cancelled_probation(attempt)
             context.actions.append(Cancel(request.request_id, attempt.index))
 
@@ -366,7 +366,7 @@
         self._timers.host_timer_fired()
         while self._timers.is_due():
             _, _, request_id, index = self._timers.pop()
-            if request_id == DISCOVERY:
+            if request_id == DISCOVERY_POLL:
                 self._polling.poll_if_due()
                 continue
             request = self._requests.get(request_id)
@@ -374,7 +374,7 @@
                 self._request_timer_due(request, index)
 
     def _request_timer_due(self, request: OpenRequest, index: int) -> None:
-        if any(each.response_started for each in request.attempts):
+        if any(attempt.response_started for attempt in request.attempts):
             return
         if index == NO_ATTEMPT:
             if self._context.now >= request.answer_by:
@@ -391,8 +391,8 @@
         self._timers.arm()
 
     def _is_obsolete(self, due: int, request_id: int, index: int) -> bool:
-        """Return whether nothing would be done when this entry falls due."""
-        if request_id == DISCOVERY:
+        """Return whether this entry would have no effect when due."""
+        if request_id == DISCOVERY_POLL:
             return not self._polling.is_planned_at(due)
         request = self._requests.get(request_id)
         if request is None or request.is_answered:
--- a/micadeck/policy/compiled.py
+++ b/micadeck/policy/compiled.py
@@ -1,7 +1,7 @@
-"""Finds the compiled form of the decisions, if the build made one of exactly these sources.
+"""Finds the compiled modules of the decisions, if they were built from exactly these sources.
 
-`deploy/compile.py` puts it into a folder named by a digest of the sources and of the interpreter, so that
-what was compiled from other sources is never loaded.  Without it the decisions run interpreted, and slower.
+`deploy/compile.py` puts them into a folder named by a digest of the sources and of the interpreter's ABI, so
+modules of other sources are never loaded.  Without them the decisions run interpreted, and slower.
 """
 
 from __future__ import annotations
@@ -44,11 +44,11 @@
 PACKAGE_PATH = Path("micadeck", "policy")
 """The package of the compiled modules, below the folder of one build."""
 
-_INTERPRETED_VARIABLES = ("MICADECK_INTERPRETED", "MAGPIEMUX_INTERPRETED")  # the second: the former name
+_INTERPRETED_VARIABLES = ("MICADECK_INTERPRETED", "MAGPIEMUX_INTERPRETED")  # the second is the former name
 
 
 def folder() -> Path:
-    """Return the folder of the compiled form, whether it exists or not.
+    """Return the folder of the compiled modules, whether it exists or not.
 
     Raises:
         OSError: The sources cannot be read.
@@ -60,15 +60,15 @@
 
 
 def use_if_built(paths: list[str]) -> bool:
-    """Put the compiled form before the sources on a package's `__path__`, if it exists.
+    """Put the compiled modules before the sources on a package's `__path__`, if they exist.
 
-    `MICADECK_INTERPRETED` in the environment prevents that: tests replace parts of the sources.
+    `MICADECK_INTERPRETED` in the environment disables this, for tests that patch the sources.
 
     Args:
         paths: The `__path__` of the package.
 
     Returns:
-        Whether the compiled form is used.
+        Whether they are used.
     """
     if any(os.environ.get(name) for name in _INTERPRETED_VARIABLES):
         return False
@@ -79,5 +79,5 @@
     if not (found / PACKAGE_PATH).is_dir():
         return False
     paths.insert(0, str(found / PACKAGE_PATH))
-    sys.path.append(str(found))  # what the modules share
+    sys.path.append(str(found))  # for mypyc's shared library, which the modules import
     return True
--- a/micadeck/policy/concurrency_limit.py
+++ b/micadeck/policy/concurrency_limit.py
@@ -14,37 +14,37 @@
 from micadeck.policy.decaying_rate import DecayingRate
 from micadeck.policy.open_requests import Attempt
 
-TARGET_OBJECTIVE_FRACTION: Final = 0.3  # the typical response; above it the servers are overloaded
-TARGET_OBJECTIVE_FRACTION_LOW_TRAFFIC: Final = 0.4  # where much of the typical response is chance
-IDLE_LATENCY_HEADROOM: Final = 1.2  # the target is at least this multiple of the response of idle servers
+TARGET_OBJECTIVE_FRACTION: Final = 0.3  # of the typical response; above it the servers are overloaded
+TARGET_OBJECTIVE_FRACTION_LOW_TRAFFIC: Final = 0.4  # the typical response is noisy there
+IDLE_LATENCY_HEADROOM: Final = 1.2  # the target is at least this multiple of the fraction of idle servers
 MAX_TARGET_OBJECTIVE_FRACTION: Final = 0.5
-MIN_OBJECTIVE_FRACTION: Final = 0.02  # quicker responses count as this
-MAX_OBJECTIVE_FRACTION: Final = 1.0  # the typical response is not followed further
-OVERLOAD_OBJECTIVE_FRACTION: Final = 2.0  # what a request lost to a full or overdue server counts as
+MIN_OBJECTIVE_FRACTION: Final = 0.02  # faster responses count as this
+MAX_OBJECTIVE_FRACTION: Final = 1.0  # upper bound of the average
+OVERLOAD_OBJECTIVE_FRACTION: Final = 2.0  # recorded for a request whose servers were full or overdue
 OBJECTIVE_FRACTION_SMOOTHING: Final = 0.06  # weight of one response in the geometric mean
-IDLE_FRACTION_RISE: Final = 0.0008  # by which one response may raise the fraction of idle servers
-IDLE_FRACTION_RISE_UNDER_LOAD: Final = 0.00008
+IDLE_FRACTION_RISE: Final = 0.0008  # the most by which one response raises the fraction of idle servers
+IDLE_FRACTION_RISE_UNDER_LOAD: Final = 0.00008  # slower: latency under load is not that of idle servers
 MIN_IDLE_OBJECTIVE_FRACTION: Final = 0.04
 LATE_FRACTION_SMOOTHING: Final = 0.02
-LATE_FRACTION_ALLOWED: Final = 0.05  # servers that answer all but this part in time are not overloaded
-LATE_FRACTION_WITH_IDLE_CORES: Final = 0.15  # from here on something else than cores is short
+LATE_FRACTION_ALLOWED: Final = 0.05  # while fewer responses are late, servers are not overloaded
+LATE_FRACTION_WITH_IDLE_CORES: Final = 0.15  # from here on a resource other than cores is exhausted
 UTILIZATION_SMOOTHING: Final = 0.1  # weight of one load report
 TARGET_UTILIZATION: Final = 0.85  # below it the limit may grow
 SATURATED_UTILIZATION: Final = 0.95
-IDLE_UTILIZATION: Final = 0.8  # below it late responses are no sign of too many requests
-ADJUSTMENT_OBJECTIVES: Final = 0.5  # longest objectives in which the limit changes e-fold
-MIN_LIMIT: Final = 0.1  # some requests are always admitted, so that recovery is seen
-HIGH_TRAFFIC_REQUESTS: Final = 8.0  # with fewer requests in flight, averages are mostly chance
+IDLE_UTILIZATION: Final = 0.8  # below it late responses do not come from too many requests
+ADJUSTMENT_OBJECTIVES: Final = 0.5  # longest objectives in which the limit changes by a factor of e, at most
+MIN_LIMIT: Final = 0.1  # above 0: some requests are always admitted, so that recovery is noticed
+HIGH_TRAFFIC_REQUESTS: Final = 8.0  # with fewer requests in flight, averages are mostly noise
 MAX_AVERAGING_FACTOR: Final = 4.0
 UNRESTRICTED_FILL: Final = 0.5  # up to this part of the limit all requests are admitted
-ABANDONED_LIFETIME: Final = 1.0  # an abandoned attempt counts for this multiple of the time it took
+ABANDONED_DURATION_MULTIPLE: Final = 1.0  # of its duration: how long an abandoned attempt still counts
 
 
 class ConcurrencyLimit:
     """Decides how many own requests in flight are too many, from latencies, load reports and Little's law.
 
     Owns the counts of the attempts in flight, the averages of latency, lateness and utilization, and the
-    limit itself.  Guards no rule alone: it keeps servers from an overload in which all answers come late.
+    limit itself.  No rule depends on it alone: it prevents an overload in which all answers are late.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -55,47 +55,47 @@
         self.objective_fraction = 0.0  # of the typical response
         self.late_fraction = 0.0  # part of the responses that miss their objective
         self.utilization: float | None = None  # of the servers' cores, averaged; None: not reported
-        self._idle_objective_fraction: float | None = None  # lowest typical response of late
+        self._idle_objective_fraction: float | None = None  # of idle servers: a recent minimum
         self._answered_objectives = DecayingRate(context.longest_objective_us)
         self._has_rejected = False  # since the limit was last adjusted
         self._load_updated_at = 0
         self.adjusted_at = 0
-        self.pending_attempts = 0  # attempts
-        self.transferring_attempts = 0  # of these, such that only bytes are in transfer
-        self._at_ejected = 0  # of these, at ejected endpoints
+        self.pending_attempts = 0
+        self.transferring_attempts = 0  # of these, only transferring bytes
+        self._pending_at_ejected = 0  # of these, at ejected endpoints
         self.abandoned_until: list[int] = []  # a heap: when each abandoned attempt stops counting
 
     # Attempts in flight
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """Count an attempt."""
+        """Count an attempt as in flight."""
         self.pending_attempts += 1
         if attempt.endpoint.ejected_until is not None:
-            self._at_ejected += 1
+            self._pending_at_ejected += 1
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Count an attempt no more."""
+        """Stop counting an attempt."""
         self.pending_attempts -= 1
         if attempt.endpoint.ejected_until is not None:
-            self._at_ejected -= 1
+            self._pending_at_ejected -= 1
 
     def attempt_abandoned(self, attempt: Attempt, elapsed_us: int) -> None:
-        """Go on counting an attempt that was given up: the server may still work on it."""
-        until = self._context.now + int(ABANDONED_LIFETIME * elapsed_us)
+        """Keep counting an abandoned attempt: the server may still work on it."""
+        until = self._context.now + int(ABANDONED_DURATION_MULTIPLE * elapsed_us)
         attempt.endpoint.abandoned_until.append(until)
         if attempt.endpoint.ejected_until is None:
             heapq.heappush(self.abandoned_until, until)
 
     def exclude_ejected(self, in_flight: int) -> None:
-        """Leave the attempts at an endpoint that is ejected out of the load."""
-        self._at_ejected += in_flight
+        """Exclude the attempts at a newly ejected endpoint from the load."""
+        self._pending_at_ejected += in_flight
 
     def include_readmitted(self, in_flight: int) -> None:
-        """Take the attempts at an endpoint that is readmitted into the load."""
-        self._at_ejected -= in_flight
+        """Include the attempts at a newly readmitted endpoint in the load."""
+        self._pending_at_ejected -= in_flight
 
     def set_transferring(self, attempt: Attempt, is_transferring: bool) -> None:
-        """Leave an attempt out of the load while bytes are in transfer: a slow client is no busy server."""
+        """Exclude an attempt from the load while bytes are in transfer: the server is not working on it."""
         change = int(is_transferring) - int(attempt.is_transferring)
         attempt.is_transferring = is_transferring
         attempt.endpoint.transferring += change
@@ -104,16 +104,16 @@
     def load(self) -> int:
         """Return the own requests in flight at endpoints that are not ejected, abandoned ones included.
 
-        These are running counts, since this is needed at every event.  Abandoned attempts take no more of the
-        limit than what rejects nobody, or endpoints that hung would cause an outage once they are well.
+        Computed from running counts, since every event needs it.  Abandoned attempts take at most the part of
+        the limit up to which all are admitted, or an outage would follow the recovery of hung servers.
         """
         while self.abandoned_until and self.abandoned_until[0] <= self._context.now:
             heapq.heappop(self.abandoned_until)
-        load = self.pending_attempts - self._at_ejected - self.transferring_attempts
+        load = self.pending_attempts - self._pending_at_ejected - self.transferring_attempts
         return int(min(len(self.abandoned_until), UNRESTRICTED_FILL * self.limit)) + max(load, 0)
 
     def update_mean_load(self) -> None:
-        """Follow the load; to be called at every event."""
+        """Update the mean load; to be called at every event."""
         elapsed = self._context.now - self._load_updated_at
         if elapsed > 0:
             self._load_updated_at = self._context.now
@@ -124,29 +124,29 @@
             self.mean_load += (load - self.mean_load) * (1.0 - math.exp(-elapsed / span))
 
     def averaging_factor(self) -> float:
-        """Return how much longer than with high traffic it takes to tell a change from chance."""
+        """Return how much longer than with high traffic averaging must last to filter noise."""
         return max(1.0, min(HIGH_TRAFFIC_REQUESTS / max(self.mean_load, 1e-9), MAX_AVERAGING_FACTOR))
 
     def fill(self) -> float:
-        """Return the part of the limit that is taken.
+        """Return the part of the limit that is in use.
 
-        With a low limit, two requests at once are chance and say nothing of the servers: the mean counts.
+        With a low limit the momentary load is mostly noise, so the mean load has more weight.
         """
-        certainty = min(self.limit / HIGH_TRAFFIC_REQUESTS, 1.0)
-        return (self.mean_load + certainty * (self.load() - self.mean_load)) / self.limit
+        confidence = min(self.limit / HIGH_TRAFFIC_REQUESTS, 1.0)
+        return (self.mean_load + confidence * (self.load() - self.mean_load)) / self.limit
 
-    # Evidence
+    # Measurements
 
     def record_rejection(self) -> None:
-        """Note that the limit rejected a request, so that it may grow."""
+        """Record that the limit rejected a request, so that it may grow."""
         self._has_rejected = True
 
     def record_answer(self, latency_objective_us: int) -> None:
-        """Count an answered request by the time that it was allowed."""
+        """Count an answered request, weighted by its latency objective."""
         self._answered_objectives.add(self._context.now, latency_objective_us)
 
     def record_utilization(self, utilization: float) -> None:
-        """Follow the utilization of cores, 0 to 1, that servers report."""
+        """Average the utilization of cores, 0 to 1, that servers report."""
         if self.utilization is None:
             self.utilization = utilization
         else:
@@ -157,9 +157,9 @@
         self.record_latency(OVERLOAD_OBJECTIVE_FRACTION)
 
     def record_latency(self, objective_fraction: float) -> None:
-        """Follow the fraction of the objective that the typical response takes, and adjust the limit.
+        """Average the fraction of the objective that responses take, and adjust the limit.
 
-        It is a geometric mean: one heavy request or slow server moves it little.
+        A geometric mean, so that one heavy request or slow server moves it little.
         """
         if self._idle_objective_fraction is None:
             first = min(objective_fraction, TARGET_OBJECTIVE_FRACTION)
@@ -184,9 +184,9 @@
     def _adjust(self, load: int) -> None:
         """Shrink or grow the limit by how far the typical response is from its target.
 
-        The limit bounds requests in flight, not arrivals: a surge then meets it at once, and slower servers
-        admit less by themselves.  By Little's law, answering at this rate within the target needs rate times
-        time in flight; the limit never shrinks below that, or delayed evidence would shut it.
+        The limit bounds requests in flight, not arrivals: a surge reaches it at once, and slower servers
+        admit less without adjustment.  By Little's law, the current rate of answers within the target needs
+        rate times target in flight; the limit stays above that, or delayed measurements would close it.
         """
         context = self._context
         factor = self.averaging_factor()
@@ -196,27 +196,27 @@
         excess = self._excess(target, factor)
         is_saturated = self.utilization is not None and self.utilization >= SATURATED_UTILIZATION
         if excess > 0.0 and self.late_fraction < LATE_FRACTION_ALLOWED and not is_saturated:
-            return  # slower than usual, yet in time
+            return  # slower than the target, but within the objectives
         if excess > 0.0:
             self.limit = min(self.limit, max(load, self.mean_load / UNRESTRICTED_FILL))
         elif not self._has_rejected:
             return  # nothing shows that the limit is too low
         self._has_rejected = False
         change = math.exp(-excess * elapsed / (ADJUSTMENT_OBJECTIVES * context.longest_objective_us))
-        self._answered_objectives.over(factor * context.longest_objective_us)
+        self._answered_objectives.set_span(factor * context.longest_objective_us)
         sustained = target * self._answered_objectives.per_us(context.now)
         self.limit = max(self.limit * change, min(sustained, self.limit), MIN_LIMIT)
 
     def _target_objective_fraction(self, factor: float) -> float:
         idle = IDLE_LATENCY_HEADROOM * (self._idle_objective_fraction or 0.0)
         target = min(max(TARGET_OBJECTIVE_FRACTION, idle), MAX_TARGET_OBJECTIVE_FRACTION)
-        # With low traffic the typical response is partly chance, and must be further off to count.
-        chance = (factor - 1.0) / (MAX_AVERAGING_FACTOR - 1.0)
+        # With low traffic the typical response is noisy, so only a larger deviation counts.
+        noise = (factor - 1.0) / (MAX_AVERAGING_FACTOR - 1.0)
         widening = TARGET_OBJECTIVE_FRACTION_LOW_TRAFFIC - TARGET_OBJECTIVE_FRACTION
-        return max(target, TARGET_OBJECTIVE_FRACTION + chance * widening)
+        return max(target, TARGET_OBJECTIVE_FRACTION + noise * widening)
 
     def _excess(self, target: float, factor: float) -> float:
-        """Return how far the load is above (up to 1) or below (down to -1) what the servers can bear."""
+        """Return how far the load is above (up to 1) or below (down to -1) what the servers can handle."""
         excess = (self.objective_fraction - target) / target
         if self.utilization is not None and factor > 1.0:
             # Late responses while cores are idle come from a few slow servers, not from too many requests.
@@ -227,6 +227,6 @@
             and self.utilization < IDLE_UTILIZATION
             and self.late_fraction < LATE_FRACTION_WITH_IDLE_CORES
         ):
-            # Otherwise the limit could stay low by its own rejections, which lower the load.
+            # Otherwise the limit could stay low: its own rejections keep the utilization low.
             excess = min(excess, -0.5)
         return max(-1.0, min(excess, 1.0))
--- a/micadeck/policy/discovery_polling.py
+++ b/micadeck/policy/discovery_polling.py
@@ -1,4 +1,4 @@
-"""Discovery polling: when this balancer subscribes to the server list again."""
+"""Discovery polling: when to subscribe to the server list again."""
 
 from __future__ import annotations
 
@@ -7,12 +7,10 @@
 from micadeck.policy.actions import WatchEndpoints
 from micadeck.policy.context import DecisionContext
 from micadeck.policy.settings import NOTIFICATION_DEADLINE_US, DiscoveryMode
-from micadeck.policy.timers import DISCOVERY, NO_ATTEMPT, TimerQueue
+from micadeck.policy.timers import DISCOVERY_POLL, NO_ATTEMPT, TimerQueue
 
 FIRST_BACKOFF_FRACTION: Final = 0.02  # of the longest permitted poll interval
-MAX_BACKOFF_FRACTION: Final = (
-    0.25  # of the longest permitted poll interval: three failures in a row still fit
-)
+MAX_BACKOFF_FRACTION: Final = 0.25  # of the longest permitted poll interval: room for three failures in a row
 MAX_BACKOFF_NOTIFICATION_FRACTION: Final = 1 / 6  # of the deadline for notifications
 MAX_BACKOFF_DOUBLINGS: Final = 8
 
@@ -20,8 +18,8 @@
 class DiscoveryPoller:
     """Decides when to poll discovery, from its failures and the longest permitted interval.
 
-    Owns the time of the next poll and the count of failures in a row.  Guards rule 3: no balancer goes on
-    with a list that is older than permitted.
+    Owns the time of the next poll and the count of failures in a row.  Guards rule 3: the list in use is
+    never older than permitted.
     """
 
     def __init__(self, context: DecisionContext, timers: TimerQueue) -> None:
@@ -32,7 +30,7 @@
         self._next_poll: int | None = None  # None while the list is watched
 
     def poll(self) -> None:
-        """Subscribe to the list where that is needed; repeat a call that is never answered."""
+        """Subscribe if discovery does not push; poll again in case no answer comes."""
         if self._context.settings.discovery is DiscoveryMode.ON_REQUEST:
             self._context.actions.append(WatchEndpoints(True))
             self._poll_after(MAX_BACKOFF_FRACTION * self._context.settings.rules.max_poll_interval_us)
@@ -47,14 +45,14 @@
         return due == self._next_poll
 
     def succeeded(self) -> None:
-        """Note that the list was received and is watched from now on."""
+        """Reset the backoff: the list was received and is being watched."""
         self._failures = 0
         self._next_poll = None
 
     def failed(self) -> None:
         """Plan the next poll after a failure, by exponential backoff with jitter.
 
-        The longest wait bounds how much later than an outage the next list is received.
+        The longest wait bounds the delay of the next list after an outage ends.
         """
         interval = self._context.settings.rules.max_poll_interval_us
         longest = min(
@@ -65,6 +63,6 @@
         self._poll_after(wait * (0.5 + 0.5 * self._context.random.random()))
 
     def _poll_after(self, wait_us: float) -> None:
-        """Replace the planned poll; at least one tick later, or polling would never pause."""
+        """Plan the next poll, at least one tick from now to prevent a busy loop."""
         self._next_poll = self._context.now + max(int(wait_us), self._context.settings.tick_us)
-        self._timers.schedule(self._next_poll, DISCOVERY, NO_ATTEMPT)
+        self._timers.schedule(self._next_poll, DISCOVERY_POLL, NO_ATTEMPT)
--- a/micadeck/policy/endpoint_updates.py
+++ b/micadeck/policy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint updates: what a new server list changes."""
+"""Endpoint updates: applies new server lists."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
         self._polling = polling
         self._slow_start = slow_start
         self._outliers = outliers
-        self._last_update: int | None = None  # when discovery's list, or its changes, were last received
+        self._last_update: int | None = None  # when discovery last sent a list or changes
 
     def apply(self, event: ServersListed) -> None:
-        """Take up a list, its changes, or the failure to get it."""
+        """Apply a list or its changes, or handle a failed call."""
         if event.kind is ListKind.FAILED:
             self._polling.failed()
             return
@@ -63,14 +63,14 @@
         endpoint.zone = entry.zone
         endpoint.cell = entry.cell
         if not was_listed or entry.nominal != endpoint.nominal:
-            endpoint.relative_latency = 0.0  # unknown; the registry assumes it by the nominal size
+            endpoint.relative_latency = 0.0  # unknown: the registry estimates it from the nominal size
         endpoint.nominal = max(entry.nominal, 0.0)
         self._endpoints.set_state(endpoint, entry.state)
         if entry.started_at is not None and entry.started_at != endpoint.listed_start:
             started_at = plausible_start(entry.started_at, self._context.now, self._last_update, was_listed)
             endpoint.started_at = started_at
             endpoint.listed_start = entry.started_at
-            endpoint.connections = endpoint.in_flight  # those to the process before are closed
+            endpoint.connections = endpoint.in_flight  # those to the previous process are closed
             self._slow_start.begin(endpoint, started_at)
             if endpoint.ejected_until is not None and entry.state is ServerState.READY:
-                self._outliers.readmit(endpoint)  # the failures were those of another process
+                self._outliers.readmit(endpoint)  # the failures were those of the previous process
--- a/micadeck/policy/events.py
+++ b/micadeck/policy/events.py
@@ -24,11 +24,11 @@
 
 @unique
 class ListKind(Enum):
-    """How a server list is to be read."""
+    """How to read a server list."""
 
     CHANGES = "changes"  # changed entries only
-    COMPLETE = "complete"  # a server that is missing is removed
-    REMEMBERED = "remembered"  # complete, but as cached before a restart
+    COMPLETE = "complete"  # all servers: one that is missing is removed
+    REMEMBERED = "remembered"  # all servers, as cached before a restart
     FAILED = "failed"  # a call failed or the subscription broke; nothing changes
 
 
@@ -42,7 +42,7 @@
     cell: int = 0
     state: ServerState = ServerState.READY
     nominal: float = 1.0
-    started_at: int | None = None  # None: long ago
+    started_at: int | None = None  # None: long ago, it is not cold
 
 
 @dataclass(slots=True)
@@ -63,17 +63,17 @@
     tenant: str | None
     key: int | None
     remaining_us: int
-    cost_us: int | None = None  # a hint of the work, where the client gave one
+    cost_us: int | None = None  # the client's estimate of the work, if given
     client_retry: bool = False
     write: bool = False
-    sticky_server: str | None = None  # session affinity: the one server that can serve it
+    sticky_server: str | None = None  # session affinity: the only server that can serve it
     kind: ServiceClass | None = None  # None: the class of that name in the settings in force
-    is_complete: bool = True  # False: its last byte was not received yet; RequestCompleted follows
+    is_complete: bool = True  # False: RequestCompleted follows with its last byte
 
 
 @dataclass(slots=True)
 class RequestCompleted:
-    """The last byte of an earlier request was received; its time counts from here."""
+    """The last byte of a request was received; its time counts from here."""
 
     request: int
     remaining_us: int
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class AnswerStarted:
-    """The response of an attempt has started, and is streamed to the client."""
+    """The response to an attempt has started and is being streamed to the client."""
 
     request: int
     attempt: int
@@ -100,7 +100,7 @@
     elapsed_us: int
     answered: bool
     report: Mapping[str, float] | None = None
-    can_retry: bool = True  # False: a part of the request is not buffered, so it cannot be sent again
+    can_retry: bool = True  # False: the request is not fully buffered, so it cannot be sent again
 
 
 @dataclass(slots=True)
@@ -129,9 +129,9 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings are in force from here on; open requests keep the class that they came with.
+    """New settings apply from here on; open requests keep the class that they arrived with.
 
-    The zone and number of the instance and the discovery mode never change.
+    The instance's zone and number and the discovery mode never change.
     """
 
     settings: Settings
--- a/micadeck/policy/full_backoff.py
+++ b/micadeck/policy/full_backoff.py
@@ -1,6 +1,6 @@
-"""Full backoff: pauses of a class of requests at an endpoint that was full for it.
+"""Full backoff: pauses a class of requests at an endpoint that was full for it.
 
-Some servers reject one class or tenant while they have capacity for the rest.  Selection passes over paused
+Some servers reject one class or tenant while they have capacity for others.  Selection skips paused
 endpoints as long as there are others.
 """
 
@@ -12,7 +12,7 @@
 from micadeck.policy.context import DecisionContext
 from micadeck.policy.endpoints import Endpoint
 
-FIRST_BACKOFF_OBJECTIVES: Final = 0.5  # longest objectives after a full response; doubles with each in a row
+FIRST_BACKOFF_OBJECTIVES: Final = 0.5  # longest objectives; doubles with every full response in a row
 MAX_BACKOFF_OBJECTIVES: Final = 4.0
 
 
@@ -33,7 +33,7 @@
 
 
 def record_response(endpoint: Endpoint, service_class: str) -> None:
-    """End the pause after a response, and forget how long it was."""
+    """End the pause after a response, and reset its length."""
     endpoint.full_backoffs.pop(service_class, None)
 
 
--- a/micadeck/policy/latency.py
+++ b/micadeck/policy/latency.py
@@ -12,35 +12,35 @@
 from micadeck.policy.settings import ServiceClass
 
 ENDPOINT_SMOOTHING: Final = 0.1  # weight of one response in the relative latency of an endpoint
-MAX_RELATIVE_LATENCY: Final = 4.0  # of one response: heavy requests say little of a server
+MAX_RELATIVE_LATENCY: Final = 4.0  # of one response, clipped: heavy requests say little about a server
 CLASS_SMOOTHING: Final = 0.02  # weight of one request in the typical latency and cost of its class
-UNSEEN_OBJECTIVE_FRACTION: Final = 0.3  # the typical latency before any response
-HANDSHAKE_OBJECTIVE_FRACTION: Final = 0.5  # what a new connection may take longer
+UNSEEN_OBJECTIVE_FRACTION: Final = 0.3  # assumed typical latency before the first response
+HANDSHAKE_OBJECTIVE_FRACTION: Final = 0.5  # allowance for the handshake of a new connection
 OVERDUE_MULTIPLE: Final = 2.5  # of the typical latency, after which an attempt is overdue
-MIN_OVERDUE_OBJECTIVE_FRACTION: Final = 0.1  # shorter times are all jitter
+MIN_OVERDUE_OBJECTIVE_FRACTION: Final = 0.1  # shorter times are mostly jitter
 
 
 class LatencyEstimates:
-    """Decides what counts as slow, from the latencies and costs that were seen.
+    """Decides what counts as slow, from observed latencies and costs.
 
-    Owns the typical latency by class and size, and the mean cost by class; writes the relative latency of
-    endpoints.  It guards no rule.
+    Owns the typical latency by class and size, and the mean cost by class; updates the relative latency of
+    endpoints.  Guards no rule.
     """
 
     def __init__(self, context: DecisionContext, concurrency: ConcurrencyLimit) -> None:
-        """Start with nothing known."""
+        """Start without estimates."""
         self._context = context
         self._concurrency = concurrency
         self._typical_us: dict[tuple[str, int], float] = {}
         self._mean_cost_us: dict[str, float] = {}
 
     def settings_changed(self, classes: dict[str, ServiceClass]) -> None:
-        """Forget the classes that the settings no longer name."""
-        self._typical_us = {key: each for key, each in self._typical_us.items() if key[0] in classes}
-        self._mean_cost_us = {key: each for key, each in self._mean_cost_us.items() if key in classes}
+        """Forget the classes that were removed."""
+        self._typical_us = {key: typical for key, typical in self._typical_us.items() if key[0] in classes}
+        self._mean_cost_us = {key: mean for key, mean in self._mean_cost_us.items() if key in classes}
 
     def relative_cost(self, service_class: ServiceClass, cost_us: int | None) -> float:
-        """Return the cost of a new request relative to the mean of its class, which follows it."""
+        """Return the cost of a request relative to its class's mean, and update the mean."""
         if not cost_us or cost_us < 0:
             return 1.0
         mean = self._mean_cost_us.get(service_class.name, float(cost_us))
@@ -56,14 +56,14 @@
         )
 
     def record_response(self, endpoint: Endpoint, request: OpenRequest, elapsed_us: int) -> None:
-        """Learn from a response."""
+        """Update the estimates with a response."""
         key = (request.service_class.name, request.cost_exponent)
         typical = self._typical_us.setdefault(key, float(elapsed_us))
         self.adjust_endpoint(endpoint, request, elapsed_us)
         self._typical_us[key] = typical + CLASS_SMOOTHING * (elapsed_us - typical)
 
     def record_abandoned(self, endpoint: Endpoint, request: OpenRequest, elapsed_us: int) -> None:
-        """Learn from an attempt that was given up, where it had taken longer than is usual there."""
+        """Learn from an abandoned attempt if it had taken longer than usual there."""
         if elapsed_us > self.typical_us(request) * endpoint.relative_latency:
             self.adjust_endpoint(endpoint, request, elapsed_us)
 
@@ -72,7 +72,7 @@
         self.adjust_endpoint(endpoint, request, int(MAX_RELATIVE_LATENCY * self.typical_us(request)))
 
     def adjust_endpoint(self, endpoint: Endpoint, request: OpenRequest, elapsed_us: int) -> None:
-        """Let the relative latency of an endpoint follow one attempt; faster where there are few."""
+        """Average the relative latency of an endpoint; faster with low traffic."""
         ratio = min(elapsed_us / max(self.typical_us(request), 1.0), MAX_RELATIVE_LATENCY)
         smoothing = ENDPOINT_SMOOTHING * self._concurrency.averaging_factor()
         endpoint.relative_latency += smoothing * (ratio - endpoint.relative_latency)
@@ -88,5 +88,5 @@
 
 
 def cost_exponent(relative_cost: float) -> int:
-    """Return the size of a request by powers of two of its relative cost."""
+    """Return the binary exponent of a relative cost, from -3 to 4."""
     return max(-3, min(math.frexp(relative_cost)[1], 4))
--- a/micadeck/policy/locality.py
+++ b/micadeck/policy/locality.py
@@ -1,4 +1,4 @@
-"""Locality: how much traffic goes to endpoints in other zones."""
+"""Locality: how much traffic to send to other zones."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from micadeck.policy.context import DecisionContext
 from micadeck.policy.endpoints import EndpointRegistry
 
-MIN_REMOTE_WEIGHT: Final = 0.25  # of an endpoint in another zone while the own zone is as quick
-EQUAL_WEIGHT_LAG: Final = 0.3  # the own zone this much slower, all zones have the same weight
-EQUAL_WEIGHT_OBJECTIVE_FRACTION: Final = 0.12  # or the typical response at twice this fraction
+MIN_REMOTE_WEIGHT: Final = 0.25  # of endpoints in other zones while the own zone is as fast
+EQUAL_WEIGHT_LAG: Final = 0.3  # with the own zone this much slower, all zones have equal weight
+EQUAL_WEIGHT_OBJECTIVE_FRACTION: Final = 0.12  # also with the typical response at twice this
 
 
 class LocalityWeights:
     """Decides the weight of endpoints in other zones, from the zones' latencies and the load.
 
     Owns the weight.  It saves cross-zone traffic without overloading a zone that has more traffic than
-    servers: as the own zone gets slower, or responses late anywhere, the weights become equal.
+    servers: as the own zone or all responses get slower, the weights become equal.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._updated_at = -1
 
     def remote_weight(self) -> float:
-        """Return the weight of endpoints in other zones, at most 1; computed once for each instant."""
+        """Return the weight of endpoints in other zones, at most 1; cached until time advances."""
         if self._updated_at != self._context.now:
             self._updated_at = self._context.now
             self._remote_weight = self._current_remote_weight()
@@ -43,25 +43,25 @@
             return 1.0
         if concurrency.late_fraction >= LATE_FRACTION_ALLOWED or concurrency.fill() > UNRESTRICTED_FILL:
             return 1.0  # capacity anywhere matters more than cross-zone traffic
-        lag = self._lag_of_own_zone()
+        lag = self._own_zone_lag()
         if lag is None:
             return 1.0
         fraction = EQUAL_WEIGHT_OBJECTIVE_FRACTION
         pressure = (concurrency.objective_fraction - fraction) / fraction
         return max(MIN_REMOTE_WEIGHT, min(max(lag / EQUAL_WEIGHT_LAG, pressure), 1.0))
 
-    def _lag_of_own_zone(self) -> float | None:
-        """Return by which part the own zone is slower than the others, or None if that is unknown."""
+    def _own_zone_lag(self) -> float | None:
+        """Return by what fraction the own zone is slower than the others, or None if unknown."""
         local = remote = 0.0
         local_count = remote_count = 0
-        for each in self._endpoints.ready:
-            if each.ejected_until is not None:
+        for endpoint in self._endpoints.ready:
+            if endpoint.ejected_until is not None:
                 continue
-            if each.zone == self._context.settings.zone:
-                local += each.relative_latency
+            if endpoint.zone == self._context.settings.zone:
+                local += endpoint.relative_latency
                 local_count += 1
             else:
-                remote += each.relative_latency
+                remote += endpoint.relative_latency
                 remote_count += 1
         if not local_count or not remote_count or remote <= 0.0:
             return None
--- a/micadeck/policy/open_requests.py
+++ b/micadeck/policy/open_requests.py
@@ -1,4 +1,4 @@
-"""Records of the open requests and of their attempts.  They decide nothing."""
+"""Records of the open requests and their attempts."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
     index: int
     endpoint: Endpoint
-    zone: str  # of the endpoint as the attempt was sent: a list may move it
+    zone: str  # of the endpoint when the attempt was sent: a later list may change it
     cell: int
     sent_at: int
-    answers_before: int  # answers of all endpoints until then
+    answers_before: int  # count of answers by all endpoints when it was sent
     is_pending: bool = True
     may_have_run: bool = True  # until an outcome proves that it did not
-    is_transferring: bool = False  # its request or its response is in transfer, and nothing is worked on
+    is_transferring: bool = False  # its request or response is in transfer, the server is not working on it
     response_started: bool = False
-    connection_idle_us: int = 0  # 0: its connection was new or in steady use
+    connection_idle_us: int = 0  # 0: its connection was new or recently used
     is_silence_recorded: bool = False  # the stale connection detector has counted its silence
-    opens_connection: bool = False  # it is the first on its connection, and pays for the handshake
+    opens_connection: bool = False  # it is the first on its connection and includes the handshake
     is_overload_recorded: bool = False  # the concurrency limit has counted its lateness
 
     @property
@@ -35,22 +35,22 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that was admitted; it is kept until it is answered and its last attempt has ended."""
+    """A request that has arrived; kept until it is answered and its last attempt ended."""
 
     request_id: int
     service_class: ServiceClass
     answer_by: int
     relative_cost: float  # 1.0: the mean of its class
-    sticky_endpoint: str | None  # the one endpoint that can serve it
-    attempt_limit: int  # as allowed at its arrival; 0 once its content cannot be sent again
-    is_complete: bool  # its last byte was received
-    cost_exponent: int = 0  # of its relative cost, by powers of two
+    sticky_endpoint: str | None  # session affinity: the only endpoint that can serve it
+    attempt_limit: int  # by the settings at its arrival; 0 once it cannot be sent again
+    is_complete: bool  # its last byte has been received
+    cost_exponent: int = 0  # binary exponent of its relative cost
     attempts: list[Attempt] = field(default_factory=list)
-    failed_endpoints: list[Endpoint] = field(default_factory=list)  # full ones included
+    failed_endpoints: list[Endpoint] = field(default_factory=list)  # including full ones
     full_responses: int = 0
-    refused_connections: int = 0  # attempts of which nothing was written, since nobody listened
+    refused_connections: int = 0  # attempts that wrote nothing, since no server listened
     is_answered: bool = False
 
     def has_pending_attempt(self) -> bool:
         """Return whether an attempt has not ended yet."""
-        return any(each.is_pending for each in self.attempts)
+        return any(attempt.is_pending for attempt in self.attempts)
--- a/micadeck/policy/outcome_recording.py
+++ b/micadeck/policy/outcome_recording.py
@@ -1,4 +1,4 @@
-"""Outcome recording: what the end of an attempt shows of load, latency and health."""
+"""Outcome recording: what is learnt from the end of an attempt."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class OutcomeRecorder:
-    """Decides what each part of the balancer learns from the end of an attempt, by its outcome.
+    """Decides what the parts of the balancer learn from the outcome of an attempt.
 
-    Owns no state.  Guards rule 2: it notes which attempts may have run.  What follows for the request is the
-    balancer's decision.
+    Owns no state.  Guards rule 2: it records which attempts may have run.  The balancer decides how the
+    request continues.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._outliers = outliers
 
     def record(self, request: OpenRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Take an attempt off the counts and learn from its outcome."""
+        """Stop counting an attempt and learn from its outcome."""
         self._release(attempt, event.outcome)
         outcome = event.outcome
         objective = request.service_class.latency_objective_us
@@ -59,7 +59,7 @@
         self._endpoints.close_idle_if_leaving(endpoint)
 
     def _learn(self, request: OpenRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Take the outcome into the estimates of load, latency and capacity."""
+        """Update the estimates of load, latency and capacity."""
         endpoint = attempt.endpoint
         outcome = event.outcome
         if event.report and "util" in event.report:
@@ -76,10 +76,10 @@
             self._latency.record_abandoned(endpoint, request, event.elapsed_us)
 
     def _learn_from_response(self, request: OpenRequest, attempt: Attempt, elapsed_us: int) -> None:
-        """Learn from the latency of a response, less what a handshake takes.
+        """Learn from the latency of a response, less an allowance for a handshake.
 
         After a start, or when servers are replaced, most connections are new, and their first responses are
-        as late as those of an overloaded server.  What is late even so does count.
+        as late as those of an overloaded server.  Latency beyond the allowance still counts.
         """
         objective = request.service_class.latency_objective_us
         self._concurrency.record_answer(objective)
--- a/micadeck/policy/outcomes.py
+++ b/micadeck/policy/outcomes.py
@@ -14,9 +14,9 @@
     FULL = "full"
     TIMED_OUT = "expired"
     CONNECT_FAILED = "dial_failed"
-    CONNECTION_REFUSED = "turned_down"  # nobody listens there
+    CONNECTION_REFUSED = "turned_down"  # no server listens there
     CONNECTION_LOST = "dropped"
     CANCELLED = "cancelled"
     NOT_SENT = "unsent"
-    MALFORMED = "spoilt"  # an unusable response, which says nothing of the server's health
-    REJECTED = "rejected"  # the server is healthy and refused the request as faulty
+    MALFORMED = "spoilt"  # an unusable response, which says little about the server's health
+    REJECTED = "rejected"  # a healthy server found the request invalid
--- a/micadeck/policy/outlier_detection.py
+++ b/micadeck/policy/outlier_detection.py
@@ -23,30 +23,30 @@
     Outcome.CONNECT_FAILED,
     Outcome.ERROR,
 )
-"""What counts as a failure of the endpoint, several in a row eject it."""
-
-SILENT_REASON: Final = "silent"  # in the log: requests are taken and none is answered
-CONSECUTIVE_FAILURES: Final = 2  # with no answer between, that eject an endpoint
-CONSECUTIVE_LOST_CONNECTIONS: Final = 3  # which may be the fault of the path
-CONSECUTIVE_MALFORMED_RESPONSES: Final = 6  # fewer may be the fault of the path
-CHANCE_PROBABILITY: Final = 1e-4  # a row of failures that chance makes likelier than this ejects nobody
-FAILURE_RATE_OBJECTIVES: Final = 4.0  # failures are counted over this many of the longest objective
-MIN_ENDED_ATTEMPTS: Final = 50.0  # at other endpoints in that time, to estimate chance from
-FIRST_EJECTION_OBJECTIVES: Final = 2.0  # longest objectives; doubles with each failed probation
+"""Failures of the endpoint: several in a row eject it."""
+
+SILENT_REASON: Final = "silent"  # in the log: the endpoint accepts requests but answers none
+CONSECUTIVE_FAILURES: Final = 2  # failures without an answer in between that eject an endpoint
+CONSECUTIVE_LOST_CONNECTIONS: Final = 3  # higher: the network path may have lost them
+CONSECUTIVE_MALFORMED_RESPONSES: Final = 6  # higher: the network path may have damaged them
+SIGNIFICANCE_LEVEL: Final = 1e-4  # failures in a row that are likelier than this by chance eject nobody
+FAILURE_RATE_OBJECTIVES: Final = 4.0  # failure rates are averaged over this many longest objectives
+MIN_ENDED_ATTEMPTS: Final = 50.0  # at the other endpoints in that time, to estimate their failure rate
+FIRST_EJECTION_OBJECTIVES: Final = 2.0  # longest objectives; doubles with every failed probation
 MAX_EJECTION_OBJECTIVES: Final = 16.0
 MAX_EJECTION_DOUBLINGS: Final = 8
-MAX_EJECTED_FRACTION: Final = 0.6  # of the list: the rest must bear the load
-MAX_SILENT_FRACTION: Final = 0.34  # more silent endpoints are overload
-MIN_ENDPOINTS_LEFT: Final = 4  # by ejections of endpoints where nobody listens
-MIN_ANSWERS_SINCE_SENT: Final = 4  # of all endpoints: fewer show no difference between them
+MAX_EJECTED_FRACTION: Final = 0.6  # of the list: the rest must carry the load
+MAX_SILENT_FRACTION: Final = 0.34  # if a larger part is silent, the cause is overload
+MIN_ENDPOINTS_LEFT: Final = 4  # after ejections for refused connections
+MIN_ANSWERS_SINCE_SENT: Final = 4  # by all endpoints: fewer do not distinguish a silent one
 
 
 class OutlierDetector:
     """Decides which endpoints get no requests, from the outcomes of attempts.
 
-    Owns the failure rates, the count of answers, and each endpoint's ejection and probation.  An ejected
-    endpoint is readmitted by one answered probation attempt at a time.  Guards no rule alone: it limits what
-    a bad server costs.
+    Owns the failure rates, the count of answers, and the ejection and probation of endpoints.  One answered
+    probation attempt readmits an ejected endpoint.  No rule depends on it alone: it limits what a bad server
+    costs.
     """
 
     def __init__(
@@ -69,16 +69,16 @@
         self.answers = 0  # of all endpoints
 
     def settings_changed(self) -> None:
-        """Take up the settings in force."""
+        """Apply the current settings."""
         self.failure_span_us = FAILURE_RATE_OBJECTIVES * self._context.longest_objective_us
         for rate in (self._failures, self._ended_attempts):
-            rate.over(self.failure_span_us)
+            rate.set_span(self.failure_span_us)
         self._endpoints.set_failure_span(self.failure_span_us)
 
     # Evidence
 
     def record_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Learn from the end of an attempt; eject or readmit its endpoint."""
+        """Count the outcome of an attempt; eject or readmit its endpoint."""
         endpoint = attempt.endpoint
         is_probation = self.is_open_probation(attempt)
         if endpoint.probation_attempt is attempt:
@@ -107,21 +107,21 @@
         self.eject(endpoint, Outcome.CONNECTION_REFUSED.value)
         if endpoint.ejected_until is not None:
             endpoint.refuses_connections = True
-            # Whatever listens there next has just started.
+            # A process that listens there later will have just started.
             self._slow_start.begin(endpoint, self._context.now)
 
     def _record_malformed_response(self, endpoint: Endpoint, is_probation: bool) -> None:
-        """Eject only after a longer row: responses of all endpoints may be damaged on the path."""
+        """Eject after more in a row than failures need: the path may damage all responses."""
         endpoint.malformed_responses += 1
         endpoint.last_answer_at = self._context.now
-        is_row = endpoint.malformed_responses >= CONSECUTIVE_MALFORMED_RESPONSES
-        if is_probation or (is_row and endpoint.ejected_until is None):
+        has_reached_limit = endpoint.malformed_responses >= CONSECUTIVE_MALFORMED_RESPONSES
+        if is_probation or (has_reached_limit and endpoint.ejected_until is None):
             self.eject(endpoint, Outcome.MALFORMED.value)
 
     def _record_failure(self, attempt: Attempt, outcome: Outcome, is_probation: bool) -> None:
         endpoint = attempt.endpoint
         if outcome is Outcome.TIMED_OUT and endpoint.last_answer_at > attempt.sent_at:
-            return  # it is slow, not down: it answered others meanwhile
+            return  # it is slow, not down: it has answered since the attempt was sent
         if (
             outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
             and self._stale_connections.record_silence(attempt)
@@ -131,15 +131,16 @@
         self._count_end(endpoint, True)
         endpoint.consecutive_failures += 1
         is_lost = outcome is Outcome.CONNECTION_LOST
-        needed = max(
+        threshold = max(
             CONSECUTIVE_LOST_CONNECTIONS if is_lost else CONSECUTIVE_FAILURES,
-            self._failures_by_chance(endpoint),
+            self._significant_failures(endpoint),
         )
-        if is_probation or (endpoint.consecutive_failures >= needed and endpoint.ejected_until is None):
+        if is_probation or (endpoint.consecutive_failures >= threshold and endpoint.ejected_until is None):
             self.eject(endpoint, outcome.value)
             if is_probation and outcome is Outcome.CONNECT_FAILED:
-                # It is down, and may start again before the list shows it.  Lost connections say less: the
-                # path may cause them, and a fleet taken for cold has no capacity for anyone.
+                # The endpoint is down, and may restart before the list shows it.  Lost connections do not
+                # prove that: the path may cause them, and endpoints that are all in slow start by mistake
+                # have no capacity.
                 self._slow_start.begin(endpoint, self._context.now)
 
     def _count_end(self, endpoint: Endpoint, is_failure: bool) -> None:
@@ -150,21 +151,21 @@
             self._failures.add(now, 1.0)
             endpoint.failures.add(now, 1.0)
 
-    def _failures_by_chance(self, endpoint: Endpoint) -> float:
-        """Return the shortest row of failures that chance does not explain, by the others' failure rate.
+    def _significant_failures(self, endpoint: Endpoint) -> float:
+        """Return how many failures in a row are improbable at the failure rate of the other endpoints.
 
-        Where connections to all endpoints break alike, ejecting one after the other would only leave more
-        failures for the rest.  Where nothing else fails, no row is chance; where all does, each is.
+        Where connections to all endpoints break alike, ejecting one after the other would only move failures
+        to the rest.  With no failures elsewhere any number is significant; where all fail, none is.
         """
         now = self._context.now
         ended = self._ended_attempts.per_us(now) - endpoint.ended_attempts.per_us(now)
         failed = self._failures.per_us(now) - endpoint.failures.per_us(now)
         if ended * self._ended_attempts.span_us < MIN_ENDED_ATTEMPTS or failed <= 0.0:
             return 0.0
-        return math.log(CHANCE_PROBABILITY) / math.log(min(failed / ended, 0.99))
+        return math.log(SIGNIFICANCE_LEVEL) / math.log(min(failed / ended, 0.99))
 
     def record_silence(self, attempt: Attempt) -> None:
-        """Eject an endpoint that has not answered an overdue attempt, while the others answer theirs."""
+        """Eject the endpoint of an overdue attempt if the others have answered since it was sent."""
         if attempt.endpoint.ejected_until is not None:
             return
         if self.answers - attempt.answers_before < MIN_ANSWERS_SINCE_SENT:
@@ -189,9 +190,9 @@
     def _may_eject(self, reason: str, max_fraction: float) -> bool:
         ready, ejected = len(self._endpoints.ready), self._endpoints.ejected
         if reason == Outcome.CONNECTION_REFUSED.value:
-            # It is certain that nobody is there, so this may go further than other reasons.
+            # A refused connection proves that no server listens, so more endpoints may be ejected for it.
             return len(ejected) + 1 <= max(max_fraction * ready, ready - MIN_ENDPOINTS_LEFT)
-        refusing = sum(each.refuses_connections for each in ejected)
+        refusing = sum(endpoint.refuses_connections for endpoint in ejected)
         subset = subset_size(self._concurrency.mean_load)
         return len(ejected) - refusing + 1 <= max_fraction * min(ready - refusing, subset)
 
@@ -209,7 +210,7 @@
     # Probation
 
     def is_open_probation(self, attempt: Attempt) -> bool:
-        """Return whether the attempt decides on its endpoint's ejection, and has not done so yet."""
+        """Return whether the attempt is to decide whether its endpoint is readmitted."""
         endpoint = attempt.endpoint
         return (
             endpoint.probation_attempt is attempt
@@ -218,16 +219,16 @@
         )
 
     def prolong_cancelled_probation(self, attempt: Attempt) -> None:
-        """Prolong the ejection of an endpoint whose probation attempt is cancelled for its silence.
+        """Prolong the ejection of an endpoint whose probation attempt is cancelled as silent.
 
-        A cancelled attempt proves nothing when it ends, and the next probation would follow at once.
+        The outcome of a cancelled attempt proves nothing, so the next probation would follow at once.
         """
         if self.is_open_probation(attempt):
             until = self._context.jittered_time_after(FIRST_EJECTION_OBJECTIVES)
             attempt.endpoint.ejected_until = until
 
     def endpoint_on_probation(self, request: OpenRequest) -> Endpoint | None:
-        """Return an ejected endpoint that this request may test; it has to be idempotent and unsent."""
+        """Return an ejected endpoint to test with this request, if it is idempotent and not yet sent."""
         if request.service_class.idempotency is not Idempotency.IDEMPOTENT or request.attempts:
             return None
         for endpoint in self._endpoints.ejected:
--- a/micadeck/policy/overdue_attempts.py
+++ b/micadeck/policy/overdue_attempts.py
@@ -1,4 +1,4 @@
-"""Overdue attempts: those that take far longer than usual, long before they time out."""
+"""Overdue attempts: those that take far longer than usual but have not timed out."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from micadeck.policy.outlier_detection import OutlierDetector
 from micadeck.policy.timers import TimerQueue
 
-SILENCE_MULTIPLE: Final = 2.0  # of the time after which an attempt is overdue: its endpoint is silent
+SILENCE_MULTIPLE: Final = 2.0  # of the time until an attempt is overdue: then its endpoint is silent
 MIN_SILENCE_OBJECTIVE_FRACTION: Final = 0.5
 
 
 class OverdueDetector:
     """Decides whether a pending attempt is late, and whether its endpoint is silent.
 
-    Owns no state.  It guards no rule: what follows for the request is the balancer's decision.
+    Owns no state.  Guards no rule: the balancer decides how the request continues.
     """
 
     def __init__(
@@ -37,15 +37,15 @@
         self._outliers = outliers
 
     def schedule(self, request: OpenRequest, attempt: Attempt) -> None:
-        """Set the time at which an attempt that begins now is overdue."""
+        """Schedule the check whether an attempt that begins now is overdue."""
         due = self._context.now + self._latency.overdue_after_us(request, attempt)
         self._timers.schedule(due, request.request_id, attempt.index)
 
     def check(self, request: OpenRequest, attempt: Attempt) -> bool:
         """Learn from an overdue attempt; return whether to replace it.
 
-        This finds servers that take requests and answer nothing, long before timeouts would.  A server that
-        answered anything since is slow, not silent; if others are as silent, all are overloaded.
+        This finds servers that accept requests and answer none, long before timeouts would.  A server that
+        answered anything since is slow, not silent; if many are silent, all are overloaded.
         """
         endpoint = attempt.endpoint
         is_silent = endpoint.last_answer_at <= attempt.sent_at
@@ -63,7 +63,7 @@
         return endpoint.ejected_until is not None or attempt.suspects_stale_connection
 
     def _record_lateness(self, request: OpenRequest, attempt: Attempt) -> None:
-        """Count a late attempt as overload before its response comes, which would show a surge too late."""
+        """Count a late attempt as overload at once: its end would show a surge too late."""
         objective = request.service_class.latency_objective_us
         late_after = int(objective * (1.0 + HANDSHAKE_OBJECTIVE_FRACTION * attempt.opens_connection))
         if self._context.now - attempt.sent_at < late_after:
--- a/micadeck/policy/retry_policy.py
+++ b/micadeck/policy/retry_policy.py
@@ -10,18 +10,18 @@
 from micadeck.policy.open_requests import Attempt, OpenRequest
 from micadeck.policy.settings import DeduplicationScope, Idempotency, Limits, Rules, Settings
 
-RETRIES_PER_REQUEST: Final = 0.2  # retries after failures that each request adds to the budget
-RETRY_BUDGET_REQUESTS: Final = 50.0  # requests whose retries may be saved up
-MAX_UNCOUNTED_DIALS: Final = 8  # refused connections of one request that do not count as attempts
+RETRIES_PER_REQUEST: Final = 0.2  # retries after failures that one request adds to the budget
+RETRY_BUDGET_REQUESTS: Final = 50.0  # the budget holds at most the retries of this many requests
+MAX_UNCOUNTED_DIALS: Final = 8  # refused connections of a request that do not count as attempts
 DELIVERY_DIAL_FRACTION: Final = 0.2  # of the dial timeout: the longest delivery of a request to a server
 MAX_DELIVERY_WINDOW_FRACTION: Final = 0.1  # of the idempotency window
 RETRY_AFTER_OBJECTIVE_FRACTION: Final = 0.15
 
 
 class RetryBudget:
-    """Decides whether a failed attempt may be retried at all, from the numbers of requests and retries.
+    """Decides whether a failed attempt may be retried, from the numbers of requests and retries.
 
-    Owns the balance.  It bounds retry storms: retries are a fixed part of the requests.
+    Owns the balance.  It prevents retry storms: retries are at most a fixed part of the requests.
     """
 
     def __init__(self) -> None:
@@ -45,27 +45,27 @@
 
 
 def has_attempts_left(request: OpenRequest, limits: Limits) -> bool:
-    """Return whether the limit on attempts lets another one out.
+    """Return whether the limit on attempts allows another one.
 
-    A refused connection was no attempt: nothing was written, so the next may follow at once.  Storms of dials
-    are prevented by the ejection of each endpoint that refused one.
+    A refused connection does not count: nothing was written, so the next attempt may follow at once.  The
+    ejection of endpoints that refuse connections prevents storms of dials.
     """
     made = len(request.attempts) - min(request.refused_connections, MAX_UNCOUNTED_DIALS)
     return made < request.attempt_limit and made < limits.max_attempts
 
 
-def _first_that_may_have_run(request: OpenRequest) -> Attempt | None:
-    return next((each for each in request.attempts if each.may_have_run), None)
+def _first_attempt_that_may_have_run(request: OpenRequest) -> Attempt | None:
+    return next((attempt for attempt in request.attempts if attempt.may_have_run), None)
 
 
 def retry_deadline(request: OpenRequest, settings: Settings) -> int | None:
-    """Return until when another attempt may begin to run, or None for any time.
+    """Return by when another attempt must be written, or None for any time.
 
-    An idempotency key protects until the servers forget it, counted from the first moment at which an earlier
-    attempt may have started: less one tick, since the clock is read once a tick, and less the delivery.
+    An idempotency key protects until the servers forget it, counted from when the first attempt that may have
+    run was sent: less one tick, since the clock is read once a tick, and less the time of delivery.
     """
     idempotency = request.service_class.idempotency
-    first = _first_that_may_have_run(request)
+    first = _first_attempt_that_may_have_run(request)
     if first is None or idempotency is Idempotency.IDEMPOTENT:
         return None
     if idempotency is Idempotency.NON_IDEMPOTENT:
@@ -89,7 +89,7 @@
     scope = service_class.deduplication_scope
     if service_class.idempotency is not Idempotency.KEYED or scope is DeduplicationScope.ALL:
         return True
-    first = _first_that_may_have_run(request)
+    first = _first_attempt_that_may_have_run(request)
     if first is None:
         return True
     if scope is DeduplicationScope.ZONE:
@@ -98,27 +98,27 @@
 
 
 def may_finish_session(request: OpenRequest, endpoint: Endpoint, now: int, rules: Rules) -> bool:
-    """Return whether a draining endpoint may still get what it alone can serve: the rest of a session."""
+    """Return whether a draining endpoint may still get a session's requests, which it alone can serve."""
     is_permitted = request.sticky_endpoint is not None and endpoint.state is ServerState.DRAINING
     return is_permitted and now < endpoint.state_changed_at + rules.session_drain_grace_us
 
 
 def is_safe_to_reject(request: OpenRequest) -> bool:
-    """Return whether the client may send the request again without a second effect."""
+    """Return whether the client may repeat the request without a second effect."""
     service_class = request.service_class
     if service_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     is_keyed = service_class.idempotency is Idempotency.KEYED
     if is_keyed and service_class.deduplication_scope is DeduplicationScope.ALL:
         return True
-    return _first_that_may_have_run(request) is None
+    return _first_attempt_that_may_have_run(request) is None
 
 
 def retry_after_us(request: OpenRequest, limits: Limits, generator: random.Random) -> int:
-    """Return when a rejected client should try again; random, so that not all return at once.
+    """Return after how long a rejected client should retry, with jitter so that not all retry together.
 
-    Clients that return at once would be rejected again, and take the time in which others could be served.
-    An answer later than the objective would have little value.
+    An immediate retry would be rejected again and take capacity from others; one that is answered after the
+    objective would have little value.
     """
     if not limits.retry_after:
         return 0
--- a/micadeck/policy/selection.py
+++ b/micadeck/policy/selection.py
@@ -16,15 +16,15 @@
 from micadeck.policy.retry_policy import is_in_deduplication_scope
 from micadeck.policy.slow_start import SlowStart
 
-CANDIDATES: Final = 4  # k: counts are mostly small here, where two candidates find too little
+CANDIDATES: Final = 4  # k: two candidates differ too little while requests in flight are few, as is usual
 MAX_LATENCY_EXPONENT: Final = 3.0  # for requests of four times the mean cost or more
 
 
 class EndpointSelector:
     """Decides which endpoint an attempt goes to, from load, latency, locality and earlier attempts.
 
-    Owns no state but that of its locality weights.  It only proposes: the rules are enforced where attempts
-    are sent.
+    Owns no state but its locality weights.  Its choice is a proposal: the balancer enforces the rules when it
+    sends an attempt.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._locality = LocalityWeights(context, endpoints, concurrency)
 
     def choose(self, request: OpenRequest) -> Endpoint | None:
-        """Return the candidate with the fewest own requests in flight, or None if there is no candidate."""
+        """Return the candidate with the fewest own requests in flight, or None without candidates."""
         if request.sticky_endpoint is not None:
             return self._endpoints.by_name.get(request.sticky_endpoint) if not request.attempts else None
         on_probation = self._outliers.endpoint_on_probation(request)
@@ -57,16 +57,16 @@
         best: Endpoint | None = None
         best_rank = (0, 0.0)
         for endpoint in self.draw(pool, weights, CANDIDATES << request.full_responses):
-            busy = self.requests_at(endpoint)
-            if best is None or (busy, endpoint.relative_latency) < best_rank:
-                best, best_rank = endpoint, (busy, endpoint.relative_latency)
+            in_flight = self.requests_at(endpoint)
+            if best is None or (in_flight, endpoint.relative_latency) < best_rank:
+                best, best_rank = endpoint, (in_flight, endpoint.relative_latency)
         return best
 
     def _subset(self, request: OpenRequest) -> list[Endpoint]:
         """Return the first eligible endpoints by random rank, as many as the traffic can keep in use.
 
-        Many small balancers before a large fleet would otherwise hold a connection each to every server,
-        more than servers accept, and learn next to nothing of any.
+        Otherwise many small balancers of a large fleet would all hold a connection to every server: more than
+        servers accept, and with too few responses from any to learn from.
         """
         size = subset_size(self._concurrency.mean_load)
         remote_left = local_left = size
@@ -78,18 +78,18 @@
         pool: list[Endpoint] = []
         spare: list[Endpoint] = []
         backing_off: list[Endpoint] = []
-        for each in self._endpoints.ready:
-            if not self._is_eligible(each, request):
+        for endpoint in self._endpoints.ready:
+            if not self._is_eligible(endpoint, request):
                 continue
-            if is_backing_off(self._context, each, request.service_class.name):
-                backing_off.append(each)
+            if is_backing_off(self._context, endpoint, request.service_class.name):
+                backing_off.append(endpoint)
                 continue
-            if each.zone == zone:
+            if endpoint.zone == zone:
                 local_left -= 1
-                (pool if local_left >= 0 else spare).append(each)
+                (pool if local_left >= 0 else spare).append(endpoint)
             else:
                 remote_left -= 1
-                (pool if remote_left >= 0 else spare).append(each)
+                (pool if remote_left >= 0 else spare).append(endpoint)
             if len(pool) >= size:
                 break
         pool += spare[: size - len(pool)]
@@ -101,20 +101,22 @@
         if request.attempts:
             if endpoint in request.failed_endpoints or not is_in_deduplication_scope(request, endpoint):
                 return False
-            if any(each.is_pending and each.endpoint is endpoint for each in request.attempts):
-                return False  # a hedged request goes elsewhere
+            if any(attempt.is_pending and attempt.endpoint is endpoint for attempt in request.attempts):
+                return False  # a hedged request goes to another endpoint
         return endpoint.cold_since is None or self._slow_start.has_budget(endpoint, request.relative_cost)
 
     def _weights(self, pool: list[Endpoint], request: OpenRequest) -> list[float]:
         remote = self._locality.remote_weight()
         zone = self._context.settings.zone
         exponent = min(max(1.0, float(request.cost_exponent)), MAX_LATENCY_EXPONENT)
-        return [self._weight(each, exponent) * (1.0 if each.zone == zone else remote) for each in pool]
+        return [
+            self._weight(endpoint, exponent) * (1.0 if endpoint.zone == zone else remote) for endpoint in pool
+        ]
 
     def _weight(self, endpoint: Endpoint, exponent: float) -> float:
         """Return a lower weight for slower endpoints, lower still for heavy requests.
 
-        With few requests most counts in flight are zero, and the draw decides.
+        With little traffic most endpoints tie at no requests in flight, so these weights decide.
         """
         latency = math.pow(max(endpoint.relative_latency, 1.0 / MAX_RELATIVE_LATENCY), exponent)
         if endpoint.cold_since is None:
@@ -122,17 +124,17 @@
         return self._slow_start.capacity_fraction(endpoint) / latency
 
     def draw(self, pool: list[Endpoint], weights: list[float], count: int) -> list[Endpoint]:
-        """Draw distinct endpoints by weight; in random order, so that ties are broken by chance."""
+        """Draw distinct endpoints by weight; their random order breaks ties."""
         chosen = []
-        left = list(range(len(pool)))
+        remaining = list(range(len(pool)))
         total = sum(weights)
         for _ in range(min(count, len(pool))):
             point = self._context.random.random() * total
-            at = 0
-            while at < len(left) - 1 and point >= weights[left[at]]:
-                point -= weights[left[at]]
-                at += 1
-            index = left.pop(at)
+            position = 0
+            while position < len(remaining) - 1 and point >= weights[remaining[position]]:
+                point -= weights[remaining[position]]
+                position += 1
+            index = remaining.pop(position)
             total -= weights[index]
             chosen.append(pool[index])
         return chosen
@@ -140,8 +142,7 @@
     def requests_at(self, endpoint: Endpoint) -> int:
         """Return the own requests in flight at an endpoint, abandoned ones included.
 
-        Those may still run there: a slow or hung server must not look empty because its attempts were
-        cancelled.
+        These may still run: a slow or hung server must not look idle because of cancellation.
         """
         if endpoint.abandoned_until:
             now = self._context.now
--- a/micadeck/policy/settings.py
+++ b/micadeck/policy/settings.py
@@ -1,9 +1,8 @@
 """The settings of one balancer.
 
-Times are integers, in microseconds.  Settings hold what a decision, or the program around the balancer, can
-act on; the balancer itself does not read all of them.  Left out on purpose: the names of zones, tiers and the
-kind of service (a decision that followed a name would be wrong elsewhere), and the prices of things that no
-action here can cause.
+Times are integers, in microseconds.  Settings hold what the balancer or the program around it can act on;
+the balancer does not read all of them.  Left out on purpose: the names of zones, tiers and kinds of service
+(a decision by name would be wrong in other deployments), and prices of what no action here can cause.
 """
 
 from __future__ import annotations
@@ -17,10 +16,10 @@
 from micadeck.policy.settings_reader import MappingReader, SettingsError
 
 NOTIFICATION_DEADLINE_US = 6_000_000
-"""Deadline for noticing a change that discovery has and can be reached for, whatever calls failed before.
+"""Deadline for receiving a change from discovery while it is reachable, after any earlier failures.
 
-Each wait before a call to discovery and each timeout of one is a part of it, however long a poll interval the
-settings allow; `micadeck.membership.watch_health` adds them up.
+Backoffs and timeouts of calls to discovery must fit into it, however long a poll interval the settings allow;
+`micadeck.membership.watch_health` adds them up.
 """
 
 
@@ -29,7 +28,7 @@
     """Whether requests of a class may run more than once."""
 
     IDEMPOTENT = "safe"  # may run any number of times
-    KEYED = "keyed"  # they carry an idempotency key, which some servers remember for a while
+    KEYED = "keyed"  # carry an idempotency key, which some servers remember for a while
     NON_IDEMPOTENT = "unsafe"  # must never run twice
 
 
@@ -123,21 +122,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The parameters of the rules.  The defaults are the cautious ends."""
+    """The parameters of the rules.  The defaults are cautious."""
 
     answer_slack_us: int = 0
     max_poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
-    session_drain_grace_us: int = 0  # of that, for requests with session affinity
+    session_drain_grace_us: int = 0  # of drain_grace_us, for requests with session affinity
     slow_start_initial_share: float = 0.1
     slow_start_us: int = 30_000_000
     overload_multiple: float = 1.0
     overload_window_us: int = 2_000_000
-    full_may_have_run: bool = False  # servers may answer full for requests that they had started
-    close_idle_within_us: int | None = None  # to draining servers; None: no such rule
+    full_may_have_run: bool = False  # a full response does not prove that the request did not run
+    close_idle_within_us: int | None = None  # idle connections to draining servers; None: no such rule
 
     def never_ran(self, outcome: Outcome) -> bool:
-        """Return whether the outcome proves that the server did nothing of the request."""
+        """Return whether the outcome proves that the request did not run."""
         if outcome is Outcome.FULL:
             return not self.full_may_have_run
         return outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_REFUSED, Outcome.NOT_SENT)
@@ -145,28 +144,28 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficPrices:
-    """What extra traffic costs, as a part of all service, mostly for one per request."""
+    """What extra traffic costs, as a part of all service; unless noted, for one per request."""
 
     cross_zone: float = 0.0
     probe: float = 0.0
-    message: float = 0.0  # for 256 bytes a request, delivered
-    waste: float = 0.0  # for server work without an answer, as much as was requested
+    message: float = 0.0  # for 256 delivered bytes per request
+    waste: float = 0.0  # for as much unanswered server work as was requested
     handshake: float = 0.0
-    connection: float = 0.0  # for a hundred open connections a server
-    discovery: float = 0.0  # for a hundred list entries a request
+    connection: float = 0.0  # for a hundred open connections per server
+    discovery: float = 0.0  # for a hundred list entries per request
     late_fail: float = 0.0  # for all priority weight that is unserved after its latency objective
 
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """The weights of the goals in the total; all zero: not given."""
+    """Weights of the goals; all zero: not given."""
 
     overall: float = 0.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
     tail: float = 0.0
-    tail_slack: float = 0.0  # the part of requests that may miss their objective before the tail shrinks
+    tail_slack: float = 0.0  # part of the requests that may miss their objective at no loss of the tail goal
 
 
 @dataclass(frozen=True, slots=True)
@@ -201,16 +200,16 @@
             SettingsError: A value cannot be used; the text names its key.
         """
         top = MappingReader(given, "settings")
-        classes = tuple(_service_class(each) for each in top.mappings("classes"))
+        classes = tuple(_read_service_class(reader) for reader in top.mappings("classes"))
         if not classes:
             raise SettingsError("classes", "at least one class of requests is needed")
         tenants = tuple(
-            Tenant(each.text("name"), each.number("share", 1.0), each.number("quota_per_s", 0.0))
-            for each in top.mappings("tenants")
+            Tenant(reader.text("name"), reader.number("share", 1.0), reader.number("quota_per_s", 0.0))
+            for reader in top.mappings("tenants")
         )
         for label, names in (("classes", [c.name for c in classes]), ("tenants", [t.name for t in tenants])):
             if len(set(names)) != len(names):
-                raise SettingsError(label, "a name stands twice")
+                raise SettingsError(label, "a name occurs twice")
         report = top.mapping("report")
         limits, rules, prices = top.mapping("limits"), top.mapping("rules"), top.mapping("prices")
         goal, habits, domain = top.mapping("goal"), top.mapping("client_habits"), top.mapping("domain")
@@ -237,19 +236,19 @@
         )
 
 
-def _service_class(each: MappingReader) -> ServiceClass:
-    deadline = each.integer("deadline_us", None, low=1)
+def _read_service_class(reader: MappingReader) -> ServiceClass:
+    deadline = reader.integer("deadline_us", None, low=1)
     return ServiceClass(
-        name=each.text("name"),
+        name=reader.text("name"),
         deadline_us=deadline,
-        latency_objective_us=min(each.integer("aim_us", deadline, low=1), deadline),
-        priority_weight=each.number("worth", 1.0),
-        late_priority_weight=each.number("late_worth", 0.0),
-        idempotency=each.choice("repeat", Idempotency, Idempotency.NON_IDEMPOTENT),
-        deduplication_scope=each.choice("group", DeduplicationScope, DeduplicationScope.CELL),
-        idempotency_window_us=each.integer("memory_us", 0),
-        streaming=each.flag("streaming", False),
-        objective_scaling=each.number("aim_stretch", 0.0),
+        latency_objective_us=min(reader.integer("aim_us", deadline, low=1), deadline),
+        priority_weight=reader.number("worth", 1.0),
+        late_priority_weight=reader.number("late_worth", 0.0),
+        idempotency=reader.choice("repeat", Idempotency, Idempotency.NON_IDEMPOTENT),
+        deduplication_scope=reader.choice("group", DeduplicationScope, DeduplicationScope.CELL),
+        idempotency_window_us=reader.integer("memory_us", 0),
+        streaming=reader.flag("streaming", False),
+        objective_scaling=reader.number("aim_stretch", 0.0),
     )
 
 
--- a/micadeck/policy/slow_start.py
+++ b/micadeck/policy/slow_start.py
@@ -11,25 +11,24 @@
 from micadeck.policy.events import ServerState
 from micadeck.policy.settings import NOTIFICATION_DEADLINE_US, Settings
 
-MAX_CLOCK_STEP_US: Final = 2 * 3_600 * 1_000_000  # a start longer ago than this is believed
-BUDGET_FRACTION: Final = 0.25  # part of the overload rate at which the budget of a cold endpoint fills
-BURST_FRACTION: Final = 0.18  # part of an overload window's requests that may be sent at once
+MAX_CLOCK_STEP_US: Final = 2 * 3_600 * 1_000_000  # starts longer ago than this are not corrected
+BUDGET_FRACTION: Final = 0.25  # of the overload rate: the rate at which the budget of a cold endpoint fills
+BURST_FRACTION: Final = 0.18  # of the requests of an overload window: how many may be sent at once
 RATE_WINDOWS: Final = 2.0  # rates are averaged over this many overload windows
 
 
 def plausible_start(listed: int, now: int, last_update: int | None, was_listed: bool) -> int:
-    """Return when an endpoint started whose list names a new start.
+    """Return the plausible start time of an endpoint for which the list gives a new one.
 
-    A list names starts by the wall clock of its machine; ages are measured on a clock that never steps.  So a
-    start is believed only as far as the list itself allows: it is not in the future, and a new start did not
-    happen before the previous list.  Guards rule 4: a cold endpoint that passes for warm is overloaded.
+    Listed start times come from a wall clock, which may be stepped; ages are measured on a monotonic clock.
+    So a start time is limited to what the lists allow: not in the future, and not before the previous list.
+    Guards rule 4: a cold endpoint that is taken for warm is overloaded.
 
     Args:
-        listed: The start that the list names, in microseconds of the clock of `now`.
+        listed: The listed start time, in microseconds of the clock of `now`.
         now: The time at which the list was received, in microseconds.
-        last_update: When the list was received before, or None.
-        was_listed: Whether the endpoint was listed with another start; one that was not may have run for a
-            while before it was listed.
+        last_update: When the previous list was received, or None.
+        was_listed: Whether the endpoint was listed before; a new one may have run for a while unlisted.
     """
     if last_update is None or now - listed > MAX_CLOCK_STEP_US:
         return min(listed, now)
@@ -38,7 +37,7 @@
 
 
 class SlowStart:
-    """Decides whether a cold endpoint may get one more request, from its age and what warm ones serve.
+    """Decides whether a cold endpoint may get a request, from its age and what warm ones serve.
 
     Owns the rates of arrivals and of answers by warm endpoints, the set of endpoints that may be cold, and
     their budgets.  Guards rule 4: a starting endpoint is not overloaded by the sum of all balancers.
@@ -54,16 +53,16 @@
         span_us = _rate_span_us(context.settings)
         self._arrivals = DecayingRate(span_us)
         self._answered_by_warm = DecayingRate(span_us)
-        self._cold: dict[str, Endpoint] = {}  # until it is seen that they are warm
+        self._cold: dict[str, Endpoint] = {}  # those that may still be cold
         self._warm_rate = 0.0  # what a warm endpoint of mean size serves for this balancer, per microsecond
         self._mean_capacity = 1.0
         self._rate_updated_at = -1
 
     def settings_changed(self) -> None:
-        """Take up the settings in force."""
+        """Apply the current settings."""
         span_us = _rate_span_us(self._context.settings)
         for rate in (self._arrivals, self._answered_by_warm):
-            rate.over(span_us)
+            rate.set_span(span_us)
 
     def record_arrival(self) -> None:
         """Count a new request."""
@@ -75,9 +74,9 @@
             self._answered_by_warm.add(self._context.now, 1.0)
 
     def begin(self, endpoint: Endpoint, since: int) -> None:
-        """Take an endpoint for cold since this time.
+        """Begin slow start of an endpoint, as of this time.
 
-        Its budget begins at a random level: from none, all balancers would send at the same time, and late.
+        Its budget starts at a random level: from 0, all balancers would first send at one time, and late.
         """
         endpoint.cold_since = since
         self._cold[endpoint.name] = endpoint
@@ -92,7 +91,7 @@
         )
 
     def capacity_fraction(self, endpoint: Endpoint) -> float:
-        """Return the part of its capacity that an endpoint is sure to have by now."""
+        """Return the part of its full capacity that an endpoint has by now."""
         if endpoint.cold_since is None or not self.is_cold(endpoint):
             return 1.0
         rules = self._context.settings.rules
@@ -103,8 +102,8 @@
     def has_budget(self, endpoint: Endpoint, cost: float) -> bool:
         """Return whether the budget of an endpoint allows a request of this relative cost.
 
-        The budget fills with a part of what would overload the endpoint, judged by what this balancer's warm
-        endpoints serve for it; the sum over all balancers stays below the overload.
+        The budget fills at a part of the rate that would overload the endpoint, estimated from what warm
+        endpoints serve for this balancer; so the sum over all balancers stays below overload.
         """
         if not self.is_cold(endpoint):
             return True
@@ -121,12 +120,12 @@
         return endpoint.slow_start_allowance >= min(cost, burst)
 
     def spend(self, endpoint: Endpoint, cost: float) -> None:
-        """Take a request that is sent from the budget of a cold endpoint."""
+        """Deduct a sent request from the budget of a cold endpoint."""
         if self.is_cold(endpoint):
             endpoint.slow_start_allowance -= cost
 
     def _sustained_rate(self) -> float:
-        """Return what a warm endpoint serves for this balancer; computed once for each instant."""
+        """Return the rate that a warm endpoint serves for this balancer; cached until time advances."""
         if self._rate_updated_at != self._context.now:
             self._rate_updated_at = self._context.now
             self._update_sustained_rate()
@@ -134,12 +133,12 @@
 
     def _update_sustained_rate(self) -> None:
         endpoints = self._endpoints
-        self._cold = {name: each for name, each in self._cold.items() if self.is_cold(each)}
-        cold = [each for each in self._cold.values() if each.state is ServerState.READY]
+        self._cold = {name: endpoint for name, endpoint in self._cold.items() if self.is_cold(endpoint)}
+        cold = [endpoint for endpoint in self._cold.values() if endpoint.state is ServerState.READY]
         count = len(endpoints.ready) - len(cold)
-        capacity = endpoints.ready_capacity - sum(each.nominal for each in cold)
+        capacity = endpoints.ready_capacity - sum(endpoint.nominal for endpoint in cold)
         served = self._answered_by_warm
-        if not count:  # ejected ones count as well: they served a part of it
+        if not count:  # all are cold; the ejected ones are included: they served a part of the requests
             count, capacity = len(endpoints.ready), endpoints.ready_capacity
             served = self._arrivals
         subset = subset_size(self._concurrency.mean_load)
--- a/micadeck/policy/stale_connections.py
+++ b/micadeck/policy/stale_connections.py
@@ -9,23 +9,23 @@
 from micadeck.policy.endpoints import Endpoint, EndpointRegistry
 from micadeck.policy.open_requests import Attempt
 
-MIN_IDLE_OBJECTIVES: Final = 0.25  # longest objectives: a connection unused for less is taken for alive
-FAILURE_WEIGHT: Final = 0.5  # one silence on an idle connection makes stale ones as likely as not
-ANSWER_WEIGHT: Final = 0.3  # an answer on one speaks against it, but some servers may keep theirs
-MEMORY_OBJECTIVES: Final = 16.0  # longest objectives in which the evidence fades e-fold
-DISTRUST_PROBABILITY: Final = 0.25  # from here on idle connections are not relied on
+MIN_IDLE_OBJECTIVES: Final = 0.25  # longest objectives: a connection idle for less is assumed to be alive
+FAILURE_WEIGHT: Final = 0.5  # one silent idle connection makes stale ones as likely as not
+ANSWER_WEIGHT: Final = 0.3  # lower: other servers' idle connections may be stale in spite of an answer
+MEMORY_OBJECTIVES: Final = 16.0  # longest objectives: time constant of the probability's decay
+DISTRUST_PROBABILITY: Final = 0.25  # from here on idle connections are closed, not reused
 
 
 class StaleConnectionDetector:
     """Decides whether an idle connection may be reused, from answers and silence on earlier ones.
 
     Owns the probability that an idle connection is stale, and the shortest idle time at which one was.  A
-    request on a stale connection gets no answer though neither the endpoint nor the fleet is at fault, so
-    this keeps endpoints from being ejected for it.  It costs handshakes while a few hung servers look alike.
+    request on a stale connection gets no answer although the endpoint is healthy; this prevents its
+    ejection.  Hung servers look alike, so a few of them cost handshakes.
     """
 
     def __init__(self, context: DecisionContext, endpoints: EndpointRegistry) -> None:
-        """Start with trust in idle connections."""
+        """Start with probability 0."""
         self._context = context
         self._endpoints = endpoints
         self._probability = 0.0  # as of _updated_at
@@ -33,10 +33,10 @@
         self._shortest_idle_us = 0
 
     def take_connection(self, endpoint: Endpoint) -> int:
-        """Return how long the connection that a send would reuse has been idle; close a distrusted one.
+        """Return how long the connection to reuse has been idle; close it if it may be stale.
 
         Returns:
-            Microseconds; 0 where the connection is new or in steady use.
+            Microseconds; 0 if the connection is new or recently used.
         """
         since, endpoint.idle_since = endpoint.idle_since, None
         idle = 0 if since is None else self._context.now - since
@@ -49,13 +49,13 @@
         return idle
 
     def record_silence(self, attempt: Attempt) -> bool:
-        """Learn from an attempt without an answer; return whether a stale connection may be the cause."""
+        """Learn from a silent attempt; return whether a stale connection may be the cause."""
         if attempt.is_silence_recorded:
             return attempt.suspects_stale_connection
         attempt.is_silence_recorded = True
         probability = self._current_probability()
         if not attempt.connection_idle_us:
-            self._probability = probability * (1.0 - FAILURE_WEIGHT)  # silent on a live connection
+            self._probability = probability * (1.0 - FAILURE_WEIGHT)  # silent without being idle
             return False
         if probability < DISTRUST_PROBABILITY or attempt.connection_idle_us < self._shortest_idle_us:
             self._shortest_idle_us = attempt.connection_idle_us
--- a/micadeck/simulator_adapter.py
+++ b/micadeck/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Adapts balancers to the simulator's line protocol: it translates names and decides nothing.
+"""Adapts balancers to the simulator's line protocol: translates names, makes no decisions.
 
 Run as `python -m micadeck.simulator_adapter`.  Input that violates the protocol ends the process with one
 line on standard error and exit code 2.
@@ -45,11 +45,11 @@
 
 
 class WireError(Exception):
-    """A line that violates the protocol; the text says what was expected."""
+    """A line violates the protocol; the text says what was expected."""
 
 
-# Settings: name in the protocol -> key of `Settings.from_mapping`; others are ignored.
-_TOP = {
+# Keys of settings: name in the protocol -> key of `Settings.from_mapping`.  Other keys are ignored.
+_TOP_KEYS = {
     "lanes": "classes",
     "realms": "tenants",
     "zone": "zone",
@@ -69,7 +69,7 @@
     "clientHabits": "client_habits",
     "domain": "domain",
 }
-_NESTED = {
+_NESTED_KEYS = {
     "classes": {
         "name": "name",
         "giveUpUs": "deadline_us",
@@ -142,7 +142,7 @@
     "cached": ListKind.REMEMBERED,
     "failed": ListKind.FAILED,
 }
-_STATES = {each.value: each for each in ServerState}
+_STATES = {state.value: state for state in ServerState}
 _OUTCOMES = {
     "delivered": Outcome.DELIVERED,
     "app_error": Outcome.ERROR,
@@ -154,36 +154,36 @@
     "unused": Outcome.NOT_SENT,
 }
 _HINT_VALID, _CLIENT_RETRY, _WRITE = 1, 2, 4
-_EVERY_PEER = -1
+_ALL_PEERS = -1
 
 
 def settings_from_wire(given: object) -> Settings:
     """Translate the settings object of the protocol.
 
     Raises:
-        ValueError: A setting cannot be used; the text names its key.
+        ValueError: A setting is invalid; the message names its key.
     """
     if not isinstance(given, Mapping):
-        raise ValueError("settings: an object is needed")  # noqa: TRY004  # nonsense of any kind is one type
-    named = _renamed(given, _TOP)
-    for key, names in _NESTED.items():
+        raise ValueError("settings: an object is needed")  # noqa: TRY004  # all invalid settings raise ValueError
+    named = _renamed(given, _TOP_KEYS)
+    for key, names in _NESTED_KEYS.items():
         part = named.get(key)
         if isinstance(part, list):
-            named[key] = [_renamed(each, names) if isinstance(each, Mapping) else each for each in part]
+            named[key] = [_renamed(item, names) if isinstance(item, Mapping) else item for item in part]
         elif isinstance(part, Mapping):
             named[key] = _renamed(part, names)
     return Settings.from_mapping(named)
 
 
 def _renamed(given: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
-    out: dict[str, Any] = {}
-    for wire, name in names.items():
-        if wire in given:
-            value = given[wire]
+    renamed: dict[str, Any] = {}
+    for wire_name, name in names.items():
+        if wire_name in given:
+            value = given[wire_name]
             if isinstance(value, str):
                 value = _VALUE_NAMES.get(name, {}).get(value, value)
-            out[name] = value
-    return out
+            renamed[name] = value
+    return renamed
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -192,13 +192,13 @@
 
 def _integer(value: object) -> int:
     if type(value) is not int:
-        raise WireError(f"a whole number is needed, not {value!r:.60}")
+        raise WireError(f"an integer is needed, not {value!r:.60}")
     return value
 
 
 def _text(value: object) -> str:
     if type(value) is not str:
-        raise WireError(f"a text is needed, not {value!r:.60}")
+        raise WireError(f"a string is needed, not {value!r:.60}")
     return value
 
 
@@ -212,11 +212,11 @@
     return None if value is None else _integer(value)
 
 
-def _named(value: object, values: Mapping[str, Any]) -> Any:
+def _lookup(value: object, values: Mapping[str, Any]) -> Any:
     try:
         return values[value]  # type: ignore[index]
     except (KeyError, TypeError):
-        raise WireError(f"unknown word {value!r:.60}") from None
+        raise WireError(f"unknown value {value!r:.60}") from None
 
 
 def _report(value: object) -> Mapping[str, float] | None:
@@ -226,7 +226,7 @@
         raise WireError("a load report must be an object")
     for number in value.values():
         if isinstance(number, bool) or not isinstance(number, (int, float)):
-            raise WireError(f"a load report holds numbers, not {number!r:.60}")
+            raise WireError(f"the values of a load report must be numbers, not {number!r:.60}")
     return value
 
 
@@ -239,23 +239,23 @@
 
 def _listed_server(entry: object) -> ListedServer:
     if not isinstance(entry, list) or len(entry) < 6:
-        raise WireError("an entry of a server list has at least 6 values")
+        raise WireError("an entry of a server list needs at least 6 values")
     nominal = entry[5]
     if isinstance(nominal, bool) or not isinstance(nominal, (int, float)):
-        raise WireError("a nominal figure must be a number")
+        raise WireError("a nominal size must be a number")
     started = _optional_integer(entry[6]) if len(entry) > 6 else None
     return ListedServer(
         server=_text(entry[0]),
         zone=_text(entry[1]),
         kind=_text(entry[2]),
         cell=_integer(entry[3]),
-        state=_named(entry[4], _STATES),
+        state=_lookup(entry[4], _STATES),
         nominal=float(nominal),
         started_at=started or None,
     )
 
 
-def _request(message: list[Any]) -> Event:
+def _request_arrived(message: list[Any]) -> Event:
     flags = _integer(message[8])
     return RequestArrived(
         request=_integer(message[2]),
@@ -269,39 +269,39 @@
     )
 
 
-def _started(message: list[Any]) -> Event:
+def _answer_started(message: list[Any]) -> Event:
     return AnswerStarted(_integer(message[2]), _integer(message[3]), _text(message[5]), _integer(message[4]))
 
 
-def _ended(message: list[Any]) -> Event:
+def _attempt_ended(message: list[Any]) -> Event:
     return AttemptEnded(
         request=_integer(message[2]),
         attempt=_integer(message[3]),
         server=_text(message[4]),
-        outcome=_named(message[5], _OUTCOMES),
+        outcome=_lookup(message[5], _OUTCOMES),
         elapsed_us=_integer(message[6]),
         answered=_flag(message[7]),
         report=_report(message[8]) if len(message) > 8 else None,
     )
 
 
-def _probed(message: list[Any]) -> Event:
+def _probe_ended(message: list[Any]) -> Event:
     report = _report(message[5]) if len(message) > 5 else None
-    return ProbeEnded(_text(message[4]), _named(message[3], _OUTCOMES), _integer(message[2]), report)
+    return ProbeEnded(_text(message[4]), _lookup(message[3], _OUTCOMES), _integer(message[2]), report)
 
 
-# Event name -> minimum number of values (the name included) and how to read them.
+# Name of an event's message -> minimum length of the message, name included, and its reader.
 _EVENTS: dict[str, tuple[int, Callable[[list[Any]], Event]]] = {
-    "WORK_ITEM": (9, _request),
-    "FIRST": (6, _started),
-    "ATTEMPT_END": (8, _ended),
+    "WORK_ITEM": (9, _request_arrived),
+    "FIRST": (6, _answer_started),
+    "ATTEMPT_END": (8, _attempt_ended),
     "CLIENT_GONE": (3, lambda m: ClientDisconnected(_integer(m[2]))),
     "WAKE": (3, lambda m: TimerFired(_text(m[2]))),
-    "SAMPLED": (5, _probed),
+    "SAMPLED": (5, _probe_ended),
     "MEMO": (4, lambda m: MessageReceived(_integer(m[2]), _payload(m[3]))),
 }
 
-# Action type -> how to write it, after the instance's name.
+# Type of an action -> name of its message, and its values after the instance's name.
 _ACTIONS: dict[type[Any], tuple[str, Callable[[Any], list[Any]]]] = {
     Send: ("ASSIGN", lambda a: [a.request, a.server, a.until]),
     Refuse: ("NOT_NOW", lambda a: [a.request, a.retry_after_us]),
@@ -310,16 +310,16 @@
     SetTimer: ("REMIND", lambda a: [a.in_us, a.token]),
     Probe: ("CHECK", lambda a: [a.server]),
     CloseIdle: ("SHUT_IDLE", lambda a: [a.server]),
-    SendPeerMessage: ("POST", lambda a: [_EVERY_PEER if a.receiver is None else a.receiver, a.payload.hex()]),
+    SendPeerMessage: ("POST", lambda a: [_ALL_PEERS if a.receiver is None else a.receiver, a.payload.hex()]),
     WatchEndpoints: ("FOLLOW", lambda a: [a.wanted]),
     FetchList: ("REFRESH", lambda _: []),
     Log: ("REMARK", lambda a: [a.text]),
 }
 
 
-def _write_action(who: str, action: Action) -> str:
+def _write_action(instance: str, action: Action) -> str:
     name, values = _ACTIONS[type(action)]
-    return json.dumps([name, who, *values(action)], separators=(",", ":"))
+    return json.dumps([name, instance, *values(action)], separators=(",", ":"))
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -327,17 +327,17 @@
 
 
 class Adapter:
-    """Hosts independent balancers and plays batches through them."""
+    """Hosts independent balancers; handles batches of messages to them."""
 
     def __init__(self) -> None:
         """Start with no balancer."""
         self._balancers: dict[str, Balancer] = {}
-        self._pages: dict[int, list[ListedServer]] = {}
+        self._server_lists: dict[int, list[ListedServer]] = {}
         self._now = 0
-        self._open = False
+        self._in_batch = False
         self._reply: list[str] = []
 
-    def line(self, text: str) -> list[str] | None:
+    def handle_line(self, text: str) -> list[str] | None:
         """Handle one line; return the lines of the reply at the end of a batch, else None.
 
         Raises:
@@ -346,77 +346,79 @@
         try:
             message = json.loads(text)
         except (ValueError, RecursionError):
-            raise WireError("this is not JSON") from None
+            raise WireError("the line is not JSON") from None
         if not isinstance(message, list) or not message:
             raise WireError("a message must be an array that starts with its name")
         name = message[0]
         if name == "FRAME":
-            if self._open:
+            if self._in_batch:
                 raise WireError("FRAME inside a batch")
-            self._need(message, 2)
-            self._now, self._open, self._reply = _integer(message[1]), True, []
+            self._require_values(message, 2)
+            self._now, self._in_batch, self._reply = _integer(message[1]), True, []
             return None
-        if not self._open:
+        if not self._in_batch:
             raise WireError(f"{name!r:.60} outside a batch")
         if name == "COMMIT":
-            self._open = False
+            self._in_batch = False
             return [*self._reply, '["DONE"]']
-        self._message(name, message)
+        self._handle_message(name, message)
         return None
 
     @staticmethod
-    def _need(message: list[Any], minimum: int) -> None:
+    def _require_values(message: list[Any], minimum: int) -> None:
         if len(message) < minimum:
-            raise WireError(f"{message[0]} needs {minimum - 1} values, {len(message) - 1} came")
+            raise WireError(f"{message[0]} needs {minimum - 1} values, got {len(message) - 1}")
 
-    def _message(self, name: object, message: list[Any]) -> None:
+    def _handle_message(self, name: object, message: list[Any]) -> None:
         if name == "PAGE":
-            self._need(message, 3)
+            self._require_values(message, 3)
             if not isinstance(message[2], list):
                 raise WireError("the entries of a PAGE must be an array")
-            self._pages[_integer(message[1])] = [_listed_server(entry) for entry in message[2]]
+            self._server_lists[_integer(message[1])] = [_listed_server(entry) for entry in message[2]]
             return
         if not isinstance(name, str) or name not in ("BEGIN", "EXIT", "TARGETS", *_EVENTS):
             raise WireError(f"unknown message {name!r:.60}")
-        self._need(message, 2)
-        who = _text(message[1])
+        self._require_values(message, 2)
+        instance = _text(message[1])
         if name == "BEGIN":
-            self._need(message, 4)
+            self._require_values(message, 4)
             try:
-                self._balancers[who] = Balancer(settings_from_wire(message[3]), _integer(message[2]))
+                self._balancers[instance] = Balancer(settings_from_wire(message[3]), _integer(message[2]))
             except ValueError as error:
                 raise WireError(f"settings: {error}") from None
             return
-        balancer = self._balancers.get(who)
+        balancer = self._balancers.get(instance)
         if balancer is None:
-            raise WireError(f"{name} for {who!r:.60}, which has not begun")
+            raise WireError(f"{name} for instance {instance!r:.60}, which has not begun")
         if name == "EXIT":
-            del self._balancers[who]
+            del self._balancers[instance]
         elif name == "TARGETS":
-            self._need(message, 5)
-            self._play(who, balancer, self._targets(message))
+            self._require_values(message, 5)
+            self._handle_event(instance, balancer, self._servers_listed(message))
         else:
             minimum, read = _EVENTS[name]
-            self._need(message, minimum)
-            self._play(who, balancer, read(message))
+            self._require_values(message, minimum)
+            self._handle_event(instance, balancer, read(message))
 
-    def _targets(self, message: list[Any]) -> ServersListed:
-        kind = _named(message[2], _LIST_KINDS)
+    def _servers_listed(self, message: list[Any]) -> ServersListed:
+        kind = _lookup(message[2], _LIST_KINDS)
         if kind is ListKind.FAILED:
             return ServersListed(kind)
-        page = self._pages.get(_integer(message[3]))
+        page = self._server_lists.get(_integer(message[3]))
         if page is None:
-            raise WireError(f"TARGETS names list {message[3]}, which was not given")
+            raise WireError(f"TARGETS refers to PAGE {message[3]}, which was not given")
         return ServersListed(kind, page, _integer(message[4]))
 
-    def _play(self, who: str, balancer: Balancer, event: Event) -> None:
+    def _handle_event(self, instance: str, balancer: Balancer, event: Event) -> None:
         try:
             actions = balancer.handle(self._now, event)
-        except Exception as fault:  # the protocol has a message for a defect of the decisions
-            self._reply.append(json.dumps(["INTERNAL_ERROR", who, f"{type(fault).__name__}: {fault}"[:500]]))
+        except Exception as error:  # the protocol has a message for internal errors of a balancer
+            self._reply.append(
+                json.dumps(["INTERNAL_ERROR", instance, f"{type(error).__name__}: {error}"[:500]])
+            )
             return
         for action in actions:
-            self._reply.append(_write_action(who, action))
+            self._reply.append(_write_action(instance, action))
 
 
 def run(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
@@ -424,7 +426,7 @@
     adapter = Adapter()
     for number, text in enumerate(lines, 1):
         try:
-            reply = adapter.line(text)
+            reply = adapter.handle_line(text)
         except WireError as error:
             err.write(f"line {number}: {error}\n")
             return 2
