--- a/micadeck/policy/outcome_recording.py
+++ b/micadeck/policy/outcome_recording.py
@@ -1,4 +1,4 @@
-"""Outcome recording: what is learnt from the end of an attempt."""
+"""Outcome recording: updates the estimates at the end of an attempt."""
 
 from __future__ import annotations
 
