--- a/micadeck/memory/__init__.py
+++ b/micadeck/memory/__init__.py
@@ -1,4 +1,4 @@
-"""The process's memory: what is buffered for others, what is resident, and the pressure level that follows.
+"""The process's memory: what is charged, what is resident, and the resulting pressure level.
 
 `budget` does no I/O, `resident` reads what the operating system reports, and `monitor` samples it on a timer.
 """
--- a/micadeck/memory/budget.py
+++ b/micadeck/memory/budget.py
@@ -1,7 +1,7 @@
-"""The memory budget: bytes held for others' data at their real cost, and the pressure level.  No I/O.
+"""The memory budget: charges for buffered data, and the pressure level.  No I/O.
 
-A level is entered at a fraction of the limit and left at a lower one, so that it does not flap.  Two
-measurements lead to one: the charged bytes, which change with each message, and the resident memory of the
+A level is entered at a fraction of the limit and left at a lower one, so that it does not flap.  Either of
+two measurements raises it: the charged bytes, which change with each message, and the resident memory of the
 process, which is sampled a few times a second and also covers what is not charged.
 """
 
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from enum import IntEnum, StrEnum, unique
 
-# What Python objects cost besides their bytes, as measured with tracemalloc (docs/design/memory.md).
+# Overhead of Python objects beyond their payload in bytes, by tracemalloc (docs/design/memory.md).
 REQUEST_COST = 300  # a request that was parsed
 HEADER_COST = 130  # a name, a value, their pair and its slot in a list
 OPEN_REQUEST_COST = 4_000  # an open request: in the engine and the balancer, with an attempt and its timers
@@ -19,33 +19,33 @@
 
 @unique
 class MemoryUse(StrEnum):
-    """What memory is charged for; the values stand in log lines and metric names."""
+    """What memory is charged for; the values appear in log lines and metric names."""
 
     REQUESTS = "requests"  # partly received, waiting or open, with their buffered bodies
     ANSWERS = "answers"  # buffered until they are complete
-    # These raise the level through the resident memory only: rejecting requests would not reduce them.
+    # The following raise the level through resident memory only: rejecting requests would not reduce them.
     UNSENT = "unsent"  # answers that clients have not read
     BODIES = "bodies"  # large bodies that are being streamed; they have a limit of their own
 
 
 @unique
 class PressureLevel(IntEnum):
-    """What is done against a shortage of memory; each level includes those below.
+    """The measures against a memory shortage; each level includes those below.
 
-    The names stand in log lines.
+    The names appear in log lines.
     """
 
     NORMAL = 0
-    PASS_ON = 1  # bodies are streamed from a smaller size on
+    PASS_ON = 1  # smaller bodies than usual are streamed instead of buffered
     SHED = 2  # new requests are rejected
     GIVE_UP = 3  # partly received requests are aborted, the oldest first
     CLOSE_IDLE = 4  # idle connections are closed
 
 
 ENTER_AT_CHARGED = (0.0, 0.08, 0.12, 0.15, 0.18)  # fraction of the limit, by level
-ENTER_AT_RESIDENT = (0.0, 0.45, 0.60, 0.70, 0.80)  # fraction of what the limit leaves above the idle process
+ENTER_AT_RESIDENT = (0.0, 0.45, 0.60, 0.70, 0.80)  # fraction of the limit less the idle baseline
 LEAVE_FACTOR = 0.8  # of the threshold at which the level is entered
-_RAISING_LEVEL = frozenset((MemoryUse.REQUESTS, MemoryUse.ANSWERS))
+_USES_RAISING_LEVEL = frozenset((MemoryUse.REQUESTS, MemoryUse.ANSWERS))
 
 
 class MemoryBudget:
@@ -77,15 +77,15 @@
         self._update_level()
 
     def charge(self, use: MemoryUse, delta_bytes: int) -> None:
-        """Add so many bytes to what is charged for a use, or release them where negative."""
+        """Add to the charge for a use; a negative number of bytes reduces it."""
         self.charged_bytes[use] += delta_bytes
-        if use in _RAISING_LEVEL:
+        if use in _USES_RAISING_LEVEL:
             self._pressure_bytes += delta_bytes
             if not self._lower_bound <= self._pressure_bytes < self._upper_bound:
                 self._update_level()
 
     def set_charge(self, use: MemoryUse, total_bytes: int) -> None:
-        """Replace what is charged for a use by a total that was counted elsewhere."""
+        """Set the charge for a use to a total that was counted elsewhere."""
         self.charge(use, total_bytes - self.charged_bytes[use])
 
     def set_idle_baseline(self, resident_bytes: int) -> None:
@@ -118,23 +118,23 @@
         return int(self.limit_bytes * ENTER_AT_CHARGED[level])
 
     def _is_reached(self, level: PressureLevel) -> bool:
-        """Return whether this level is entered, or kept."""
+        """Return whether this level is to be entered or kept."""
         factor = LEAVE_FACTOR if level <= self.level else 1.0
         if self._pressure_bytes >= factor * self._charged_threshold(level):
             return True
-        capacity = max(self.limit_bytes - self._idle_bytes, 0)
-        above_idle = self._resident_bytes - self._idle_bytes
-        return above_idle > factor * capacity * ENTER_AT_RESIDENT[level]
+        available_bytes = max(self.limit_bytes - self._idle_bytes, 0)
+        used_bytes = self._resident_bytes - self._idle_bytes
+        return used_bytes > factor * available_bytes * ENTER_AT_RESIDENT[level]
 
     def _update_level(self) -> None:
-        """Find the level, and the bounds of the charged bytes between which it can't change."""
-        before = self.level
+        """Update the level, and the bounds of charged bytes between which it can't change."""
+        previous = self.level
         reached = [level for level in PressureLevel if level and self._is_reached(level)]
         self.level = max(reached, default=PressureLevel.NORMAL)
-        above = [self._charged_threshold(level) for level in PressureLevel if level > self.level]
-        self._upper_bound = min(above, default=_NO_BOUND)
+        higher_thresholds = [self._charged_threshold(level) for level in PressureLevel if level > self.level]
+        self._upper_bound = min(higher_thresholds, default=_NO_BOUND)
         self._lower_bound = -_NO_BOUND
         if self.level:
             self._lower_bound = int(LEAVE_FACTOR * self._charged_threshold(self.level))
-        if self.level is not before:
+        if self.level is not previous:
             self.on_level_change(self.level)
--- a/micadeck/memory/monitor.py
+++ b/micadeck/memory/monitor.py
@@ -12,11 +12,11 @@
 from micadeck.network import Network, Timer
 
 SAMPLE_INTERVAL_S = 0.25
-_TRIM_THRESHOLD_BYTES = 4 * MB  # unaccounted memory from which the heap is trimmed
+_TRIM_THRESHOLD_BYTES = 4 * MB  # the heap is trimmed above this much unaccounted memory
 _TRIM_INTERVAL_S = 1.0
-_MAX_TRIM_INTERVAL_S = 8.0  # where trims release little: the memory may be in use
+_MAX_TRIM_INTERVAL_S = 8.0  # upper bound while trims release little
 _EFFECTIVE_TRIM_BYTES = 1 * MB
-_YOUNG_GENERATIONS = 1  # the objects of the start were frozen and need no collection
+_YOUNG_GENERATIONS = 1  # generations 0 and 1; the objects created at startup are frozen
 _TENTHS = 10
 
 
@@ -37,9 +37,9 @@
 
         Args:
             network: For the clock and timers.
-            budget: What the samples are recorded in.
+            budget: Records the samples.
             log: Called with each log line.
-            refresh_charges: Called before each sample to set the charges that don't follow each message.
+            refresh_charges: Called before each sample, to set charges that are not updated by message.
         """
         self._network = network
         self._budget = budget
@@ -49,7 +49,7 @@
         self._trimmed_at = 0.0
         self._trim_interval_s = _TRIM_INTERVAL_S
         self._sample_due_at = 0.0
-        self._logged_tenth = 0  # the highest tenth of the limit that was logged
+        self._logged_tenth = 0  # the highest tenth of the limit logged so far
 
     def start(self) -> None:
         """Record the current memory as that of the idle process, and begin to sample."""
@@ -72,7 +72,7 @@
 
     def _sample(self) -> None:
         self._budget.loop_lag_s = max(self._network.time() - self._sample_due_at, 0.0)
-        self._schedule_sample()  # whatever comes of this one
+        self._schedule_sample()  # first, so that sampling continues if this sample fails
         self._refresh_charges()
         resident_bytes = anonymous_bytes()
         self._budget.update_resident(resident_bytes)
--- a/micadeck/memory/resident.py
+++ b/micadeck/memory/resident.py
@@ -14,7 +14,7 @@
 def open_descriptors() -> int:
     """Return how many descriptors this process has open; 0 where the system doesn't report it."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # one of them reads the folder
+        return len(os.listdir("/proc/self/fd")) - 1  # without the one that lists the directory
     except OSError:
         return 0
 
--- a/micadeck/operations/admin_protocol.py
+++ b/micadeck/operations/admin_protocol.py
@@ -1,7 +1,7 @@
 """The admin protocol: one command line per connection, one reply.  No I/O.
 
 Commands are `READY`, `STATS`, `DRAIN` and `UNDRAIN`, each ended by LF or CRLF.  Replies begin with `200` or
-`400`, but for the one to `STATS`: lines in statsd's format, then `EOF`.
+`400`; the one to `STATS` is lines in statsd's format, then `EOF`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @unique
 class Command(Enum):
-    """The commands, by the line that stands for them on the wire."""
+    """The commands; each value is the line on the wire."""
 
     READY = b"READY"
     STATS = b"STATS"
@@ -42,7 +42,7 @@
 
 
 class BadCommandError(OperatorError):
-    """The bytes received can't become a command."""
+    """The bytes received are not a command."""
 
     advice = "Send one of READY, STATS, DRAIN and UNDRAIN on a line of its own."
 
@@ -64,7 +64,7 @@
 
 
 class CommandReader:
-    """Reassembles the one line of a connection; it never buffers more than a line."""
+    """Reassembles the one line of a connection, and buffers no more than that."""
 
     def __init__(self) -> None:
         """Start with an empty buffer."""
@@ -74,7 +74,7 @@
         """Add received bytes; return the line without its ending once it is complete.
 
         Raises:
-            BadCommandError: The bytes can't become a command.
+            BadCommandError: The bytes are not a command.
         """
         line, ending, rest = (self._buffer + data).partition(b"\n")
         if ending:
--- a/micadeck/operations/admin_server.py
+++ b/micadeck/operations/admin_server.py
@@ -20,7 +20,7 @@
 
 
 class AdminServer:
-    """Executes commands, one per connection.  The client limits of the data plane don't apply.
+    """Executes commands, one per connection.  The data plane's client limits don't apply.
 
     It owns the set of admin connections.
     """
@@ -59,7 +59,7 @@
             connection.abort()
 
     def register(self, connection: _AdminConnection) -> None:
-        """Add a connection; at the limit, the oldest is aborted, so that silent clients block nobody."""
+        """Add a connection; at the limit, abort the oldest, so that idle clients block no others."""
         if len(self._connections) >= MAX_CLIENTS:
             next(iter(self._connections)).abort()
         self._connections[connection] = None
--- a/micadeck/operations/admin_thread.py
+++ b/micadeck/operations/admin_thread.py
@@ -1,10 +1,10 @@
 """Runs the admin server on a thread of its own.
 
-On a sidecar that is short of CPU, one iteration of its event loop takes over a second, and an admin client
-needs two.  The thread waits for no iteration; the interpreter schedules it within milliseconds.
+If CPU is scarce, one iteration of the sidecar's event loop takes over a second, and serving an admin client
+takes two.  This thread does not wait for the loop; the interpreter schedules it within milliseconds.
 
 The thread reads only numbers and copies made in one step, so that a report never shows an incomplete change.
-Changes of the sidecar's state are carried out on the sidecar's own thread.
+Changes of the sidecar's state run on the sidecar's own thread.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
 
 
 class _CrossThreadTarget:
-    """The sidecar, as the admin thread may use it."""
+    """The sidecar's operations, safe on the admin thread."""
 
     def __init__(self, network: Network, sidecar: Sidecar) -> None:
         self._network = network
@@ -83,7 +83,7 @@
         return self._sidecar.statistics_report()
 
     def drain(self) -> bool:
-        """Schedule the drain ahead of all that reaches the sidecar after the reply."""
+        """Schedule the drain, ahead of any event that follows the reply."""
         self._network.call_soon_threadsafe(self._sidecar.drain)
         return self._sidecar.phase is not Phase.STOPPING
 
--- a/micadeck/operations/hot_restart.py
+++ b/micadeck/operations/hot_restart.py
@@ -1,8 +1,8 @@
 """Discovery of sibling processes: others of the same sidecar on this machine, as during a hot restart.
 
 Platforms count limits over all of them.  Each process holds a lock on a file of its own in a shared folder;
-the kernel releases it with the process, however that ended.  The lock alone shows that a process is running;
-the content of the file is defined in `request_id_registry`.
+the kernel releases it when the process ends, even by SIGKILL.  The lock alone shows that a process is
+running; the content of the file is defined in `request_id_registry`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def divide_limit(limit: int, sibling_count: int) -> int:
-    """Return this process's part of a limit that it shares with so many siblings."""
+    """Return this process's equal share of a limit, rounded down."""
     return limit // (1 + sibling_count)
 
 
@@ -57,7 +57,7 @@
             return None
 
     def register(self) -> None:
-        """Make this process visible to its siblings; it runs on where that fails."""
+        """Make this process visible to siblings; it runs without any if that fails."""
         if self._folder is None:
             return
         own_path = self._folder / f"{self._file_prefix}{os.getpid()}"
@@ -72,8 +72,8 @@
         """Create and lock the file.
 
         Returns:
-            False on an error, or if a sibling took the file for a dead process's between the two steps and
-            removed it.
+            False on an error, or if a sibling found the file before it was locked and removed it as that of
+            a dead process.
         """
         try:
             self._fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -89,17 +89,17 @@
         """
         if self._own_path is None or self._folder is None:
             return False
-        before = self._siblings
+        previous = self._siblings
         try:
             stat = self._folder.stat()
             state = (stat.st_mtime_ns, stat.st_ino)
-            if state != self._scanned_state or before:
+            if state != self._scanned_state or previous:
                 self._scanned_state = state
                 paths = sorted(self._folder.glob(f"{self._file_prefix}*"))
                 self._siblings = [path for path in paths if self._is_running(path)]
         except OSError:
-            self._siblings = []  # the folder was removed, and no sibling can be seen any more
-        return self._siblings != before
+            self._siblings = []  # the folder was removed
+        return self._siblings != previous
 
     def _is_running(self, path: Path) -> bool:
         """Return whether a sibling holds the lock on this file; remove the file of a dead one."""
@@ -108,7 +108,7 @@
         try:
             fd = os.open(path, os.O_RDWR | os.O_CLOEXEC)
         except OSError:
-            return False  # it was removed meanwhile
+            return False  # it was removed in the meantime
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
--- a/micadeck/operations/lifecycle.py
+++ b/micadeck/operations/lifecycle.py
@@ -19,14 +19,14 @@
 
 from enum import Enum, unique
 
-_IDLE_GRACE_S = 0.4  # idle connections stay open so long: the next answer closes them without loss
-# From then on every idle connection is closed: clients have to have moved within 4 s.
+_IDLE_GRACE_S = 0.4  # idle connections stay open this long: their next answer closes them without loss
+# Every idle connection is closed after this time, because clients have to have moved within 4 s.
 _SAFE_IDLE_ONLY_S = 3.4
 
 
 @unique
 class Phase(Enum):
-    """The phases; their values stand in admin replies and in records."""
+    """The phases; the values appear in admin replies and records."""
 
     STARTING = "starting"
     READY = "ready"
@@ -46,7 +46,7 @@
 
 @unique
 class _Event(Enum):
-    """What moves a sidecar from one phase to another."""
+    """The events that cause transitions between phases."""
 
     STARTED = "started"
     DRAIN = "drain"
@@ -85,7 +85,7 @@
         return self._apply(_Event.STARTED, now)
 
     def drain(self, now: float) -> bool:
-        """Ask clients to go elsewhere, until `undrain` or `stop`."""
+        """Ask clients to use others, until `undrain` or `stop`."""
         return self._apply(_Event.DRAIN, now)
 
     def undrain(self, now: float) -> bool:
@@ -97,21 +97,21 @@
         return self._apply(_Event.STOP, now)
 
     def end(self, now: float) -> bool:
-        """Record that nothing runs any more, whatever the cause."""
+        """Record that the sidecar has ended, for whatever reason."""
         return self._apply(_Event.END, now)
 
     def _apply(self, event: _Event, now: float) -> bool:
-        after = _TRANSITIONS.get((self.phase, event))
-        if after is None:
+        next_phase = _TRANSITIONS.get((self.phase, event))
+        if next_phase is None:
             return False
-        if after in (Phase.DRAINING, Phase.STOPPING) and self.phase is not Phase.DRAINING:
-            self._draining_since = now  # a stop during a drain does not restart its time
-        self.phase = after
+        if next_phase in (Phase.DRAINING, Phase.STOPPING) and self.phase is not Phase.DRAINING:
+            self._draining_since = now  # a stop during a drain does not restart its timeouts
+        self.phase = next_phase
         return True
 
     @property
     def can_serve(self) -> bool:
-        """Whether requests that arrive are served; a drain only asks clients to go elsewhere."""
+        """Whether requests that arrive are served; a drain only asks clients to use others."""
         return self.has_started and self.phase not in (Phase.STOPPING, Phase.ENDED)
 
     @property
--- a/micadeck/operations/request_id_registry.py
+++ b/micadeck/operations/request_id_registry.py
@@ -5,11 +5,11 @@
 writes to a table, one slot at a time; a slot is eight bytes, so no reader sees an incomplete one.
 
 The table is made of buckets of a few slots, and an id may be in any slot of its bucket: a lookup reads one
-bucket.  A file that can't be read (truncated, of another format, removed) holds nothing.  An id whose bucket
-is full is known to its own process only.
+bucket.  A file that can't be read (truncated, of another format, removed) counts as empty.  An id whose
+bucket is full is known to its own process only.
 
-There are no locks on the tables: two equal requests that reach both processes within the same few
-microseconds both pass.  Clients wait longer than that before they resend.
+There are no locks on the tables: a request that reaches two processes within the same few microseconds
+passes both.  Clients wait longer than that before they resend.
 """
 
 from __future__ import annotations
@@ -52,11 +52,11 @@
         os.pwrite(own_fd, _FILE_HEADER + self._table, 0)
         self._sibling_fds: list[int] = []
         for path in sibling_paths:
-            with contextlib.suppress(OSError):  # it ended meanwhile
+            with contextlib.suppress(OSError):  # the sibling has exited in the meantime
                 self._sibling_fds.append(os.open(path, os.O_RDONLY | os.O_CLOEXEC))
 
     def add(self, request_id: bytes) -> None:
-        """Add an id and show it to siblings, if its bucket has a free slot."""
+        """Add an id, visible to siblings if its bucket has a free slot."""
         super().add(request_id)
         if request_id in self._offsets:
             return
@@ -78,7 +78,7 @@
         """Return whether this process or a sibling has this request open."""
         if super().__contains__(request_id):
             return True
-        return isinstance(request_id, bytes) and any(_holds(fd, request_id) for fd in self._sibling_fds)
+        return isinstance(request_id, bytes) and any(_contains(fd, request_id) for fd in self._sibling_fds)
 
     def close(self, *, keep_file: bool) -> None:
         """Close the siblings' files.
@@ -115,8 +115,8 @@
     return len(_FILE_HEADER) + bucket * _BUCKET_BYTES, fingerprint
 
 
-def _holds(fd: int, request_id: bytes) -> bool:
-    """Return whether the file of a sibling holds this id."""
+def _contains(fd: int, request_id: bytes) -> bool:
+    """Return whether a sibling's file contains this id."""
     offset, fingerprint = _locate(request_id)
     try:
         if os.pread(fd, len(_FILE_HEADER), 0) != _FILE_HEADER:
--- a/micadeck/operations/shutdown_budget.py
+++ b/micadeck/operations/shutdown_budget.py
@@ -1,7 +1,7 @@
-"""How the time between SIGTERM and SIGKILL is divided.
+"""The division of the time between SIGTERM and SIGKILL.
 
 SIGKILL follows SIGTERM after the longest request deadline (counted up to `MAX_COUNTED_DEADLINE_S`) and
-`KILL_GRACE_S`.  `RESERVED_S` at the end of that time is kept free: nothing is waited for in it.
+`KILL_GRACE_S`.  The last `RESERVED_S` of that time are a reserve: no wait extends into them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 KILL_GRACE_S = 0.7
 MAX_COUNTED_DEADLINE_S = 3.0
-STALL_S = 0.15  # the process may be descheduled for this long at any moment, also at the end
+STALL_S = 0.15  # the process may be descheduled for this long at any time, also during the last writes
 CLIENT_FLUSH_S = 0.06  # for clients to read their last answers and close their side
 FINAL_WRITES_S = 0.04  # writing the last answers on an event loop that is some milliseconds late
 RESERVED_S = STALL_S + CLIENT_FLUSH_S + FINAL_WRITES_S
--- a/micadeck/operations/startup_retry.py
+++ b/micadeck/operations/startup_retry.py
@@ -1,8 +1,8 @@
-"""Which failures at startup are retried, for how long, and which are permanent.  No I/O.
+"""Which startup failures are retried and for how long, and which are permanent.  No I/O.
 
 Resources that the machine lacks for a moment (descriptors, buffers, memory) become available again, and an
 address in use may belong to a process that is shutting down.  An address that this machine does not have
-never appears.
+stays unavailable.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from micadeck.operations.shutdown_budget import KILL_GRACE_S, MAX_COUNTED_DEADLINE_S
 
 MAX_WAIT_S = 30.0
-# The previous process releases its address within its shutdown budget; the rest is margin.
+# The previous process releases its address within its shutdown budget; 1.3 s are margin.
 MAX_ADDRESS_IN_USE_WAIT_S = MAX_COUNTED_DEADLINE_S + KILL_GRACE_S + 1.3
 _FIRST_DELAY_S = 0.02
 _MAX_DELAY_S = 0.25
@@ -45,7 +45,7 @@
     """Backoff schedule for one resource that startup needs.  Times are in seconds, on one clock."""
 
     def __init__(self, now: float) -> None:
-        """Start counting the time that may be spent on retries at `now`."""
+        """Start the time limit for retries at `now`."""
         self._started_at = now
         self._delay_s = _FIRST_DELAY_S
         self.has_failed = False
--- a/micadeck/operations/statsd_report.py
+++ b/micadeck/operations/statsd_report.py
@@ -27,9 +27,9 @@
     config_load_errors: int  # configurations rejected at SIGHUP
     resident_bytes: int  # anonymous memory of the process
     peak_resident_bytes: int
-    memory_pressure: int  # 0 where there is enough memory; see docs/on-call.md
+    memory_pressure: int  # the pressure level, 0 without a shortage; see docs/on-call.md
     memory_shed: int  # requests rejected for lack of memory
-    buffered_bytes: Mapping[str, int]  # memory held for others' data, by kind
+    buffered_bytes: Mapping[str, int]  # charged memory, by use
     loop_lag_ms: int  # how late the event loop was at the last measurement
     descriptors: int  # open in the process
 
@@ -45,10 +45,10 @@
     lines: list[str] = []
     for name in dict.fromkeys([*classes, *counters]):
         outcomes = counters[name]
-        path = f"handled.{_UNSAFE_IN_METRIC_NAME.sub('_', name)}"
-        lines.append(_format_metric(f"{path}.passed", outcomes.served, _COUNTER))
-        lines.append(_format_metric(f"{path}.dropped", outcomes.refused, _COUNTER))
-        lines.append(_format_metric(f"{path}.bad_gateway", outcomes.failed, _COUNTER))
+        prefix = f"handled.{_UNSAFE_IN_METRIC_NAME.sub('_', name)}"
+        lines.append(_format_metric(f"{prefix}.passed", outcomes.served, _COUNTER))
+        lines.append(_format_metric(f"{prefix}.dropped", outcomes.refused, _COUNTER))
+        lines.append(_format_metric(f"{prefix}.bad_gateway", outcomes.failed, _COUNTER))
     for name, value, kind in (
         ("upstream_tries", statistics.attempts, _COUNTER),
         ("in_progress", statistics.in_progress, _GAUGE),
@@ -60,7 +60,7 @@
         ("memory_resident_most", statistics.peak_resident_bytes, _GAUGE),
         ("memory_stage", statistics.memory_pressure, _GAUGE),
         ("memory_shed", statistics.memory_shed, _COUNTER),
-        *((f"memory_booked.{use}", held, _GAUGE) for use, held in statistics.buffered_bytes.items()),
+        *((f"memory_booked.{use}", size, _GAUGE) for use, size in statistics.buffered_bytes.items()),
         ("loop_lag_ms", statistics.loop_lag_ms, _GAUGE),
         ("descriptors", statistics.descriptors, _GAUGE),
     ):
