--- a/micadeck/fleet/__init__.py
+++ b/micadeck/fleet/__init__.py
@@ -1,7 +1,7 @@
 """Membership of the fleet: which sidecars are alive, suspected or dead, and how certain that is.
 
-SWIM (Das 2002) with Lifeguard (Dadgar 2018); only `host` does input and output.  What depends on the number
-of members uses `FleetMember.count_members`, which returns bounds, and `FleetMember.is_settled`.
+SWIM (Das 2002) with Lifeguard (Dadgar 2018); only `host` does I/O.  Code that depends on the number of
+members uses `FleetMember.count_members`, which returns bounds, and `FleetMember.is_settled`.
 """
 
 from micadeck.fleet.authentication import DatagramAuthenticator, DropReason, Keys
--- a/micadeck/fleet/anti_entropy.py
+++ b/micadeck/fleet/anti_entropy.py
@@ -1,7 +1,7 @@
 """Anti-entropy: finds the branches in which two tables differ, and exchanges their records.
 
-Tables converge by it even if every piggybacked update was lost.  The number of its datagrams in a probe
-interval is limited.
+Tables converge even if every piggybacked update is lost.  The number of its datagrams per probe interval is
+limited.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from micadeck.fleet.messages import AntiEntropyMessage, BranchDigests, BranchPath, BranchRecords, encoded_size
 
 _MAX_MESSAGES_PER_INTERVAL = 16
-_MAX_BRANCH_MEMBERS = 6  # a branch with more is divided further before records are sent
-_TOLERATED_MISMATCHES = 2  # digests in a row that may differ while piggybacked updates are on their way
+_MAX_BRANCH_MEMBERS = 6  # a larger branch is divided further before records are sent
+_TOLERATED_MISMATCHES = 2  # consecutive mismatches, as piggybacked updates may be on their way
 
 
 class AntiEntropy:
-    """One member's side of comparing its table with those of others; owns the limit of its messages."""
+    """Compares one member's table with those of others; owns the limit of its messages."""
 
     def __init__(self, table: MemberTable, rng: random.Random, max_message_bytes: int) -> None:
-        """Compare a table.
+        """Set up the comparison.
 
         Args:
             table: This member's table.
             rng: Chooses the order in which branches are compared.
-            max_message_bytes: How many bytes an encoded message may have.
+            max_message_bytes: The maximum size of an encoded message.
         """
         self._table = table
         self._rng = rng
         self._max_message_bytes = max_message_bytes
         self._messages_left = _MAX_MESSAGES_PER_INTERVAL
-        self._mismatches = 0  # in a row
+        self._mismatches = 0  # consecutive
 
     def start_interval(self) -> None:
         """Allow the messages of another probe interval."""
@@ -61,7 +61,7 @@
         return replies
 
     def receive_branch_records(self, message: BranchRecords) -> list[BranchRecords]:
-        """Return the records of a branch if the sender lacks some; its own have been applied before."""
+        """Return the records of a branch if the sender lacks some; its own were applied before."""
         if message.is_reply:
             return []
         theirs = {record.name: record for record in message.records}
@@ -81,7 +81,7 @@
         return [BranchDigests(path, tuple(self._table.branch_digests(path)))]
 
     def _branch_records(self, path: BranchPath, *, is_reply: bool) -> list[BranchRecords]:
-        """Return as many messages as the records need, each as full as a datagram gets."""
+        """Return the records in as many messages as needed, each as full as possible."""
         unsent = [_without_metadata(record) for record in self._table.records_below(path)]
         messages: list[BranchRecords] = []
         while self._messages_left > 0:
--- a/micadeck/fleet/authentication.py
+++ b/micadeck/fleet/authentication.py
@@ -1,4 +1,4 @@
-"""Authentication of datagrams: only holders of a key make them, and each is accepted once.
+"""Authentication of datagrams: only holders of a key create them, and each is accepted once.
 
     version (1 byte), key number (1), MAC (10), then [sender, start, sequence, Unix second, message]
 
@@ -23,8 +23,8 @@
 MAX_DATAGRAM_BYTES = 256
 _MAC_BYTES = 10
 _HEADER_BYTES = 2 + _MAC_BYTES
-_INTEGER_GROWTH_BYTES = 8  # sequence and second take so many more than those of an empty message
-_REPLAY_WINDOW = 64  # sequence numbers behind the highest whose arrival is remembered
+_INTEGER_GROWTH_BYTES = 8  # the sequence and the second may take this much more than zeros do
+_REPLAY_WINDOW = 64  # how far behind the highest sequence number arrivals are tracked
 _MAX_SENDERS = 20_000
 _MAX_AGE_S = 60
 _MAX_KEY_NUMBER = 255
@@ -42,7 +42,7 @@
     UNKNOWN_KEY = "unknown key"  # of another fleet, or revoked
     BAD_MAC = "bad MAC"
     REPLAYED = "replayed"
-    EXPIRED = "expired"  # its clock differs by more than a minute: a late replay, or a wrong clock
+    EXPIRED = "expired"  # its time differs by more than a minute: a late replay or a wrong clock
     SUPERSEDED = "superseded"  # of a process that a later one has replaced
 
 
@@ -51,7 +51,7 @@
 
     def __init__(self, size: int) -> None:
         """Name the size of the datagram, in bytes."""
-        super().__init__(f"a datagram of {size} bytes: {MAX_DATAGRAM_BYTES} are the most")
+        super().__init__(f"a datagram of {size} bytes exceeds the maximum of {MAX_DATAGRAM_BYTES}")
 
 
 class Keys(msgspec.Struct, frozen=True):
@@ -65,19 +65,19 @@
 
     def __post_init__(self) -> None:
         """Check numbers and lengths."""
-        fault = self._fault()
-        if fault is not None:
-            raise ValueError(fault)
+        error = self._find_error()
+        if error is not None:
+            raise ValueError(error)
 
     def __repr__(self) -> str:
         """Return the numbers, never the keys."""
         return f"Keys({[number for number, _ in self.by_number]})"
 
-    def _fault(self) -> str | None:
+    def _find_error(self) -> str | None:
         if not self.by_number:
             return "keys: at least one is needed"
         if len({number for number, _ in self.by_number}) < len(self.by_number):
-            return "keys: a number stands twice"
+            return "keys: a number occurs twice"
         for number, key in self.by_number:
             if not 0 <= number <= _MAX_KEY_NUMBER:
                 return f"keys: a number from 0 to 255 is needed, not {number}"
@@ -109,10 +109,10 @@
 
 
 class DatagramAuthenticator:
-    """Makes the datagrams of one process and checks those of others; owns the replay windows."""
+    """Signs the datagrams of one process, and checks those of others; owns the replay windows."""
 
     def __init__(self, name: str, start_us: int, keys: Keys) -> None:
-        """Make the authenticator of one process.
+        """Create an authenticator.
 
         Args:
             name: The name of this member.
@@ -123,7 +123,7 @@
         self.start_us = start_us
         self._name = name
         self._sequence = 0
-        self._windows: dict[str, _ReplayWindow] = {}  # by sender, the last one used at the end
+        self._windows: dict[str, _ReplayWindow] = {}  # by sender, least recently used first
         self.set_keys(keys)
 
     def set_keys(self, keys: Keys) -> None:
--- a/micadeck/fleet/broadcast_queue.py
+++ b/micadeck/fleet/broadcast_queue.py
@@ -13,7 +13,7 @@
 
 
 class _Broadcast(msgspec.Struct):
-    """An update with its state of transmission."""
+    """An update with its transmission state."""
 
     update: Update
     expires_at: int
@@ -27,10 +27,10 @@
 
 
 class BroadcastQueue:
-    """Owns the updates that are still to be passed on, one for each subject."""
+    """Owns the updates that are still to be passed on, one per subject."""
 
     def __init__(self) -> None:
-        """Make an empty queue."""
+        """Create an empty queue."""
         self._broadcasts: dict[str, _Broadcast] = {}
 
     def __len__(self) -> int:
@@ -38,13 +38,13 @@
         return len(self._broadcasts)
 
     def enqueue(self, subject: str, update: Update, expires_at: int, *, urgent: bool = False) -> None:
-        """Pass an update on, in place of an older one on its subject.
+        """Queue an update, replacing an older one on its subject.
 
         Args:
             subject: The member or endpoint that it is about.
             update: What to pass on.
-            expires_at: When to stop, by this member's clock in microseconds.
-            urgent: Whether it goes ahead of others, so that a death does not wait for many joins.
+            expires_at: When to drop it, by this member's clock in microseconds.
+            urgent: Whether it precedes others, so that a death is not queued behind many joins.
         """
         self._broadcasts[subject] = _Broadcast(update, expires_at, urgent)
         if len(self._broadcasts) > _MAX_UPDATES:
@@ -57,9 +57,9 @@
 
         Args:
             now: This member's clock in microseconds.
-            max_bytes: How many bytes they may take.
+            max_bytes: The maximum of their total size.
             transmit_limit: After how many transmissions an update leaves the queue.
-            exclude: Subjects that the datagram has already.
+            exclude: Subjects that the datagram already contains.
         """
         selected: list[Update] = []
         remaining = max_bytes
@@ -83,5 +83,5 @@
 
     def _remove_one(self) -> None:
         """Remove the update with the highest number of transmissions."""
-        subject = max(self._broadcasts, key=lambda each: self._broadcasts[each].transmissions)
+        subject = max(self._broadcasts, key=lambda name: self._broadcasts[name].transmissions)
         del self._broadcasts[subject]
--- a/micadeck/fleet/config.py
+++ b/micadeck/fleet/config.py
@@ -38,11 +38,11 @@
 
 
 class _FleetFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The file's keys, as they are written."""
+    """The keys as written in the file."""
 
     keys: Annotated[list[KeyFile], msgspec.Meta(min_length=1, max_length=2)]
     region: Annotated[str, msgspec.Meta(max_length=32)] = ""
-    advertise: str = ""  # where the others reach this member; empty: at `peer_listen`
+    advertise: str = ""  # the address that the others use for this member; empty: `peer_listen`
     settings: FleetSettings = FleetSettings()
 
 
@@ -82,15 +82,15 @@
 
 
 def check_name(name: str) -> None:
-    """Check that a member can have a name.
+    """Check that a name is valid for a member.
 
     Raises:
-        ValueError: If it can't.
+        ValueError: It is not.
     """
     try:
         msgspec.convert(name, MemberName)
     except msgspec.ValidationError:
-        rule = f"a member's has 1 to {MAX_NAME_BYTES} characters of ASCII without blanks"
+        rule = f"a member's name has 1 to {MAX_NAME_BYTES} printable ASCII characters without spaces"
         raise ValueError(rule) from None
 
 
--- a/micadeck/fleet/dissemination.py
+++ b/micadeck/fleet/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: applies the updates that arrive, and passes on those that are new."""
+"""Dissemination: applies the updates received, and passes on those that are new."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from micadeck.fleet.timers import TimerQueue
 
 _RECORD_LIFETIME_US = 60_000_000  # how long a record is passed on
-_SUSPECT_PROBERS = 6  # about how many of all members probe a new suspect next
+_SUSPECT_PROBERS = 6  # expected number of members that probe a new suspect next
 _MAX_HINTS = 2_000
 
 
@@ -41,17 +41,17 @@
     _recovered_members: int = field(default=0, init=False)
 
     def receive(self, updates: Iterable[Update]) -> None:
-        """Apply updates of another member and pass on those that are new."""
+        """Apply updates from another member, and pass on new ones."""
         for update in updates:
             if isinstance(update, EndpointHint):
                 self._receive_hint(update)
             elif update.name == self.local.name:
-                self._receive_record_on_self(update)
+                self._receive_own_record(update)
             elif update.host or update.name in self.table.entries or not update.is_live:
                 self.apply(update)
 
     def apply(self, record: MemberRecord) -> None:
-        """Store a record on another member, and pass it on, if it is new."""
+        """Store a record about another member, and pass it on, if it is new."""
         previous = self.table.get(record.name)
         is_suspicion = record.state is MemberState.SUSPECT
         if is_suspicion and previous is not None and previous.precedence == record.precedence:
@@ -63,8 +63,8 @@
         self.suspicions.clear(record.name)
         if current.state is MemberState.SUSPECT:
             self._start_suspicion(current, record.suspected_by)
-        was_faulty = previous is not None and previous.state is not MemberState.ALIVE
-        self._enqueue(record, urgent=was_faulty or current.state is not MemberState.ALIVE)
+        was_not_alive = previous is not None and previous.state is not MemberState.ALIVE
+        self._enqueue(record, urgent=was_not_alive or current.state is not MemberState.ALIVE)
         self._report_change(previous, current)
 
     def publish_self(self, *, urgent: bool = False) -> None:
@@ -78,13 +78,13 @@
             self.publish_self()
 
     def pass_on_hint(self, hint: EndpointHint) -> None:
-        """Pass on a change of an endpoint; older versions of it have no effect any more."""
+        """Pass on a change of an endpoint; older versions of it are ignored from now on."""
         self._hint_versions.pop(hint.endpoint, None)
         self._hint_versions[hint.endpoint] = hint.list_version
         while len(self._hint_versions) > _MAX_HINTS:
             del self._hint_versions[next(iter(self._hint_versions))]
         expires_at = self.timers.now + self.settings.hint_lifetime_us
-        # No member's name has a space, so these subjects are distinct from members.
+        # Names of members have no spaces, so this subject differs from all of theirs.
         self.broadcasts.enqueue(f"server {hint.endpoint}", hint, expires_at, urgent=True)
 
     def take_recovered_members(self) -> int:
@@ -97,13 +97,13 @@
             self.pass_on_hint(hint)
             self.outbox.emit(hint)
 
-    def _receive_record_on_self(self, record: MemberRecord) -> None:
+    def _receive_own_record(self, record: MemberRecord) -> None:
         own = self.local.record
         if record.start_us > own.start_us:
             if self.local.is_established:
                 self.local.is_superseded = True
                 return
-            # No peer answers this process yet: its clock was set back, and it is the later one.
+            # No peer has acknowledged this process yet, so it is the later one, and its clock was set back.
             self.local.restart_after(record.start_us)
             self.publish_self()
             return
@@ -114,7 +114,7 @@
             self.publish_self(urgent=True)
 
     def _start_suspicion(self, current: MemberRecord, suspected_by: str | None) -> None:
-        # Several members probe a suspect at once, so that it is refuted or confirmed soon.
+        # Several members probe a suspect at once, so that the suspicion is soon refuted or confirmed.
         if self.rng.random() * self.table.live_members < _SUSPECT_PROBERS:
             self.probe_round.probe_next(current.name)
         self.suspicions.start(current, suspected_by)
--- a/micadeck/fleet/failure_detector.py
+++ b/micadeck/fleet/failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection: direct and indirect probes, and probes of members that may have come back."""
+"""Failure detection: direct and indirect probes, and probes of members that may have recovered."""
 
 from __future__ import annotations
 
@@ -65,14 +65,14 @@
             return False
         self._sequence += 1
         self._probe = _Probe(self._sequence, target)
-        first = self.records_ahead(target.name)
-        self.outbox.send((target.host, target.port), Ping(self._sequence, self.table.digest), first)
+        records = self.priority_records(target.name)
+        self.outbox.send((target.host, target.port), Ping(self._sequence, self.table.digest), records)
         timeout_us = self.settings.probe_timeout_us * self.health.timeout_factor
         self.timers.schedule(timeout_us, ProbeTimeoutTimer(self._sequence))
         return True
 
     def finish_probe(self) -> None:
-        """Conclude from the probe of the interval that ends; a target that did not answer is suspected."""
+        """Evaluate the ending interval's probe; suspect a target that did not answer."""
         probe, self._probe = self._probe, None
         if probe is None:
             return
@@ -81,7 +81,7 @@
         if probe.is_acknowledged:
             self.health.improve()
             return
-        # Nacks show that this member's own link works; missing ones that it may not.
+        # Nacks show that this member's own link works; missing ones suggest that it may not.
         missing_nacks = max(probe.requests - probe.nacks - 1, 0)
         self.health.degrade((not probe.nacks) + missing_nacks)
         current = self.table.get(probe.target.name)
@@ -89,14 +89,14 @@
             self.dissemination.apply(current.observed_as(MemberState.SUSPECT, suspected_by=self.local.name))
 
     def send_indirect_probes(self, timer: ProbeTimeoutTimer) -> None:
-        """Request some members to probe a target that did not answer in time."""
+        """Send ping requests to some members for a target that did not answer in time."""
         probe = self._probe
         if probe is None or probe.sequence != timer.sequence or probe.is_acknowledged:
             return
         probe.is_missed = True
         target = probe.target
-        helpers = [name for name in self.table.live_names(exclude=self.local.name) if name != target.name]
-        for name in self.rng.sample(helpers, min(self.settings.indirect_probes, len(helpers))):
+        relays = [name for name in self.table.live_names(exclude=self.local.name) if name != target.name]
+        for name in self.rng.sample(relays, min(self.settings.indirect_probes, len(relays))):
             probe.requests += 1
             request = PingRequest(probe.sequence, target.name, target.host, target.port, self.table.digest)
             self.outbox.send(self.address_of(name), request)
@@ -112,7 +112,7 @@
             self.outbox.send(relayed.requester, Ack(relayed.requester_sequence, self.table.digest))
 
     def receive_nack(self, sequence: int) -> None:
-        """Count that a member got no answer from the target either."""
+        """Count an indirect probe that got no answer from the target."""
         if self._probe is not None and self._probe.sequence == sequence:
             self._probe.nacks += 1
 
@@ -121,7 +121,7 @@
         self._sequence += 1
         self._relayed_probes[self._sequence] = _RelayedProbe(requester, request.sequence)
         ping = Ping(self._sequence, self.table.digest)
-        self.outbox.send((request.host, request.port), ping, self.records_ahead(request.target))
+        self.outbox.send((request.host, request.port), ping, self.priority_records(request.target))
         self.timers.schedule(self.settings.probe_timeout_us, IndirectProbeTimeoutTimer(self._sequence))
 
     def send_nack(self, timer: IndirectProbeTimeoutTimer) -> None:
@@ -143,15 +143,15 @@
         candidates += [(address, "") for address in join_addresses if address not in known]
         if candidates:
             address, name = self.rng.choice(candidates)
-            self.outbox.send(address, Ping(UNACKNOWLEDGED, self.table.digest), self.records_ahead(name))
+            self.outbox.send(address, Ping(UNACKNOWLEDGED, self.table.digest), self.priority_records(name))
 
     def discard_probes(self) -> None:
-        """Conclude nothing from the probes in flight."""
+        """Discard the probes in flight, without a result."""
         self._probe = None
         self._relayed_probes.clear()
 
-    def records_ahead(self, name: str) -> list[MemberRecord]:
-        """Return the records that go ahead of other updates to a member.
+    def priority_records(self, name: str) -> list[MemberRecord]:
+        """Return the records to send to a member ahead of other updates.
 
         These are the one that suspects it or declares it dead, so that it can refute, and this member's own,
         unless the receiver is in sync.
@@ -165,10 +165,10 @@
         return records
 
     def address_of(self, name: str) -> Address:
-        """Return where a member of the table is reached."""
+        """Return the address of a member in the table."""
         record = self.table.entries[name].record
         return record.host, record.port
 
 
-def _same_incarnation(one: MemberRecord, other: MemberRecord) -> bool:
-    return (one.start_us, one.incarnation) == (other.start_us, other.incarnation)
+def _same_incarnation(first: MemberRecord, second: MemberRecord) -> bool:
+    return (first.start_us, first.incarnation) == (second.start_us, second.incarnation)
--- a/micadeck/fleet/fleet_member.py
+++ b/micadeck/fleet/fleet_member.py
@@ -1,7 +1,7 @@
 """One member of the fleet: coordinates failure detection, dissemination and anti-entropy.
 
 In each probe interval one other member is pinged.  If it does not answer in time, further members ping it
-too; if no answer comes by the end of the interval it is suspected, and unless it refutes that, declared dead.
+too; if no answer comes by the end of the interval, it is suspected, and declared dead unless it refutes that.
 Updates and digests are piggybacked on these messages; anti-entropy starts where digests differ.
 """
 
@@ -49,22 +49,22 @@
 )
 from micadeck.network import Address
 
-_REMOVAL_INTERVALS = 8  # expired members are removed once in so many probe intervals
-_LOST_PROBE_INTERVALS = 4  # a lost member is probed once in so many probe intervals
-_MAX_EXTRA_LOST_PROBES = 3  # in an interval after members recovered
+_REMOVAL_INTERVALS = 8  # probe intervals between removals of expired members
+_LOST_PROBE_INTERVALS = 4  # probe intervals between probes of lost members
+_MAX_EXTRA_LOST_PROBES = 3  # per interval, after members recovered
 _DEPARTURE_RECEIVERS = 6  # members that are notified of a departure directly
 
 
 class FleetMember:
-    """One member, without input or output: its host passes time and datagrams in, and sends what comes out.
+    """One member, without I/O: its host passes in time and datagrams, and sends the resulting output.
 
-    In all methods `now` is a clock that never steps back and `wall` is Unix time, both in microseconds.
+    In all methods `now` is on a monotonic clock and `wall` is Unix time, both in microseconds.
     """
 
     def __init__(
         self, identity: MemberRecord, keys: Keys, random_seed: int, settings: FleetSettings, now: int
     ) -> None:
-        """Start a member that knows itself only.
+        """Start a member that knows only itself.
 
         Args:
             identity: The name, start and address of this process.
@@ -148,7 +148,7 @@
         return self._digests.count_members()
 
     def join(self, addresses: Iterable[Address]) -> None:
-        """Contact these addresses while no member is known there; one that answers is enough."""
+        """Contact these addresses while no member is known there; one answer is enough."""
         self._join_addresses = [address for address in addresses if address != self._local.address]
 
     def tick(self, now: int, wall: int) -> Output:
@@ -180,7 +180,7 @@
         return self._outbox.finish_step()
 
     def set_metadata(self, now: int, metadata: Metadata) -> None:
-        """Publish other metadata, at limited intervals."""
+        """Publish changed metadata, at limited intervals."""
         if self._local.set_metadata(metadata):
             self.timers.advance(now)
             self._dissemination.publish_metadata_if_due()
@@ -188,7 +188,7 @@
     def broadcast_hint(self, now: int, hint: EndpointHint) -> None:
         """Pass on a change of an endpoint that this member learned from discovery."""
         self.timers.advance(now)
-        if len(hint.endpoint) <= MAX_ENDPOINT_BYTES:  # longer names fit no datagram
+        if len(hint.endpoint) <= MAX_ENDPOINT_BYTES:  # a longer name does not fit a datagram
             self._dissemination.pass_on_hint(hint)
 
     def leave(self, now: int, wall: int) -> Output:
@@ -249,7 +249,7 @@
             self._detector.probe_lost_member(self._join_addresses)
 
     def _recover_from_pause(self) -> None:
-        """Discard what was in flight: this process was stopped, so silence means nothing about the others."""
+        """Discard all in flight: this process was paused, so missing answers say nothing about peers."""
         self.health.degrade_fully()
         self._detector.discard_probes()
         self._digests.clear()
@@ -259,13 +259,13 @@
     def _receive_message(self, sender: str, source: Address, message: Message) -> None:
         if isinstance(message, PiggybackMessage):
             self._dissemination.receive(message.updates)
-        # Members publish their address: what lies on the path may hide it.
+        # The address that a member publishes is preferred: NAT or a proxy on the path may hide it.
         address = self._detector.address_of(sender) if sender in self.table.entries else source
         match message:
             case Ping(sequence):
                 self._receive_digest(sender, address, message.digest)
                 ack = Ack(sequence, self.table.digest)
-                self._outbox.send(address, ack, self._detector.records_ahead(sender))
+                self._outbox.send(address, ack, self._detector.priority_records(sender))
             case Ack(sequence):
                 self._detector.receive_ack(sequence)
                 self._receive_digest(sender, address, message.digest)
--- a/micadeck/fleet/host.py
+++ b/micadeck/fleet/host.py
@@ -19,8 +19,8 @@
 
 _HINTED_CHANGES = {ServerState.DRAINING: "draining", ServerState.REMOVED: "gone"}  # values on the wire
 _LOGGED_STATES = {
-    MemberState.ALIVE: "is there",
-    MemberState.DEAD: "is taken for dead",
+    MemberState.ALIVE: "is alive",
+    MemberState.DEAD: "is declared dead",
     MemberState.LEFT: "has left",
 }
 _SETTLED = "settled"
@@ -42,7 +42,7 @@
     join_addresses: tuple[Address, ...]  # where other members may be
     random_seed: int
     log: Callable[[str], None]
-    suspect_stale: Callable[[], None]  # makes the sidecar query discovery: its endpoint list may be stale
+    suspect_stale: Callable[[], None]  # makes the sidecar query discovery, as its endpoint list may be stale
     member: FleetMember = field(init=False)
     _timer: Timer | None = field(default=None, init=False)
     _timer_due: int = field(default=0, init=False)
@@ -69,8 +69,8 @@
         metadata = msgspec.structs.replace(self.member.metadata, region=config.region)
         self.member.set_metadata(self._now(), metadata)
 
-    def listed(self, update: EndpointUpdate) -> None:
-        """Pass on which endpoints drain or were removed, for members whose discovery is not reachable."""
+    def publish_endpoint_update(self, update: EndpointUpdate) -> None:
+        """Pass on which endpoints drain or were removed, for members that can't reach discovery."""
         now = self._now()
         metadata = msgspec.structs.replace(self.member.metadata, endpoint_list_version=update.version)
         self.member.set_metadata(now, metadata)
@@ -99,7 +99,7 @@
         self._process(self.member.tick(self._now(), self.network.wall()))
 
     def _set_timer(self) -> None:
-        """Wake when the member's next timer is due, which a datagram may have brought forward."""
+        """Schedule a tick for the member's next timer, which a datagram may bring forward."""
         due = self.member.next_due
         if self._timer is not None:
             if self._timer_due <= due:
@@ -124,11 +124,11 @@
             self._set_timer()
 
     def _log_member_count(self) -> None:
-        """Log the number of members when it changes; uncertain ones only after it was settled."""
+        """Log the number of members when it changes; bounds only after a settled number."""
         member = self.member
         count = member.count_members()
         if member.is_superseded:
-            text = "a later process has this name: it is the member"
+            text = "superseded by a later process with this name"
         elif member.is_settled:
             text = f"{count.max_members} members, {_SETTLED}"
         elif count.min_members < count.max_members:
--- a/micadeck/fleet/local_health.py
+++ b/micadeck/fleet/local_health.py
@@ -1,16 +1,16 @@
-"""Lifeguard's local health: how far this member trusts its own failure detection."""
+"""Lifeguard's local health: how reliable this member's own failure detection is."""
 
 from __future__ import annotations
 
-_MISSED_SMOOTHING = 0.05  # an exponential mean over some twenty probes
-_MISSED_BASELINE = 0.1  # a member that died leaves about this fraction unanswered
+_MISSED_SMOOTHING = 0.05  # of an exponential moving average over about 20 probes
+_MISSED_BASELINE = 0.1  # a single dead member leaves about this fraction of probes unanswered
 
 
 class LocalHealth:
     """Owns the health score and the fraction of missed probes of one member."""
 
     def __init__(self, max_score: int) -> None:
-        """Start as healthy.
+        """Start healthy.
 
         Args:
             max_score: The highest health score.
@@ -21,7 +21,7 @@
 
     @property
     def timeout_factor(self) -> int:
-        """By what timeouts and the probe interval are multiplied."""
+        """The factor for timeouts and the probe interval."""
         return 1 + self.score
 
     @property
--- a/micadeck/fleet/local_member.py
+++ b/micadeck/fleet/local_member.py
@@ -1,4 +1,4 @@
-"""This member's own record, and whether it still takes part."""
+"""This member's own record, and whether it is still active."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from micadeck.network import Address
 
 _METADATA_INTERVAL_US = 5_000_000  # minimum between two publications
-_METADATA_INTERVAL_PER_MEMBER_US = 20_000  # bounds what all members publish together
+_METADATA_INTERVAL_PER_MEMBER_US = 20_000  # bounds the total rate of all members' publications
 
 
 class LocalMember:
@@ -38,7 +38,7 @@
 
     @property
     def address(self) -> Address:
-        """Where the others reach this member."""
+        """The address of this member for others."""
         return self.record.host, self.record.port
 
     @property
@@ -48,7 +48,7 @@
 
     @property
     def is_silenced(self) -> bool:
-        """Whether this process sends nothing more: it left, or a later one has its name."""
+        """Whether this process sends nothing more: it left, or was superseded."""
         return self.has_left or self.is_superseded
 
     def departure(self) -> MemberRecord:
@@ -56,11 +56,11 @@
         return msgspec.structs.replace(self.record, state=MemberState.LEFT, metadata=None)
 
     def refute(self, incarnation: int) -> None:
-        """Supersede a record on this process that has this incarnation."""
+        """Supersede a record about this process with this incarnation."""
         self.record = msgspec.structs.replace(self.record, incarnation=incarnation + 1)
 
     def restart_after(self, start_us: int) -> None:
-        """Supersede an earlier process whose start is later by its clock."""
+        """Supersede an earlier process with a later start time."""
         self.record = msgspec.structs.replace(self.record, start_us=start_us + 1, incarnation=0)
         self._authenticator.start_us = self.record.start_us
 
--- a/micadeck/fleet/member_records.py
+++ b/micadeck/fleet/member_records.py
@@ -1,7 +1,7 @@
 """Records of members and the order in which they supersede one another.
 
-A record supersedes another one on the same member if its process started later, else if its incarnation is
-higher, else if its state is graver.  Only the member itself raises its start (a new process) and its
+A record supersedes another one about the same member if its process started later, else if its incarnation is
+higher, else if its state is more severe.  Only the member itself raises its start (a new process) and its
 incarnation (to refute a suspicion or to publish metadata), so members that received the same records hold the
 same ones, whatever their order and number.
 """
@@ -25,7 +25,7 @@
 
 @unique
 class MemberState(IntEnum):
-    """State of a member, in rising gravity; the values are on the wire."""
+    """State of a member, by increasing severity; the values are on the wire."""
 
     ALIVE = 0
     SUSPECT = 1  # did not answer a probe and may refute
@@ -48,7 +48,7 @@
     start_us: NonNegativeInt  # Unix time at which its process started
     incarnation: Incarnation
     state: MemberState
-    host: Host = ""  # where it is reached; sent by the member itself
+    host: Host = ""  # its address, sent by the member itself
     port: Port = 0
     metadata: Metadata | None = None  # None in records that omit it
     suspected_by: MemberName | None = None
@@ -60,14 +60,14 @@
         Args:
             name: The name of the member.
             start_us: Unix time at which its process started, in microseconds.
-            address: Where the others reach it.
+            address: Its address for others.
         """
         host, port = address
         return cls(name, start_us, 0, MemberState.ALIVE, host, port, Metadata())
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """The key that orders two records on one member."""
+        """The key that orders records about one member."""
         return self.start_us, self.incarnation, int(self.state)
 
     @property
@@ -87,5 +87,5 @@
         )
 
     def supersedes(self, other: MemberRecord | None) -> bool:
-        """Whether it replaces another record on the same member; None: nothing is known."""
+        """Whether it replaces another record about the same member, or None."""
         return other is None or self.precedence > other.precedence
--- a/micadeck/fleet/member_table.py
+++ b/micadeck/fleet/member_table.py
@@ -1,8 +1,8 @@
-"""The members as one of them knows them, with digests by which two tables are compared.
+"""The members that one of them knows, with digests by which two tables are compared.
 
 A digest is the sum of one hash for each live member, so that a change costs the same whatever the number of
-members.  Digests are kept by sixteen branches of sixteen, so that two tables locate their differences in
-three steps.
+members.  Digests are kept for 16 branches of 16 leaves, so that two tables find their differences in three
+steps.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 class MemberCount(msgspec.Struct, frozen=True):
     """Bounds of the number of members, this one included."""
 
-    min_members: int  # known by recent evidence
-    max_members: int  # with those that may be on the other side of a partition
+    min_members: int  # confirmed by recent digests
+    max_members: int  # including those that may be on the other side of a partition
 
 
 class MemberEntry(msgspec.Struct):
@@ -33,7 +33,7 @@
 
     record: MemberRecord
     changed_at: int  # by this member's clock, in microseconds
-    digest: int = 0  # its part of the table's digest
+    digest: int = 0  # its summand in the table's digest
 
 
 class _Tombstone(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
 
 
 class MemberTable:
-    """Owns the record of each member; a record is applied if it supersedes the one known."""
+    """Owns the record of each member; a record is applied if it supersedes the stored one."""
 
     def __init__(self) -> None:
         """Make an empty table."""
@@ -67,7 +67,7 @@
         return entry.record if entry is not None else None
 
     def live_names(self, *, exclude: str) -> list[str]:
-        """Return the names of the live members but one."""
+        """Return the names of all live members but one."""
         return [name for name, entry in self.entries.items() if name != exclude and entry.record.is_live]
 
     def apply(self, now: int, record: MemberRecord) -> bool:
@@ -141,7 +141,7 @@
                 yield self.entries[name].record
 
     def _may_add(self, now: int, record: MemberRecord) -> bool:
-        """Whether a record adds a member that is not in the table; an end is kept as a tombstone."""
+        """Whether a record adds a new member; a newer dead one is kept as a tombstone."""
         tombstone = self._tombstones.get(record.name)
         if tombstone is not None and record.precedence <= tombstone.precedence:
             return False
@@ -167,7 +167,7 @@
         entry.changed_at = now
 
     def _add_to_digests(self, now: int, entry: MemberEntry, sign: int) -> None:
-        # Dead members are left out: tables differ in when they remove them.
+        # Dead members are left out, because tables remove them at different times.
         if not entry.record.is_live:
             return
         self.digest_changed_at = now
@@ -179,7 +179,7 @@
 
 
 def _with_address(record: MemberRecord, previous: MemberRecord) -> MemberRecord:
-    """Keep address and metadata where a record by another member omits them."""
+    """Keep address and metadata where a record issued by another member omits them."""
     if record.host:
         return record
     return msgspec.structs.replace(record, host=previous.host, port=previous.port, metadata=previous.metadata)
@@ -194,6 +194,6 @@
 
 
 def _record_digest(record: MemberRecord) -> int:
-    # Suspicions are short and no two tables agree on them for long, so suspects count as alive.
+    # Suspects count as alive: suspicions are short, so tables rarely agree on them.
     state = MemberState.ALIVE if record.is_live else record.state
     return _hash(f"{record.name} {record.start_us} {record.incarnation} {int(state)}")
--- a/micadeck/fleet/messages.py
+++ b/micadeck/fleet/messages.py
@@ -1,6 +1,6 @@
 """Messages between members, as msgspec encodes them; values out of bounds are rejected in decoding.
 
-Every message is an array whose first item is the number of its kind.
+Every message is an array; its first item is its type's tag.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from micadeck.fleet.member_table import BRANCHES, LEVELS
 
 MAX_ENDPOINT_BYTES = 80
-UNACKNOWLEDGED = 0  # the sequence number of a ping whose ack nobody waits for
+UNACKNOWLEDGED = 0  # the sequence number of a ping whose ack is ignored
 
 
 class EndpointHint(msgspec.Struct, frozen=True, array_like=True, tag=1):
--- a/micadeck/fleet/outbox.py
+++ b/micadeck/fleet/outbox.py
@@ -17,7 +17,7 @@
 from micadeck.fleet.timers import TimerQueue
 from micadeck.network import Address
 
-_ARRAY_GROWTH_BYTES = 4  # the array of updates takes so many more than an empty one
+_ARRAY_GROWTH_BYTES = 4  # the header of the array of updates may grow by this much
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Output:
-    """What to send, in order, and what happened."""
+    """The datagrams to send, in order, and events."""
 
     datagrams: list[tuple[Address, bytes]] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
@@ -52,7 +52,7 @@
     _output: Output = field(default_factory=Output, init=False)
 
     def start_step(self, wall_us: int) -> None:
-        """Discard what is left, and stamp datagrams with this Unix time in microseconds."""
+        """Reset the output, and set the Unix time in microseconds that datagrams carry."""
         self._wall_us = wall_us
         self._output = Output()
 
@@ -65,28 +65,30 @@
         """Report an event."""
         self._output.events.append(event)
 
-    def send(self, to: Address, message: PiggybackMessage, first: Sequence[MemberRecord] = ()) -> None:
+    def send(
+        self, to: Address, message: PiggybackMessage, priority_records: Sequence[MemberRecord] = ()
+    ) -> None:
         """Send a message with updates.
 
         Args:
             to: The receiver.
             message: The message without updates.
-            first: Records that go ahead of the queue's updates; those that don't fit are left out.
+            priority_records: Sent ahead of queued updates; those that don't fit are left out.
         """
         remaining_bytes = self.authenticator.max_message_bytes() - encoded_size(message) - _ARRAY_GROWTH_BYTES
         updates: list[Update] = []
-        for record in first:
+        for record in priority_records:
             size = encoded_size(record)
             if size <= remaining_bytes:
                 remaining_bytes -= size
                 updates.append(record)
         transmit_limit = self.settings.transmit_limit(self.table.live_members)
-        excluded = {record.name for record in first}
+        excluded = {record.name for record in priority_records}
         updates += self.broadcasts.select(self.timers.now, remaining_bytes, transmit_limit, excluded)
         self.send_all(to, [msgspec.structs.replace(message, updates=tuple(updates))])
 
     def send_all(self, to: Address, messages: Iterable[Message]) -> None:
-        """Send messages as they are, unless this process was silenced."""
+        """Send messages without updates, unless this process was silenced."""
         if self.local.is_silenced:
             return
         for message in messages:
--- a/micadeck/fleet/peer_digests.py
+++ b/micadeck/fleet/peer_digests.py
@@ -1,4 +1,4 @@
-"""Agreement with other members, by the digests of their tables that they send."""
+"""Agreement with other members, by the digests that they send of their tables."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from micadeck.fleet.timers import TimerQueue
 
 _RECENT_INTERVALS = 6  # probe intervals for which a digest counts as recent
-_AGREEING_PEERS = 4  # how many have to hold the same table for it to be settled
+_AGREEING_PEERS = 4  # number of peers that must have the same table for it to be settled
 _MAX_DIGESTS = 96
 
 
@@ -25,7 +25,7 @@
 
 
 class PeerDigests:
-    """Owns the last digest of each peer, and concludes from them whether members agree."""
+    """Owns the last digest of each peer, and derives whether members agree."""
 
     def __init__(
         self, table: MemberTable, timers: TimerQueue, health: LocalHealth, settings: FleetSettings
@@ -42,7 +42,7 @@
         self._timers = timers
         self._health = health
         self._settings = settings
-        self._digests: dict[str, _PeerDigest] = {}  # the last received stands last
+        self._digests: dict[str, _PeerDigest] = {}  # least recently received first
 
     def record(self, peer: str, digest: int) -> None:
         """Store the digest that a peer sent now."""
@@ -61,15 +61,15 @@
 
     def is_in_sync(self, peer: str) -> bool:
         """Whether the last digest of a peer is that of this member's table."""
-        known = self._digests.get(peer)
-        return known is not None and known.digest == self._table.digest
+        received = self._digests.get(peer)
+        return received is not None and received.digest == self._table.digest
 
     @property
     def is_settled(self) -> bool:
         """Whether the peers that sent a digest last, since the table changed, have the same table."""
         expected = min(_AGREEING_PEERS, self._table.live_members - 1)
         latest = list(islice(reversed(self._digests.values()), expected))
-        return len(latest) == expected and all(self._agrees(each) for each in latest)
+        return len(latest) == expected and all(self._agrees(received) for received in latest)
 
     def count_members(self) -> MemberCount:
         """Return bounds of the number of members.
@@ -83,17 +83,17 @@
         recent_peers = sum(self._is_recent_member(name) for name in self._digests)
         return MemberCount(recent_peers + 1, table.live_members + table.state_counts[MemberState.DEAD])
 
-    def _agrees(self, known: _PeerDigest) -> bool:
+    def _agrees(self, received: _PeerDigest) -> bool:
         return (
-            known.digest == self._table.digest
-            and known.received_at > self._table.digest_changed_at
-            and self._is_recent(known)
+            received.digest == self._table.digest
+            and received.received_at > self._table.digest_changed_at
+            and self._is_recent(received)
         )
 
     def _is_recent_member(self, name: str) -> bool:
         record = self._table.get(name)
         return record is not None and record.is_live and self._is_recent(self._digests[name])
 
-    def _is_recent(self, known: _PeerDigest) -> bool:
+    def _is_recent(self, received: _PeerDigest) -> bool:
         interval_us = self._settings.probe_interval_us * self._health.timeout_factor
-        return self._timers.now - known.received_at <= _RECENT_INTERVALS * interval_us
+        return self._timers.now - received.received_at <= _RECENT_INTERVALS * interval_us
--- a/micadeck/fleet/probe_round.py
+++ b/micadeck/fleet/probe_round.py
@@ -1,4 +1,4 @@
-"""The order in which members are probed: a shuffled round, so that each one has its turn."""
+"""The order of probes: shuffled rounds, so that every member is probed once per round."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ProbeRound:
-    """Owns the targets that are left of the current round."""
+    """Owns the remaining targets of the current round."""
 
     def __init__(self, table: MemberTable, local_name: str, rng: random.Random) -> None:
         """Start with an empty round.
@@ -22,7 +22,7 @@
         self._table = table
         self._local_name = local_name
         self._rng = rng
-        self._targets: list[str] = []  # the next one stands last
+        self._targets: list[str] = []  # the next one is the last item
 
     def next_target(self) -> MemberRecord | None:
         """Remove and return the next target; None if there is no other live member."""
@@ -37,7 +37,7 @@
                 return record
 
     def insert(self, name: str) -> None:
-        """Give a member that joined a random place in the round."""
+        """Insert a new member at a random position of the round."""
         self._targets.insert(self._rng.randrange(len(self._targets) + 1), name)
 
     def probe_next(self, name: str) -> None:
--- a/micadeck/fleet/settings.py
+++ b/micadeck/fleet/settings.py
@@ -27,11 +27,11 @@
     probe_interval_us: int = 500_000
     probe_timeout_us: int = 200_000  # until indirect probes are sent
     indirect_probes: int = 3
-    suspicion_multiplier: float = 1.5  # shortest suspicion: probe intervals for each tenfold of the members
+    suspicion_multiplier: float = 1.5  # shortest suspicion, in probe intervals per factor of ten in members
     suspicion_max_factor: float = 3.0  # longest suspicion, as a multiple of the shortest
-    suspicion_loss_factor: float = 8.0  # how much the fraction of missed probes prolongs a suspicion
-    max_health_score: int = 8  # Lifeguard's local health: timeouts grow up to 1 + this many times
-    retransmit_multiplier: float = 3.0  # transmissions of an update for each doubling of the members
+    suspicion_loss_factor: float = 8.0  # weight of the fraction of missed probes that prolongs a suspicion
+    max_health_score: int = 8  # Lifeguard's local health: timeouts are multiplied by up to 1 + this
+    retransmit_multiplier: float = 3.0  # transmissions of an update per doubling of the members
     dead_retention_us: int = 60_000_000  # until a dead member is removed from the table
     tombstone_retention_us: int = 600_000_000  # until the last record of a removed member is dropped
     hint_lifetime_us: int = 10_000_000  # how long an endpoint hint is passed on
--- a/micadeck/fleet/suspicion.py
+++ b/micadeck/fleet/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions: how long each lasts until its member is declared dead."""
+"""Suspicions, and the time after which a suspect is declared dead."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class SuspicionTracker:
-    """Owns which members suspect a member, and the suspicions' timers."""
+    """Owns the suspicions: which members suspect which, and timers."""
 
     def __init__(
         self, table: MemberTable, timers: TimerQueue, health: LocalHealth, settings: FleetSettings
     ) -> None:
-        """Start without a suspicion.
+        """Start without suspicions.
 
         Args:
             table: This member's table.
@@ -30,42 +30,42 @@
         self._suspected_by: dict[str, set[str | None]] = {}
 
     def start(self, record: MemberRecord, suspected_by: str | None) -> None:
-        """Start the suspicion of a member whose record in the table is now this one."""
+        """Start the suspicion of a member whose record was just stored in the table."""
         self._suspected_by[record.name] = {suspected_by}
         self._schedule(SuspicionTimer(record.name, record.start_us, record.incarnation))
 
     def clear(self, name: str) -> None:
-        """End the suspicion of a member, if there is one; its timer has no effect any more."""
+        """End the suspicion of a member, if any; its timer is ignored when it fires."""
         self._suspected_by.pop(name, None)
 
     def confirm(self, record: MemberRecord) -> bool:
-        """Count a further member with the same suspicion, which shortens it.
+        """Count a further member with the same suspicion, which shortens the timeout.
 
         Returns:
-            Whether it is new and to be passed on; only some are.
+            Whether to pass it on: it is new, and one of the first few.
         """
         suspected_by = self._suspected_by.setdefault(record.name, set())
-        confirming = record.suspected_by
-        if not confirming or confirming in suspected_by:
+        confirmer = record.suspected_by
+        if not confirmer or confirmer in suspected_by:
             return False
         if len(suspected_by) > self._settings.indirect_probes:
             return False
-        suspected_by.add(confirming)
+        suspected_by.add(confirmer)
         return True
 
     def reschedule(self, record: MemberRecord) -> None:
-        """Set another timer for a suspicion that was shortened."""
+        """Set an earlier timer for a suspicion that was shortened."""
         self._schedule(SuspicionTimer(record.name, record.start_us, record.incarnation))
 
     def restart(self, timer: SuspicionTimer) -> None:
-        """Give a suspect its full time again."""
+        """Restart the timeout of a suspicion."""
         entry = self._table.entries.get(timer.name)
         if entry is not None:
             entry.changed_at = self._timers.now
             self._schedule(timer)
 
     def expire(self, timer: SuspicionTimer) -> MemberRecord | None:
-        """Return the record that declares a member dead, once its suspicion has lasted its time."""
+        """Return the record that declares a suspect dead, once its suspicion has timed out."""
         entry = self._table.entries.get(timer.name)
         expected = (timer.start_us, timer.incarnation, MemberState.SUSPECT)
         if entry is None or entry.record.precedence != expected:
--- a/micadeck/fleet/timers.py
+++ b/micadeck/fleet/timers.py
@@ -1,4 +1,4 @@
-"""Timers of one member, and the clock of the step in which it is."""
+"""Timers of one member, and the time of its current step."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbeTimeoutTimer:
-    """A probe that this member sent for another one was not answered in time."""
+    """A probe on behalf of another member was not answered in time."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class SuspicionTimer:
-    """A suspicion may have lasted its time."""
+    """A suspicion may have timed out."""
 
     name: str
     start_us: int
@@ -38,13 +38,13 @@
 
 
 class TimerQueue:
-    """Owns the timers and the current time, both by a clock in microseconds that never steps back."""
+    """Owns the timers and the current time, both in microseconds of a monotonic clock."""
 
     def __init__(self, now: int) -> None:
-        """Make an empty queue at a time."""
+        """Create an empty queue."""
         self.now = now
         self._heap: list[tuple[int, int, Timer]] = []
-        self._order = 0  # timers that are due at the same time fire in the order of their scheduling
+        self._order = 0  # timers with the same due time fire in the order of scheduling
 
     @property
     def next_due(self) -> int:
--- a/micadeck/operations/lifecycle.py
+++ b/micadeck/operations/lifecycle.py
@@ -46,7 +46,7 @@
 
 @unique
 class _Event(Enum):
-    """The events that cause transitions between phases."""
+    """The events that cause transitions."""
 
     STARTED = "started"
     DRAIN = "drain"
@@ -85,7 +85,7 @@
         return self._apply(_Event.STARTED, now)
 
     def drain(self, now: float) -> bool:
-        """Ask clients to use others, until `undrain` or `stop`."""
+        """Ask clients to use other sidecars until `undrain` or `stop`."""
         return self._apply(_Event.DRAIN, now)
 
     def undrain(self, now: float) -> bool:
@@ -111,7 +111,7 @@
 
     @property
     def can_serve(self) -> bool:
-        """Whether requests that arrive are served; a drain only asks clients to use others."""
+        """Whether new requests are served; a drain only asks clients to use other sidecars."""
         return self.has_started and self.phase not in (Phase.STOPPING, Phase.ENDED)
 
     @property
--- a/micadeck/operations/statsd_report.py
+++ b/micadeck/operations/statsd_report.py
@@ -21,7 +21,7 @@
 
     in_progress: int  # requests accepted and not finished
     known_servers: int
-    skipped_servers: int  # known servers that are avoided
+    skipped_servers: int  # known servers that get only probation attempts
     attempts: int  # attempts that were written completely
     config_loads: int  # configurations accepted at SIGHUP
     config_load_errors: int  # configurations rejected at SIGHUP
--- a/micadeck/peer_datagrams.py
+++ b/micadeck/peer_datagrams.py
@@ -9,11 +9,11 @@
 
 from micadeck.network import Address, Network
 
-MAX_DATAGRAM_BYTES = 256  # a longer one is never sent
+MAX_DATAGRAM_BYTES = 256  # longer ones are not sent
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """Sends to the sidecars of the tier by number, and reports the sender of each datagram.
+    """Sends datagrams to the sidecars of the tier by number, and identifies senders.
 
     Owns the socket and the addresses of the peers.
     """
@@ -21,12 +21,12 @@
     def __init__(
         self, network: Network, peers: tuple[Address, ...], broadcast: Address | None, own_number: int
     ) -> None:
-        """Set the peers up; `listen` opens the socket.
+        """Set the peers; `listen` opens the socket.
 
         Args:
             network: Opens the socket.
             peers: The addresses of all sidecars of the tier, this one's too, by number.
-            broadcast: An address that reaches all of them; None: each gets a datagram of its own.
+            broadcast: An address that reaches all of them; None: each is sent its own datagram.
             own_number: The number of this sidecar.
         """
         self._network = network
@@ -37,17 +37,17 @@
         self._on_datagram: Callable[[Address, bytes], None] | None = None
 
     def receive_raw(self, on_datagram: Callable[[Address, bytes], None]) -> None:
-        """Give each datagram to this in place of `on_message`: it knows by itself who is a member."""
+        """Pass datagrams to `on_datagram`, which authenticates senders, and not to `on_message`."""
         self._on_datagram = on_datagram
 
     def send_raw(self, to: Address, payload: bytes) -> None:
-        """Send to an address; the datagram may be lost, also here."""
+        """Send to an address, without a guarantee of delivery."""
         if self._transport is not None:
-            with suppress(OSError, ValueError):  # no such address
+            with suppress(OSError, ValueError):  # the address is invalid or can't be reached
                 self._transport.sendto(payload, to)
 
     def set_peers(self, peers: tuple[Address, ...], broadcast: Address | None) -> None:
-        """Reach the tier's sidecars at these addresses from now on."""
+        """Replace the addresses of the tier's sidecars."""
         self._peers = peers
         self._broadcast = broadcast
         self._numbers = {address: number for number, address in enumerate(peers)}
@@ -58,7 +58,7 @@
         await self._network.datagrams(lambda: self, address)
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
-        """Send to one sidecar, or to all (None); return whether it could be sent at all."""
+        """Send to one sidecar, or to all (None); return whether it was sent."""
         if self._transport is None or len(payload) > MAX_DATAGRAM_BYTES:
             return False
         if receiver is not None:
@@ -79,12 +79,12 @@
             self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the open socket."""
-        # The event loop's own class is none of DatagramTransport, so there is nothing to check.
+        """Store the open transport."""
+        # uvloop's transports don't derive from asyncio's, so there is nothing to check at run time.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Report a datagram, unless it is from no sidecar of the tier."""
+        """Report a datagram from a sidecar of the tier; ignore others."""
         if self._on_datagram is not None:
             self._on_datagram((addr[0], addr[1]), data)
             return
--- a/micadeck/runtime.py
+++ b/micadeck/runtime.py
@@ -137,7 +137,7 @@
             self._log,
             suspect_stale,
         )
-        self.engine.on_endpoint_update = fleet.listed
+        self.engine.on_endpoint_update = fleet.publish_endpoint_update
         return fleet
 
     def _make_recorder(self) -> Recorder | None:
--- a/tests/processes/test_fleet_processes.py
+++ b/tests/processes/test_fleet_processes.py
@@ -34,7 +34,7 @@
     daemons.mark()
     daemons.kill(2)
     daemons.until_settled(3)
-    assert any("n2 is taken for dead" in each for each in daemons.fleet_lines(0))
+    assert any("n2 is declared dead" in each for each in daemons.fleet_lines(0))
     daemons.mark()
     daemons.start(2)
     daemons.until_settled(4)
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -91,8 +91,8 @@
         update = EndpointUpdate(
             7, False, (entry("s-1", ServerState.DRAINING), entry("s-2", ServerState.READY))
         )
-        fleet.hosts[3].listed(update)
-        fleet.hosts[1].listed(update)  # its own discovery sent it as well
+        fleet.hosts[3].publish_endpoint_update(update)
+        fleet.hosts[1].publish_endpoint_update(update)  # its own discovery sent it as well
         await asyncio.sleep(5.0)
         assert [count > 0 for count in fleet.suspicions] == [True, False, True, False]
 
@@ -108,8 +108,8 @@
 
     async def work() -> None:
         many = tuple(entry(f"s-{number}", ServerState.DRAINING) for number in range(200))
-        fleet.hosts[0].listed(EndpointUpdate(8, False, many))
-        fleet.hosts[0].listed(EndpointUpdate(9, True, many[:3]))
+        fleet.hosts[0].publish_endpoint_update(EndpointUpdate(8, False, many))
+        fleet.hosts[0].publish_endpoint_update(EndpointUpdate(9, True, many[:3]))
         await asyncio.sleep(5.0)
 
     fleet.play(work)
@@ -207,7 +207,7 @@
         runtimes[1].close()
 
     wire.loop.run_until_complete(work())
-    assert "fleet: n0 has left" in logs[1] and "fleet: n0 is taken for dead" not in logs[1]
+    assert "fleet: n0 has left" in logs[1] and "fleet: n0 is declared dead" not in logs[1]
 
 
 GOOD = '[[keys]]\nnumber = 1\nfile = "k"\n'
