--- a/micadeck/graceful_shutdown.py
+++ b/micadeck/graceful_shutdown.py
@@ -55,7 +55,7 @@
             if which is ConnectionsToClose.SAFE_IDLE:
                 self._listener.connections.close_idle()
             elif which is ConnectionsToClose.ALL_IDLE:
-                self._listener.connections.close_unowed()
+                self._listener.connections.close_without_pending_answer()
             await self._network.sleep(_POLL_S)
 
 
--- a/micadeck/http/__init__.py
+++ b/micadeck/http/__init__.py
@@ -1,5 +1,5 @@
-"""HTTP/1.1: the front that clients speak to, and the carrier that speaks to servers.
+"""HTTP/1.1: the listener for clients, and the connection pool to servers.
 
-Reading and writing messages (`h1`), checking requests (`incoming`), wording answers (`answers`) and choosing
-which connections rest (`resting`) do no input or output.
+Parsing and encoding (`h1`), validation (`request_validation`), answers (`error_responses`) and the choice
+of idle connections to keep (`idle_connections`) do no I/O.
 """
--- a/micadeck/http/body_stream.py
+++ b/micadeck/http/body_stream.py
@@ -1,6 +1,6 @@
-"""A body that is passed on while it is received: bounded, with backpressure from its reader to its writer.
+"""A body that is forwarded while it is received: bounded, with backpressure from reader to writer.
 
-No input or output of its own: bytes go in at `put`, and out through the calls that `open` is given.
+No I/O: bytes enter through `put` and leave through the callbacks given to `open`.
 """
 
 from __future__ import annotations
@@ -10,41 +10,41 @@
 
 from micadeck.memory.budget import MemoryBudget, PressureLevel
 
-MAX_BUFFERED_BYTES = 64 << 10  # of a body that is kept; a larger one is passed on while it is received
-_MAX_BUFFERED_WHEN_SHORT_BYTES = 8 << 10
-_MAX_EACH_BYTES = MAX_BUFFERED_BYTES  # in one stream before its writer is paused
-_MIN_EACH_BYTES = 8 << 10
+MAX_BUFFERED_BYTES = 64 << 10  # a larger body is streamed instead of buffered
+_MAX_BUFFERED_UNDER_PRESSURE_BYTES = 8 << 10
+_MAX_STREAM_BYTES = MAX_BUFFERED_BYTES  # buffered in one stream before its writer is paused
+_MIN_STREAM_BYTES = 8 << 10
 
 
 class BufferBudget:
-    """What all body streams together may hold, and how large a body may be to be kept instead.
+    """Memory limit of all body streams together, and the size up to which a body is buffered instead.
 
-    Owns the count of open streams and of the bytes in them.
+    Owns the count of open streams and of their bytes.
     """
 
     def __init__(self, max_bytes: int, memory: MemoryBudget | None = None) -> None:
         self.max_bytes = max_bytes
-        self.memory = memory  # counts what is kept; None: nobody does
+        self.memory = memory  # accounts for buffered bodies; None: no accounting
         self.open_streams = 0
-        self.held = 0  # bytes in all of them
+        self.held = 0  # bytes in all open streams
 
     def max_buffered(self) -> int:
-        """The largest body, in bytes, that is kept: less where memory is short.
+        """The largest body, in bytes, that is buffered: less under memory pressure.
 
-        No more than a stream may hold, since what was kept becomes the first that its stream holds.
+        At most what a stream may hold, since the buffered part is moved into the stream.
         """
         is_short = self.memory is not None and self.memory.level >= PressureLevel.PASS_ON
-        return _MAX_BUFFERED_WHEN_SHORT_BYTES if is_short else self.share()
+        return _MAX_BUFFERED_UNDER_PRESSURE_BYTES if is_short else self.max_per_stream()
 
-    def share(self) -> int:
-        """How many bytes one stream may hold now: the more streams, the less each."""
-        return max(min(_MAX_EACH_BYTES, self.max_bytes // max(self.open_streams, 1)), _MIN_EACH_BYTES)
+    def max_per_stream(self) -> int:
+        """How many bytes one stream may hold; shrinks with the number of streams."""
+        return max(min(_MAX_STREAM_BYTES, self.max_bytes // max(self.open_streams, 1)), _MIN_STREAM_BYTES)
 
 
 class BodyStream:
-    """One body, between whoever receives it and whoever takes it.
+    """One body between the side that receives it (the writer) and the side that sends it on (the reader).
 
-    `pause` and `resume` are called to hold back its writer.
+    `pause` and `resume` apply backpressure to the writer.
     """
 
     def __init__(
@@ -54,43 +54,43 @@
         pause: Callable[[], object],
         resume: Callable[[], object],
     ) -> None:
-        self.length = length  # as announced; None: that is not known ahead
-        self.has_ended = False  # the last byte was put in
-        self.was_opened = False  # whether any of it may have gone out
-        self.is_over = False  # all of it went out, or nobody takes the rest
+        self.length = length  # as announced; None: unknown
+        self.has_ended = False  # whether the writer has put the last byte
+        self.was_opened = False  # whether some of it may have been sent
+        self.is_over = False  # whether all of it was sent, or the rest was dropped
         self._budget = budget
         self._pause = pause
         self._resume = resume
-        self._kept: deque[bytes] = deque()
+        self._buffered: deque[bytes] = deque()
         self._held = 0
         self._is_paused = False
         self._write: Callable[[bytes], object] | None = None
         self._end: Callable[[], object] | None = None
-        self._is_blocked = False  # the reader's side takes nothing for now
+        self._is_blocked = False  # whether the reader accepts no data
         budget.open_streams += 1
 
     # The writer's side
 
     def put(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Add a piece of the body."""
         if self.is_over:
             return
-        if self._write is not None and not self._is_blocked and not self._kept:
+        if self._write is not None and not self._is_blocked and not self._buffered:
             self._write(data)
         else:
-            self._kept.append(data)
+            self._buffered.append(data)
             self._hold(len(data))
         self._apply_backpressure()
 
     def end(self) -> None:
-        """The body is complete."""
+        """Mark the body as complete."""
         if not self.has_ended:
             self.has_ended = True
             self._flush()
 
     def drop(self) -> None:
-        """Drop all that is held: nobody takes the rest, or there is none."""
-        self._kept.clear()
+        """Discard the rest of the body."""
+        self._buffered.clear()
         self._hold(-self._held)
         self._finish()
         self._write = self._end = None
@@ -98,33 +98,33 @@
     # The reader's side
 
     def open(self, write: Callable[[bytes], object], end: Callable[[], object]) -> None:
-        """Take the body from here on: `write` for each piece, `end` once behind the last."""
+        """Start reading: `write` is called for each piece, `end` once after the last."""
         self.was_opened = True
         self._write, self._end = write, end
         self._flush()
 
     def block(self) -> None:
-        """The reader takes nothing for now."""
+        """Stop writing to the reader."""
         self._is_blocked = True
 
     def unblock(self) -> None:
-        """The reader takes what there is again."""
+        """Resume writing to the reader."""
         self._is_blocked = False
         self._flush()
 
     @property
     def is_paused(self) -> bool:
-        """Whether its writer is held up."""
+        """Whether the writer is paused."""
         return self._is_paused
 
     # Both sides
 
     def _flush(self) -> None:
-        while self._kept and self._write is not None and not self._is_blocked:
-            data = self._kept.popleft()
+        while self._buffered and self._write is not None and not self._is_blocked:
+            data = self._buffered.popleft()
             self._hold(-len(data))
             self._write(data)
-        if self.has_ended and not self._kept and self._end is not None and not self._is_blocked:
+        if self.has_ended and not self._buffered and self._end is not None and not self._is_blocked:
             end, self._end = self._end, None
             self._finish()
             end()
@@ -135,12 +135,12 @@
         self._budget.held += more
 
     def _apply_backpressure(self) -> None:
-        """Pause the writer while as much is held as may be, or while the reader is blocked."""
-        full = not self.is_over and self._held >= self._budget.share()
+        """Pause the writer at the limit; resume it at half of that."""
+        full = not self.is_over and self._held >= self._budget.max_per_stream()
         if full and not self._is_paused:
             self._is_paused = True
             self._pause()
-        elif self._is_paused and self._held <= self._budget.share() // 2:
+        elif self._is_paused and self._held <= self._budget.max_per_stream() // 2:
             self._is_paused = False
             self._resume()
 
--- a/micadeck/http/connection_limits.py
+++ b/micadeck/http/connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits on clients' connections, and the states that a connection passes through."""
+"""Limits and states of client connections."""
 
 from __future__ import annotations
 
@@ -8,34 +8,32 @@
 
 @dataclass(frozen=True, slots=True)
 class DownstreamLimits:
-    """What clients may take of the sidecar; times in seconds."""
-
-    header_timeout_s: float = (
-        2.5  # from the connection, or the first byte of a further request, to its whole head
-    )
-    request_timeout_s: float = 2.6  # and to its last byte
-    min_bytes_per_s: float = 48e3  # and longer for a large one, as long as so much of it comes
-    stall_s: float = 2.0  # but never so long without a byte of it
-    reading_s: float = 15.0  # how long a client may take nothing of an answer that is passed on
-    idle_timeout_s: float = 5.0  # without a request after an answer, while there is room
-    greeting_s: float = 0.25  # how long one that connected is spared before its silence counts against it
-    linger_s: float = 0.5  # how long a client that was rejected may go on sending before it is cut off
-    upload_linger_s: float = 5.0  # or one that was answered while its request still came
-    sweep_s: float = 0.1  # how often the times are looked at
-    max_bytes: int = 4 << 20  # of requests, read in part or whole, over all connections
+    """Limits on client connections; times in seconds."""
+
+    header_timeout_s: float = 2.5  # to the complete head, from the connect or a later request's first byte
+    request_timeout_s: float = 2.6  # from the same point to the last byte of a small request
+    min_bytes_per_s: float = 48e3  # a larger request gets more time while it arrives at this rate
+    stall_s: float = 2.0  # maximum time without a byte of a request
+    write_stall_s: float = 15.0  # maximum time that a client reads nothing of an answer
+    idle_timeout_s: float = 5.0  # without a request after an answer, while there is spare capacity
+    first_request_grace_s: float = 0.25  # how long a new connection without data is kept
+    linger_s: float = 0.5  # how long a half-closed connection may keep sending before it is aborted
+    upload_linger_s: float = 5.0  # the same, if the answer preceded the end of the request body
+    sweep_s: float = 0.1  # interval between timeout checks
+    max_bytes: int = 4 << 20  # of complete and partial requests, over all connections
 
 
 @unique
 class ConnectionState(IntEnum):
-    """What a client's connection is about.
+    """State of a client connection.
 
-    Numbers, since they are keys that are looked up several times a request: those of a plain Enum are hashed
-    by a call.
+    An IntEnum, as the states are dictionary keys looked up several times per request, and a plain Enum's
+    hash is computed in Python.
     """
 
-    CLOSING = 1  # it has its last answer
-    NEW = 2  # not a byte came yet
-    IDLE = 3  # its requests are answered
-    READING = 4  # a part of a request came
-    UPLOADING = 5  # and more than that: a request was taken whose body is still coming
-    SERVING = 6  # an answer is due; never closed for room
+    CLOSING = 1  # the last answer is written
+    NEW = 2  # no byte received yet
+    IDLE = 3  # all requests are answered
+    READING = 4  # a request is partly received
+    UPLOADING = 5  # a request was submitted whose body is still being received
+    SERVING = 6  # an answer is pending; evicted only if its client does not read it
--- a/micadeck/http/connection_ports.py
+++ b/micadeck/http/connection_ports.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of the listener and of the table of all connections."""
+"""Interfaces that a client connection needs of the listener and of the connection table."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
     from micadeck.http.downstream_connection import DownstreamConnection
 
 
-class RequestTaker(Protocol):
-    """What a connection needs of the listener that accepted it."""
+class ListenerPort(Protocol):
+    """The listener that accepted a connection."""
 
     engine: Engine
     network: Network
     budget: BufferBudget
-    buffer: memoryview  # for what is read; used up before the next read
+    buffer: memoryview  # for received data; each read is processed before the next
     is_draining: bool
     is_healthy: bool
     linger_s: float
     upload_linger_s: float
 
-    def take(self, request: Request, client: DownstreamConnection) -> int | None:
-        """Bring a request to the engine; raise BadRequestError on what no server must see."""
+    def submit(self, request: Request, client: DownstreamConnection) -> int | None:
+        """Submit a request to the engine; raise BadRequestError if it is invalid."""
 
 
-class StateKeeper(Protocol):
-    """What a connection reports to: the table of all connections."""
+class ConnectionRegistry(Protocol):
+    """The table of all connections, which tracks state and memory."""
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Take a new connection in, or cut it where there is no room for it."""
+        """Add a new connection, or abort it if the table is full."""
 
     def move(self, connection: DownstreamConnection, state: ConnectionState) -> None:
-        """Put a connection into another state."""
+        """Move a connection to another state."""
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
 
     def hold_memory(self, connection: DownstreamConnection, cost: int) -> None:
-        """Count what a connection's requests cost of memory, in bytes."""
+        """Set the memory charged for a connection's requests, in bytes."""
 
     def release_memory(self, connection: DownstreamConnection) -> None:
-        """Count nothing for a connection any more."""
+        """Stop charging memory for a connection."""
--- a/micadeck/http/connection_table.py
+++ b/micadeck/http/connection_table.py
@@ -1,6 +1,6 @@
-"""The open connections of clients by state: which are closed to make room, and what memory they hold.
+"""Client connections by state: which are evicted for new ones, and the memory of their requests.
 
-Owns the state of every connection, their order in it, and the bytes that their unanswered requests cost.
+Owns the state of every connection, the order within each state, and the bytes of unanswered requests.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class ConnectionTable:
-    """All connections of clients, never more than `max_connections`."""
+    """All client connections, at most `max_connections`."""
 
     def __init__(self, limits: DownstreamLimits, network: Network, budget: BufferBudget) -> None:
-        self.max_connections = 0  # set by whoever knows how many descriptors there are
+        self.max_connections = 0  # set by the sidecar from the descriptor limit
         self.last_opened_at = 0.0  # seconds on the network's clock
         self._limits = limits
         self._network = network
@@ -39,22 +39,22 @@
             yield from each
 
     def in_state(self, state: ConnectionState) -> list[DownstreamConnection]:
-        """The connections in a state, the one that came to it first in front; any thread may ask."""
+        """The connections in a state, in the order in which they entered it; thread-safe."""
         return list(self._by_state[state])
 
     # What connections report
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Take a new connection in, or cut it where there is no room for it."""
+        """Add a new connection, or abort it if the table is full and nothing can be evicted."""
         self.last_opened_at = connection.since = self._network.time()
-        if len(self) >= self.max_connections and not self._make_room():
+        if len(self) >= self.max_connections and not self._evict_one():
             connection.state = ConnectionState.CLOSING
-            connection.cut()
+            connection.abort()
             return
         self._by_state[ConnectionState.NEW][connection] = None
 
     def move(self, connection: DownstreamConnection, state: ConnectionState) -> None:
-        """Put a connection into another state."""
+        """Move a connection to another state."""
         before = connection.state
         if state is before:
             return
@@ -63,42 +63,42 @@
         connection.state = state
         if state is ConnectionState.READING:
             if before is ConnectionState.NEW:
-                return  # its time runs from the connection on
+                return  # its timeout runs from the connect
             if before is ConnectionState.IDLE:
-                self._idle.used_again(connection)
+                self._idle.record_reuse(connection)
         connection.since = self._network.time()
         if state is ConnectionState.IDLE or state is ConnectionState.CLOSING:
             self.release_memory(connection)
         if state is ConnectionState.IDLE:
-            self._idle.became_idle(connection, connection.answers, self.max_connections)
+            self._idle.record_idle(connection, connection.answers, self.max_connections)
             if self._idle.excess(self.max_connections):
-                # After this round, so that a request that came in one piece with the last one is seen.
+                # In the next loop iteration, so that a request received together with the last one is seen.
                 self._network.call_soon(self._close_excess_idle)
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         self._by_state[connection.state].pop(connection, None)
-        self._idle.closed(connection)
+        self._idle.record_closed(connection)
         self.release_memory(connection)
 
     # Memory
 
     def hold_memory(self, connection: DownstreamConnection, cost: int) -> None:
-        """Count what a connection's requests cost of memory.
+        """Set the memory charged for a connection's requests.
 
-        Over the limit, the oldest partial request is rejected.  Guards against many clients that each send a
-        part of a large request, and no more.
+        Above the limit, the oldest partial requests are rejected, as many clients may each send a part of a
+        large request and then stop.
 
         Args:
-            connection: Whose requests they are.
-            cost: All of them together, in bytes.
+            connection: The connection.
+            cost: The memory of all its requests, in bytes.
         """
         self._set_held(connection, cost)
         while self._held_bytes > self._limits.max_bytes and self.reject_oldest_partial():
             pass
 
     def release_memory(self, connection: DownstreamConnection) -> None:
-        """Count nothing for a connection any more."""
+        """Stop charging memory for a connection."""
         self._set_held(connection, 0)
 
     def _set_held(self, connection: DownstreamConnection, cost: int) -> None:
@@ -112,21 +112,21 @@
 
     @property
     def partial_requests(self) -> int:
-        """How many connections there are on which a request has come in part."""
+        """Number of connections with a partial request."""
         return len(self._by_state[ConnectionState.READING])
 
     @property
     def unsent_bytes(self) -> int:
-        """How much clients have not taken of their answers."""
+        """Bytes of answers in the send buffers of all connections."""
         return sum(each.unsent_bytes for each in self)
 
     @property
-    def trailing_answers(self) -> int:
-        """Answers that servers have sent completely and clients have not; any thread may ask."""
-        return sum(each.is_trailing for each in self.in_state(ConnectionState.SERVING))
+    def flushing_answers(self) -> int:
+        """Number of answers received completely and still being sent; thread-safe."""
+        return sum(each.is_flushing_answer for each in self.in_state(ConnectionState.SERVING))
 
     def reject_oldest_partial(self) -> bool:
-        """Reject the request that has been partly sent for longest; say whether there was one."""
+        """Reject the oldest partial request; return False if there is none."""
         oldest = next(self._partial(), None)
         if oldest is None:
             return False
@@ -134,56 +134,56 @@
         return True
 
     def _partial(self) -> Iterator[DownstreamConnection]:
-        """Connections on which only a part of a request has come, the oldest first."""
+        """Connections with nothing but a partial request, oldest first."""
         return (each for each in self._by_state[ConnectionState.READING] if not each.has_complete_request)
 
-    # Closing what is idle
+    # Closing idle connections
 
     def close_idle(self) -> None:
-        """Close idle connections; one that has just connected has its request on the way."""
-        new_since = self._network.time() - self._limits.greeting_s
+        """Close idle connections, except new ones whose first request may be on its way."""
+        new_since = self._network.time() - self._limits.first_request_grace_s
         for each in [each for each in self if each.is_idle]:
             if each.state is not ConnectionState.NEW or each.since <= new_since:
                 each.close()
 
-    def close_unowed(self) -> None:
-        """Close every connection on which no answer is due and no request has begun.
+    def close_without_pending_answer(self) -> None:
+        """Close every connection without a pending answer or a started request.
 
-        One with a request unread is left for now: it is read in the next round, and its answer is the last.
+        One with an unread request stays: it is read in the next loop iteration, and closed by its answer.
         """
         for state in (ConnectionState.IDLE, ConnectionState.NEW):
             for each in self.in_state(state):
                 if each.has_unsent:
-                    each.cut()
+                    each.abort()
                 elif each.is_idle:
                     each.close()
 
     def close_all(self) -> None:
-        """Close every connection; for when no answer is due any more."""
+        """Close every connection, once no answer is pending."""
         for each in list(self):
             each.close()
 
     def trim(self) -> None:
-        """Close idle connections beyond `max_connections`, the one idle longest first."""
+        """Close idle connections above `max_connections`, the longest idle first."""
         idle = (each for each in self.in_state(ConnectionState.IDLE) if each.is_idle)
         for each in islice(idle, max(len(self) - self.max_connections, 0)):
             each.close()
 
     def _close_excess_idle(self) -> None:
-        """Close idle connections beyond their part of the room, and none with a request unread.
+        """Close single-use idle connections above their share, except those with an unread request.
 
-        Guards against clients that ask once on each connection and keep it: they may hold only so many, and
-        when all of those are idle here, no request can come until some are closed.
+        Clients that send one request per connection and keep it have limits of their own: once all they may
+        hold are idle here, they can't send until some are closed.
         """
         idle = (each for each in self._idle.closable(self.max_connections) if each.is_idle)
         for each in list(islice(idle, self._idle.excess(self.max_connections))):
-            self._idle.closed(each)
+            self._idle.record_closed(each)
             each.close()
 
-    # Making room
+    # Eviction
 
-    def _make_room(self) -> bool:
-        """Close the connection that is missed least, never one whose client takes the answer that is due.
+    def _evict_one(self) -> bool:
+        """Abort the connection of lowest value, never one whose client reads a pending answer.
 
         Returns:
             Whether there was one.
@@ -192,32 +192,32 @@
         if evicted is None:
             return False
         self._by_state[evicted.state].pop(evicted)
-        evicted.cut()
+        evicted.abort()
         return True
 
     def _by_eviction_order(self) -> Iterator[DownstreamConnection]:
         by_state = self._by_state
         now = self._network.time()
-        new_since, unsent_since = now - self._limits.greeting_s, now - self._limits.stall_s
+        new_since, unsent_since = now - self._limits.first_request_grace_s, now - self._limits.stall_s
         return chain(
             (each for each in by_state[ConnectionState.CLOSING] if not each.has_unsent),
-            # Guards against closing a client that has just connected, its request on the way, while
-            # others are idle: it would be left without an answer.
+            # New connections have a grace period: the first request may be on its way, and would stay
+            # unanswered although idle connections could be closed instead.
             (each for each in islice(by_state[ConnectionState.NEW], 1) if each.since <= new_since),
             (each for each in by_state[ConnectionState.IDLE] if each.is_idle),
-            # Guards those who have just connected against clients that take all the room with requests that
-            # never end.
+            # Otherwise clients with requests that never end could occupy the whole table, and new clients
+            # would be aborted.
             self._oldest_without_request(),
-            # Its last byte has not come, so no server began it: guards against bodies that come for ever.
+            # Guards against endless bodies; no server has started on an incomplete request.
             by_state[ConnectionState.UPLOADING],
-            # Its last answer has not left: late, and not before it had its time.
+            # The last answer is not sent completely: evicted late, and only after the stall timeout.
             (each for each in by_state[ConnectionState.CLOSING] if each.since <= unsent_since),
-            # Guards against clients that ask for large answers and take nothing of them: last of all.
+            # Clients that request large answers and don't read them are evicted last.
             self._longest_blocked(unsent_since),
         )
 
     def _longest_blocked(self, blocked_before: float) -> Iterator[DownstreamConnection]:
-        """Of those that have taken nothing of their answer since then, the one that did so for longest."""
+        """The connection blocked longest, if its client has read nothing since `blocked_before`."""
         blocked = [
             (each.blocked_since, number, each)
             for number, each in enumerate(self._by_state[ConnectionState.SERVING])
@@ -227,6 +227,6 @@
             yield min(blocked)[2]
 
     def _oldest_without_request(self) -> list[DownstreamConnection]:
-        """The oldest of those that have sent no complete request."""
+        """The oldest connection without a complete request."""
         first = [*islice(self._by_state[ConnectionState.NEW], 1), *islice(self._partial(), 1)]
         return [min(first, key=lambda each: each.since)] if first else []
--- a/micadeck/http/connection_timeouts.py
+++ b/micadeck/http/connection_timeouts.py
@@ -1,4 +1,4 @@
-"""Time limits on clients' connections: every descriptor that a client holds for nothing is another's."""
+"""Timeouts of client connections, so that stalled clients don't use up the descriptors of others."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TimeoutSweeper:
-    """Closes, at short intervals, the connections that have taken too long."""
+    """Checks all connections periodically and closes those that timed out."""
 
     def __init__(self, table: ConnectionTable, limits: DownstreamLimits, network: Network) -> None:
         self._table = table
@@ -19,22 +19,22 @@
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Sweep now and then from here on."""
+        """Start the periodic sweep."""
         self._timer = self._network.call_later(self._limits.sweep_s, self._sweep)
 
     def stop(self) -> None:
-        """Sweep no more."""
+        """Stop sweeping."""
         if self._timer is not None:
             self._timer.cancel()
 
     def _sweep(self) -> None:
-        self.start()  # whatever comes of this one
+        self.start()  # first, so that an exception below doesn't stop the sweeps
         now = self._network.time()
         self._close_late_heads(now)
         self._reject_late_bodies(now)
-        self._end_abandoned(now)
+        self._abort_abandoned(now)
         self._close_idle(now)
-        self._cut_lingering(now)
+        self._abort_lingering(now)
 
     def _close_late_heads(self, now: float) -> None:
         for each in self._table.in_state(ConnectionState.NEW):
@@ -47,42 +47,42 @@
     def _reject_late_bodies(self, now: float) -> None:
         reading = self._table.in_state(ConnectionState.READING)
         for each in [*reading, *self._table.in_state(ConnectionState.UPLOADING)]:
-            if each.has_head and each.is_waiting_for_more and self._is_late(each, now):
+            if each.has_head and each.is_waiting_for_client and self._is_late(each, now):
                 each.reject(408)
 
     def _is_late(self, connection: DownstreamConnection, now: float) -> bool:
-        """Whether a body is late: it comes at its pace, as long as it comes at all."""
+        """Whether a body is slower than the minimum rate, or stalled."""
         limits = self._limits
         allowed_s = limits.request_timeout_s + connection.received_bytes / limits.min_bytes_per_s
         return now - connection.since >= allowed_s or now - connection.received_at >= limits.stall_s
 
-    def _end_abandoned(self, now: float) -> None:
-        """End those that take nothing of their answer, or whose client has left unseen."""
+    def _abort_abandoned(self, now: float) -> None:
+        """Abort connections whose client does not read its answer or has disconnected."""
         for each in self._table.in_state(ConnectionState.SERVING):
-            if each.blocked_since is not None and now - each.blocked_since >= self._limits.reading_s:
-                each.cut()
+            if each.blocked_since is not None and now - each.blocked_since >= self._limits.write_stall_s:
+                each.abort()
         serving = self._table.in_state(ConnectionState.SERVING)
         for each in [*serving, *self._table.in_state(ConnectionState.UPLOADING)]:
-            if each.has_left:
-                each.leave()
+            if each.has_unread_eof:
+                each.abort_disconnected()
 
     def _close_idle(self, now: float) -> None:
         table = self._table
         idle_s = idle_timeout_s(self._limits.idle_timeout_s, len(table), table.max_connections)
         for each in table.in_state(ConnectionState.IDLE):
             if now - each.since < idle_s:
-                break  # they stand in the order in which they became idle
+                break  # they are in the order in which they became idle
             if each.is_idle:
                 each.close()
             elif each.has_unsent:
-                each.cut()  # else a request lies unread, and is read in the next round
+                each.abort()  # otherwise there is an unread request, which is read in the next loop iteration
 
-    def _cut_lingering(self, now: float) -> None:
+    def _abort_lingering(self, now: float) -> None:
         limits = self._limits
         for each in self._table.in_state(ConnectionState.CLOSING):
-            if each.has_unsent and now - each.since < limits.reading_s:
-                continue  # its last answer still goes out
+            if each.has_unsent and now - each.since < limits.write_stall_s:
+                continue  # its last answer is still being sent
             lingers = now - each.since < each.linger_s
             is_uploading = each.linger_s > limits.linger_s
             if not lingers or (is_uploading and now - each.received_at >= limits.linger_s):
-                each.cut()
+                each.abort()
--- a/micadeck/http/framing.py
+++ b/micadeck/http/framing.py
@@ -1,35 +1,35 @@
-"""Bounds on all of an HTTP/1.1 message that is no body: heads, chunk sizes and extensions, trailers.  No I/O.
+"""Limits on the parts of an HTTP/1.1 message other than its body: heads, chunk framing, trailers.  No I/O.
 
-A parser keeps a header until its end is received, so what has no end has to be counted meanwhile; and a
-header costs far more than its bytes: two objects, a pair and its place in a list.
+The parser buffers a header until its end is received, so endless ones have to be counted meanwhile; and a
+stored header takes far more memory than its bytes: two objects, a pair and a list slot.
 """
 
 from __future__ import annotations
 
-MAX_HEAD_BYTES = 16 << 10  # bytes without a byte of a body, or a message's begin or end, between them
-MAX_HEADERS = 100  # of one head, and trailers of one body
+MAX_HEAD_BYTES = 16 << 10  # consecutive bytes without a body byte or the start or end of a message
+MAX_HEADERS = 100  # in one head; also the limit on the trailers of one body
 
 
 class TooManyHeadersError(Exception):
-    """A message has more headers, or trailers, than are kept."""
+    """A message has more headers or trailers than allowed."""
 
 
 class FramingCount:
-    """Counts bytes that were read in a row and brought a message no further.
+    """Counts consecutive bytes read without progress of a message.
 
-    `has_progressed` is set by whoever sees a message begin or end, or a part of a body, in this read.  It is
-    an attribute, since that is several times for each message.  Guards against a peer that sends many
-    messages ahead: those before the current one are no part of it.
+    The reader sets `has_progressed` when a message starts or ends, or a part of a body is received, in
+    this read.  It is an attribute as it is set several times per message.  Progress resets the count, so
+    that pipelined messages are not counted together.
     """
 
     __slots__ = ("has_progressed", "pending")
 
     def __init__(self) -> None:
         self.has_progressed = False
-        self.pending = 0  # bytes read that brought the message no further
+        self.pending = 0  # consecutive bytes without progress
 
     def read(self, count: int) -> bool:
-        """Count a read of so many bytes, once it is used up; say whether the message is still bounded."""
+        """Count the bytes of a processed read; return False once they exceed the limit."""
         if self.has_progressed:
             self.has_progressed = False
             self.pending = 0
--- a/micadeck/http/h1.py
+++ b/micadeck/http/h1.py
@@ -1,7 +1,7 @@
-"""Reading and writing HTTP/1.1 messages, in both directions; no sockets.
+"""Parses and encodes HTTP/1.1 requests and responses; no sockets.
 
-Reading is llhttp's (by httptools), strict: no leniency is ever turned on.  It refuses what can be read in two
-ways: a length beside a transfer coding, a length twice or as a list, bare line feeds, folded headers.
+The parser is llhttp (by httptools) in strict mode, with no leniency flag set.  It rejects ambiguous messages:
+a length with a transfer coding, a repeated or listed length, bare line feeds, folded headers.
 """
 
 from __future__ import annotations
@@ -20,28 +20,30 @@
 Headers = list[tuple[bytes, bytes]]
 
 MAX_BODY_BYTES = 33 << 20  # of a request, and of a server's answer
-_MAX_DELAYED_BYTES = 4 << 10  # of a large answer, or one whose length is not known, before it is passed on
-_BLANK = 0x20  # a space, and above a tab
-_MAX_INTERIM = 8  # 1xx answers ahead of the one that counts
+_STREAMING_THRESHOLD_BYTES = (
+    4 << 10
+)  # buffered of an answer that is large or of unknown length, before streaming
+_SPACE = 0x20  # the tab's code is lower
+_MAX_INTERIM = 8  # 1xx responses before the final one
 _REASONS = {each.value: each.phrase.encode() for each in HTTPStatus}
 
 
 @dataclass(slots=True)
 class Request:
-    """A request, as it was received or as it is sent."""
+    """A request, as received or as sent."""
 
     method: bytes
     target: bytes
-    headers: Headers  # their names in lower case
+    headers: Headers  # names in lower case
     body: bytes = b""
     keep_alive: bool = True
-    stream: BodyStream | None = None  # the body, where it is passed on as it comes
+    stream: BodyStream | None = None  # the body, if it is streamed
     version: str = "1.1"
-    arrived_at: float = 0.0  # when its last byte came, or of a body that is passed on its first, in seconds
-    cost: int = 0  # of keeping it, in bytes, its body with it
+    arrived_at: float = 0.0  # seconds; when it was received, or if it is streamed, when streaming began
+    cost: int = 0  # memory that it takes, including its body, in bytes
 
     def encode(self) -> bytes:
-        """The bytes of it, or of its head where the body is passed on."""
+        """Serialize it, or only its head if the body is streamed."""
         return b"%s %s HTTP/1.1\r\n%s\r\n%s" % (self.method, self.target, _encoded(self.headers), self.body)
 
 
@@ -52,28 +54,28 @@
     status: int
     headers: Headers
     body: bytes = b""
-    stream: BodyStream | None = None  # the body, where it is passed on as it comes
-    abandon: Callable[[], None] | None = None  # ends what comes of it, where nobody takes the rest
+    stream: BodyStream | None = None  # the body, if it is streamed
+    abandon: Callable[[], None] | None = None  # stops receiving the rest of a streamed body
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of the first header of this name, in lower case."""
+        """The value of the first header of this lower-case name."""
         return next((value for key, value in self.headers if key == name), None)
 
     def encode(self, *, with_body: bool = True) -> bytes:
-        """Its bytes, its length among them; without the body where the request allows none."""
+        """Serialize it with a content length; the body is left out for HEAD requests."""
         body = self.body if with_body else b""
         length = (b"content-length", b"%d" % len(body))
         reason = _REASONS.get(self.status, b"")
         return b"HTTP/1.1 %d %s\r\n%s\r\n%s" % (self.status, reason, _encoded([*self.headers, length]), body)
 
 
-def head_of(status: int, headers: Headers) -> bytes:
-    """The head of an answer whose body follows."""
+def encode_head(status: int, headers: Headers) -> bytes:
+    """Serialize the head of a streamed answer."""
     return b"HTTP/1.1 %d %s\r\n%s\r\n" % (status, _REASONS.get(status, b""), _encoded(headers))
 
 
-def chunk(data: bytes) -> bytes:
-    """A piece of a body whose length is not known; it must not be empty, which would end the body."""
+def encode_chunk(data: bytes) -> bytes:
+    """Encode data in chunked coding; it must not be empty, as an empty chunk ends the body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -86,28 +88,28 @@
 
 
 @dataclass(slots=True)
-class _Part:
-    """A message that has begun and is not complete."""
+class _PartialMessage:
+    """A message that is not received completely."""
 
     target: bytes = b""
     version: str = "1.1"
     headers: Headers = field(default_factory=list)
     body: bytearray = field(default_factory=bytearray)
-    size: int = 0  # of the body, as far as it came
+    size: int = 0  # received bytes of the body
     stream: BodyStream | None = None
     has_head: bool = False
     trailers: int = 0
-    head_bytes: int = 0  # once its head is whole, of values and the target
+    head_bytes: int = 0  # size of the target and header values; 0 until the head is complete
 
     def count_trailer(self) -> None:
-        """Count a trailer, which is passed over; raise TooManyHeaders beyond what a message may have."""
+        """Count a trailer, which is ignored; raise TooManyHeadersError above the limit."""
         self.trailers += 1
         if self.trailers > MAX_HEADERS:
             raise TooManyHeadersError
 
     @property
     def cost(self) -> int:
-        """What it takes of memory as far as it came, in bytes, but for a header that has not ended."""
+        """Memory that the received part takes, in bytes, without an incomplete header."""
         return REQUEST_COST + self.head_bytes + HEADER_COST * len(self.headers) + len(self.body)
 
     def values(self, name: bytes) -> list[bytes]:
@@ -116,38 +118,38 @@
 
 
 MakeBodyStream = Callable[[int | None], BodyStream]
-"""Makes the way for a body that is too large to be kept; it is given the length that was announced."""
+"""Creates the stream for a body that is too large to buffer, given its announced length if any."""
 
 
 class _Reader:
-    """What the readers of requests and of responses share; httptools calls the `on_` methods."""
+    """Base class of the request and response readers; httptools calls the `on_` methods."""
 
-    _part: _Part | None
-    _make_body_stream: MakeBodyStream | None  # None: every body is kept
+    _part: _PartialMessage | None
+    _make_body_stream: MakeBodyStream | None  # None: bodies are always buffered
     _framing: FramingCount
 
     def release(self) -> None:
-        """Read no more, and let go of all that was read.
+        """Stop reading and drop everything that was read.
 
-        Guards against memory that only a late collection frees: the parser holds this object, and this object
-        the parser with the part of a body that came.
+        Breaks the reference cycle between the parser and this object: otherwise the partial body would stay
+        in memory until the garbage collector runs.
         """
         self._part = None
         self._make_body_stream = None
         vars(self).pop("_parser", None)
 
     @property
-    def has_part(self) -> bool:
-        """Whether a message has begun that is not complete."""
+    def has_partial_message(self) -> bool:
+        """Whether a message is partly received."""
         return self._part is not None
 
     def on_message_begin(self) -> None:
-        """Begin a message."""
+        """Start a message."""
         self._framing.has_progressed = True
-        self._part = _Part()
+        self._part = _PartialMessage()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header, or count a trailer."""
+        """Store a header, or count a trailer."""
         part = self._part
         if part is None:
             return
@@ -156,20 +158,20 @@
             return
         if len(part.headers) >= MAX_HEADERS:
             self._on_too_many_headers()
-            raise TooManyHeadersError  # so that the parser reads no further
-        # Blanks behind a value are none of it (RFC 9112, 5.1); the parser leaves them there.
-        if value and value[-1] <= _BLANK:
+            raise TooManyHeadersError  # stops the parser
+        # Trailing whitespace is not part of a value (RFC 9112, 5.1), but the parser leaves it in place.
+        if value and value[-1] <= _SPACE:
             value = value.rstrip(b" \t")
         part.headers.append((name.lower(), value))
 
     def _on_too_many_headers(self) -> None:
-        """Record why reading ends; what can't be read is a fault in any case."""
+        """Record the error; the raised exception stops reading in any case."""
 
 
 class RequestReader(_Reader):
     """Reads the requests of one connection.
 
-    Complete ones wait in `requests`; `fault` is the status with which all further reading is rejected.
+    Complete ones are queued in `requests`; once `error_status` is set, nothing more is read.
     """
 
     def __init__(
@@ -179,50 +181,50 @@
         max_buffered: Callable[[], int] = lambda: MAX_BUFFERED_BYTES,
     ) -> None:
         self.requests: deque[Request] = deque()
-        self._waiting_cost = 0  # of these
+        self._queued_cost = 0  # memory of the queued requests, in bytes
         self._max_buffered = max_buffered
-        self.fault: int | None = None  # the status of the rejection
+        self.error_status: int | None = None  # status of the answer to input that can't be accepted
         self.awaits_continue = False
         self._max_body = max_body
         self._make_body_stream = make_body_stream
-        self._part: _Part | None = None
+        self._part: _PartialMessage | None = None
         self._framing = FramingCount()
         self._arrived_at = 0.0
         self._parser = httptools.HttpRequestParser(self)
 
     def release(self) -> None:
-        """Read no more, and drop what was read."""
+        """Stop reading and drop everything that was read."""
         self._reject(400)
         self.requests.clear()
-        self._waiting_cost = 0
+        self._queued_cost = 0
         super().release()
 
-    def take(self) -> Request:
-        """The request that waits for longest; it waits no more."""
+    def pop_request(self) -> Request:
+        """Remove and return the oldest queued request."""
         request = self.requests.popleft()
-        self._waiting_cost -= request.cost
+        self._queued_cost -= request.cost
         return request
 
     @property
     def cost(self) -> int:
-        """What is kept here costs of memory, in bytes."""
+        """Memory of queued and partial requests, in bytes."""
         part = self._part
-        return self._waiting_cost + (0 if part is None else part.cost + self._framing.pending)
+        return self._queued_cost + (0 if part is None else part.cost + self._framing.pending)
 
     @property
     def has_head(self) -> bool:
-        """Whether the head of the message that has begun is complete."""
+        """Whether the head of the partial message is complete."""
         return self._part is not None and self._part.has_head
 
     def feed(self, data: bytes, arrived_at: float = 0.0) -> None:
-        """Read on; `arrived_at` is the time, in seconds, that requests which end here are given."""
-        if self.fault is not None:
+        """Parse received data; `arrived_at` is its time of arrival, in seconds."""
+        if self.error_status is not None:
             return
         self._arrived_at = arrived_at
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._reject(400)  # unless it was rejected already, for another fault
+            self._reject(400)  # keeps the status of an earlier rejection
         if not self._framing.read(len(data)):
             self._reject(431)
 
@@ -230,26 +232,26 @@
         self._reject(431)
 
     def _reject(self, status: int) -> None:
-        if self.fault is None:
-            self.fault = status
+        if self.error_status is None:
+            self.error_status = status
 
     # What the parser calls
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the target."""
         if self._part is not None:
             self._part.target += url
 
     def on_headers_complete(self) -> None:
-        """Judge the head, which is complete."""
+        """Check the complete head."""
         part = self._part
-        if part is None or self.fault is not None:
+        if part is None or self.error_status is not None:
             return
         self._framing.has_progressed = True
         part.has_head = True
         lengths, codings, expects = [], [], []
         size = len(part.target)
-        for name, value in part.headers:  # one look for all: it is made for every request
+        for name, value in part.headers:  # a single pass, as it runs for every request
             size += len(value)
             if name == b"content-length":
                 lengths.append(value)
@@ -269,8 +271,8 @@
             self.awaits_continue = True
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body, or pass it on."""
-        if self._part is None or self.fault is not None:
+        """Buffer or stream a part of the body."""
+        if self._part is None or self.error_status is not None:
             return
         part = self._part
         self._framing.has_progressed = True
@@ -284,8 +286,8 @@
             if self._make_body_stream is not None and len(part.body) > self._max_buffered():
                 self._begin_streaming(part, self._make_body_stream)
 
-    def _begin_streaming(self, part: _Part, make_body_stream: MakeBodyStream) -> None:
-        """Too large to be kept: it is a request from here on, and its body comes as it comes."""
+    def _begin_streaming(self, part: _PartialMessage, make_body_stream: MakeBodyStream) -> None:
+        """Queue the request before its body is complete, as it is too large to buffer."""
         length = next((int(each) for each in part.values(b"content-length")), None)
         part.stream = make_body_stream(length)
         part.stream.put(bytes(part.body))
@@ -293,21 +295,21 @@
         self._append(part)
 
     def on_message_complete(self) -> None:
-        """The message has come to its end."""
+        """Finish the message."""
         part, self._part = self._part, None
         self._framing.has_progressed = True
         self.awaits_continue = False
-        if part is None or self.fault is not None:
+        if part is None or self.error_status is not None:
             return
         if part.stream is not None:
             part.stream.end()
         else:
             self._append(part)
 
-    def _append(self, part: _Part) -> None:
+    def _append(self, part: _PartialMessage) -> None:
         parser = self._parser
         cost = part.cost
-        self._waiting_cost += cost
+        self._queued_cost += cost
         self.requests.append(
             Request(
                 parser.get_method(),
@@ -324,7 +326,7 @@
 
 
 class ResponseReader(_Reader):
-    """Reads the one answer that is due on a connection, and notices what comes beyond it."""
+    """Reads the one expected answer of a connection, and detects any data after it."""
 
     def __init__(
         self,
@@ -334,30 +336,32 @@
     ) -> None:
         self.keep_alive = False
         self._max_buffered = max_buffered
-        self.has_more = False  # something came behind the answer
+        self.has_extra_bytes = False  # whether data followed the answer
         self._max_body = max_body
         self._make_body_stream = make_body_stream
-        self._begin: Callable[[Response], bool] | None = None
+        self._start_streaming: Callable[[Response], bool] | None = None
         self._framing = FramingCount()
         self._parser = httptools.HttpResponseParser(self)
         self.expect()
 
-    def expect(self, begin: Callable[[Response], bool] | None = None, max_body: int | None = None) -> None:
-        """The answer to a further request is due, with a body of so many bytes at most, or the usual bound.
+    def expect(
+        self, start_streaming: Callable[[Response], bool] | None = None, max_body: int | None = None
+    ) -> None:
+        """Prepare for the answer to a further request, its body limited to `max_body` bytes if given.
 
-        Should it be too large to be kept, `begin` gets its head and its body's stream, and says whether
-        anybody takes it.  Without that, it is kept.
+        If it is too large to buffer, `start_streaming` gets its head and body stream, and returns whether
+        anybody takes it.  Without that callback, it is buffered.
         """
-        self._begin = begin
-        self._max_due = self._max_body if max_body is None else min(max_body, self._max_body)
-        self.response: Response | None = None  # once it is complete
+        self._start_streaming = start_streaming
+        self._response_limit = self._max_body if max_body is None else min(max_body, self._max_body)
+        self.response: Response | None = None  # set once it is complete
         self.is_malformed = False
-        self._part: _Part | None = None
+        self._part: _PartialMessage | None = None
         self._interim = 0
-        self._ends_at_close = False  # whether the connection's end is the answer's
+        self._ends_at_close = False  # whether the end of the connection ends the answer
 
     def feed(self, data: bytes) -> None:
-        """Read on."""
+        """Parse received data."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -365,18 +369,18 @@
         if not self._framing.read(len(data)):
             self.is_malformed = True
         if self.response is not None:
-            self.has_more = self.has_more or self.is_malformed
-            self.is_malformed = False  # the answer itself was whole by then
+            self.has_extra_bytes = self.has_extra_bytes or self.is_malformed
+            self.is_malformed = False  # the answer itself was complete by then
 
     # What the parser calls
 
     def on_message_begin(self) -> None:
-        """Begin a message."""
-        self.has_more = self.response is not None
+        """Start a message."""
+        self.has_extra_bytes = self.response is not None
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Judge the head, which is complete."""
+        """Check the complete head."""
         if self._part is None:
             return
         self._framing.has_progressed = True
@@ -386,63 +390,70 @@
             self._interim += 1
             bounded = self._interim <= _MAX_INTERIM
         else:
-            # Guards against waiting for what will be thrown away, and against taking an answer that broke off
-            # for a whole one: where nothing but the connection's end frames it, nobody can tell.
+            # Reject an answer above the size limit before the body is received, and one maybe truncated:
+            # without a length or chunked coding, a broken connection looks like the end of the body.
             lengths = self._part.values(b"content-length")
             codings = [each.lower() for each in self._part.values(b"transfer-encoding")]
             bounded = codings == [b"chunked"] or status in (204, 304)
-            bounded = bounded or (bool(lengths) and int(lengths[0]) <= self._max_due)
+            bounded = bounded or (bool(lengths) and int(lengths[0]) <= self._response_limit)
             if not bounded and not lengths and not codings:
                 self._ends_at_close = bounded = self._ends_with_connection()
         if not bounded and self.response is None:
             self.is_malformed = True
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body, or pass it on."""
+        """Buffer or stream a part of the body."""
         if self._part is None or self.is_malformed or self.response is not None:
             return
         part = self._part
         self._framing.has_progressed = True
         part.size += len(body)
-        if part.size > self._max_due:
+        if part.size > self._response_limit:
             self.is_malformed = True
         elif part.stream is not None:
             part.stream.put(body)
         else:
             part.body += body
-            if self._begin is not None and self._make_body_stream is not None and self._is_large(part):
-                self._begin_streaming(part, self._begin, self._make_body_stream)
-
-    def _is_large(self, part: _Part) -> bool:
-        """Whether more comes than is kept: as it says, or guessed where it does not.
-
-        Guards against holding the first bytes of a slow answer back until all that may be kept has come; and
-        against beginning one whose length is a lie, which could still be asked for elsewhere.
+            if (
+                self._start_streaming is not None
+                and self._make_body_stream is not None
+                and self._is_large(part)
+            ):
+                self._begin_streaming(part, self._start_streaming, self._make_body_stream)
+
+    def _is_large(self, part: _PartialMessage) -> bool:
+        """Whether to stream the answer: its length is unknown or too large to buffer.
+
+        Waiting for a full buffer would delay the first bytes of a slow answer.  A minimum is awaited even so:
+        an answer that announces a false length can then still be retried elsewhere.
         """
-        if len(part.body) <= _MAX_DELAYED_BYTES:
+        if len(part.body) <= _STREAMING_THRESHOLD_BYTES:
             return False
         lengths = part.values(b"content-length")
         return not lengths or int(lengths[0]) > self._max_buffered()
 
     def _begin_streaming(
-        self, part: _Part, begin: Callable[[Response], bool], make_body_stream: MakeBodyStream
+        self,
+        part: _PartialMessage,
+        start_streaming: Callable[[Response], bool],
+        make_body_stream: MakeBodyStream,
     ) -> None:
         status = self._parser.get_status_code()
         if status != 200:
-            self.is_malformed = True  # nothing of it is passed on, so nobody needs the rest
+            self.is_malformed = True  # only a 200 is passed on to the client, so the rest is not needed
             return
         length = next((int(each) for each in part.values(b"content-length")), None)
         part.stream = make_body_stream(length)
         part.stream.put(bytes(part.body))
         part.body.clear()
-        if not begin(Response(status, part.headers, b"", part.stream)):
+        if not start_streaming(Response(status, part.headers, b"", part.stream)):
             part.stream.drop()
             self.is_malformed = True
 
     def _ends_with_connection(self) -> bool:
-        """Whether the server says that its answer ends with the connection.
+        """Whether the server announced that the end of the connection ends its answer.
 
-        Guards against taking an answer that broke off for a whole one: one that says nothing may be either.
+        An answer without length or announcement may be truncated.
         """
         assert self._part is not None
         options = {
@@ -452,27 +463,27 @@
 
     @property
     def cost(self) -> int:
-        """What is kept of an answer in part costs of memory, in bytes."""
+        """Memory of the partial answer, in bytes."""
         return 0 if self._part is None else self._part.cost + self._framing.pending
 
     @property
     def stream(self) -> BodyStream | None:
-        """The body that is being passed on."""
+        """The body that is being streamed."""
         return None if self._part is None else self._part.stream
 
     def end(self) -> None:
-        """The connection ended in order; an answer that ends with it is whole."""
+        """Handle an orderly end of the connection, which may complete the answer."""
         if self._ends_at_close and self._part is not None and not self.is_malformed and self.response is None:
             self.on_message_complete()
             self.keep_alive = False
 
     def on_message_complete(self) -> None:
-        """The message has come to its end."""
+        """Finish the message."""
         part, self._part = self._part, None
         self._framing.has_progressed = True
         status = self._parser.get_status_code()
         if part is None or self.is_malformed or self.response is not None or status < 200:
             return
         self.response = Response(status, part.headers, bytes(part.body), part.stream)
-        self._begin = None  # guards against holding on to who asked while the connection rests
+        self._start_streaming = None  # an idle connection must not keep the request's objects alive
         self.keep_alive = self._parser.should_keep_alive()
--- a/micadeck/http/idle_connections.py
+++ b/micadeck/http/idle_connections.py
@@ -1,9 +1,9 @@
-"""Idle connections of clients: how many are kept, and for how long.  No input or output.
+"""Idle client connections: how many are kept, and for how long.  No I/O.
 
-An idle connection is useful while its client uses it again, and takes a place from a new one otherwise.
-Reuse is observed: a connection that sent a second request is kept as long as there is room.  Those that sent
-one request share a part of the room that follows how many are used again.  Closing early would hide whether
-they are, so a few are samples: they are left alone, and only they are counted.
+An idle connection is useful if its client reuses it; otherwise it occupies a slot that a new one could use.
+A connection that sent a second request is kept as long as there is capacity.  Single-use ones (one request
+so far) share a part of the capacity that grows with the observed reuse ratio.  Closing them early would hide
+reuse, so a few are samples: they are not closed early, and only they are counted.
 """
 
 from __future__ import annotations
@@ -11,69 +11,69 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-_MIN_SHARE = 0.25  # of the room, for those that sent one request, when none is used again
-_MAX_SHARE = 0.75  # when all do: clients may hold fewer connections than there is room for
-_SAMPLED_SHARE = 0.125  # of the room, at most
-_SAMPLE_INTERVAL = 4  # every fourth that sent one request, while there are not too many
-_WEIGHT = 1 / 16  # of one sample in the estimate
-_FULL_TIMEOUT_UP_TO = 0.5  # of the room in use: so far the full time holds
-_MIN_TIMEOUT_SHARE = 0.2  # of the full time, when the room is used up
+_MIN_SHARE = 0.25  # of the capacity, for single-use connections when none is reused
+_MAX_SHARE = 0.75  # the same when all are reused; below 1, as clients may hold fewer than the capacity
+_SAMPLED_SHARE = 0.125  # maximum share of the capacity for samples
+_SAMPLE_INTERVAL = 4  # every fourth single-use connection is a sample, up to that share
+_WEIGHT = 1 / 16  # of one sample in the moving average
+_FULL_TIMEOUT_MAX_USE = 0.5  # share of the capacity in use up to which the full timeout applies
+_MIN_TIMEOUT_SHARE = 0.2  # of the full timeout, when the capacity is exhausted
 
 C = TypeVar("C")
 
 
 class IdleConnections(Generic[C]):
-    """The idle connections that sent one request, and how many such are used again."""
+    """The single-use idle connections, and the share that is reused."""
 
     def __init__(self) -> None:
-        self.reuse_ratio = 0.0  # of the samples; 0 until one is used again
-        self._single_use: dict[C, bool] = {}  # the one idle longest first; True: a sample
+        self.reuse_ratio = 0.0  # moving average over the samples
+        self._single_use: dict[C, bool] = {}  # longest idle first; the value is whether it is a sample
         self._samples = 0
         self._since_sample = 0
 
-    def became_idle(self, connection: C, served: int, room: int) -> None:
-        """Record that a connection became idle, having served so many requests."""
+    def record_idle(self, connection: C, served: int, capacity: int) -> None:
+        """Record that a connection became idle after `served` requests."""
         if served == 1:
             self._since_sample += 1
             is_sample = self._since_sample >= _SAMPLE_INTERVAL and self._samples < max(
-                room * _SAMPLED_SHARE, 1
+                capacity * _SAMPLED_SHARE, 1
             )
             self._single_use[connection] = is_sample
             if is_sample:
                 self._samples += 1
                 self._since_sample = 0
 
-    def used_again(self, connection: C) -> None:
-        """Record that a request began on an idle connection."""
-        self._leave(connection, was_reused=True)
+    def record_reuse(self, connection: C) -> None:
+        """Record that a request started on an idle connection."""
+        self._remove(connection, was_reused=True)
 
-    def closed(self, connection: C) -> None:
-        """Record that a connection ended, whoever closed it."""
-        self._leave(connection, was_reused=False)
+    def record_closed(self, connection: C) -> None:
+        """Record that a connection was closed by either side."""
+        self._remove(connection, was_reused=False)
 
-    def _leave(self, connection: C, was_reused: bool) -> None:
+    def _remove(self, connection: C, was_reused: bool) -> None:
         if self._single_use.pop(connection, False):
             self._samples -= 1
             self.reuse_ratio += (float(was_reused) - self.reuse_ratio) * _WEIGHT
 
-    def max_single_use(self, room: int) -> int:
-        """How many that sent one request may be idle, of so much room."""
-        return int(room * (_MIN_SHARE + (_MAX_SHARE - _MIN_SHARE) * self.reuse_ratio))
+    def max_single_use(self, capacity: int) -> int:
+        """Maximum number of single-use idle connections."""
+        return int(capacity * (_MIN_SHARE + (_MAX_SHARE - _MIN_SHARE) * self.reuse_ratio))
 
-    def closable(self, room: int) -> Iterator[C]:
-        """Those that may be closed, in this order; none while there is no `excess`."""
-        if self.excess(room):
+    def closable(self, capacity: int) -> Iterator[C]:
+        """Connections that may be closed, in this order; none without `excess`."""
+        if self.excess(capacity):
             yield from (each for each, is_sample in self._single_use.items() if not is_sample)
 
-    def excess(self, room: int) -> int:
-        """How many that sent one request are idle beyond their part of the room."""
-        return max(len(self._single_use) - self.max_single_use(room), 0)
+    def excess(self, capacity: int) -> int:
+        """How many single-use connections are idle above their maximum."""
+        return max(len(self._single_use) - self.max_single_use(capacity), 0)
 
 
-def idle_timeout_s(max_s: float, used: int, room: int) -> float:
-    """How long a connection may be idle, in seconds, while so much of the room is in use."""
-    full = used / room if room > 0 else 1.0
-    if full <= _FULL_TIMEOUT_UP_TO:
+def idle_timeout_s(max_s: float, used: int, capacity: int) -> float:
+    """Idle timeout in seconds, given how much of the capacity is in use."""
+    full = used / capacity if capacity > 0 else 1.0
+    if full <= _FULL_TIMEOUT_MAX_USE:
         return max_s
-    beyond = min((full - _FULL_TIMEOUT_UP_TO) / (1.0 - _FULL_TIMEOUT_UP_TO), 1.0)
+    beyond = min((full - _FULL_TIMEOUT_MAX_USE) / (1.0 - _FULL_TIMEOUT_MAX_USE), 1.0)
     return max_s * (1.0 - beyond * (1.0 - _MIN_TIMEOUT_SHARE))
--- a/micadeck/http/listener.py
+++ b/micadeck/http/listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections, and brings their requests to the engine."""
+"""Accepts client connections and submits their requests to the engine."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from micadeck.network import Address, Listener, Network
 from micadeck.policy.settings import Settings
 
-_ACCEPTED_AT_ONCE = 8  # connections, before those that are open get their turn
-_READ_BYTES = 8 << 10  # read in one call
-_TIMER_MARGIN_S = 0.002  # guards against a timer that fires early: it would fire in vain
+_ACCEPT_BATCH = 8  # connections accepted before open ones are served again
+_READ_BYTES = 8 << 10  # maximum per read
+_TIMER_MARGIN_S = 0.002  # a timer may fire early, before the settings are due
 
 
 class HttpListener:
-    """The listening socket for clients, and what all their connections share."""
+    """The listening socket for clients, and the state shared by all connections."""
 
     def __init__(
         self,
@@ -34,14 +34,14 @@
     ) -> None:
         self.engine = engine
         self.network = network
-        self.budget = budget  # of bodies that are passed on as they come
+        self.budget = budget  # for streamed bodies
         self.connections = ConnectionTable(limits, network, budget)
         self.linger_s = limits.linger_s
         self.upload_linger_s = limits.upload_linger_s
-        self.is_draining = False  # every answer closes its connection
-        self.is_healthy = True  # what `/_health` says
-        self.on_settings: Callable[[Settings], object] = _ignore  # called when others come into force
-        self.buffer = memoryview(bytearray(_READ_BYTES))  # each read is used up before the next
+        self.is_draining = False  # if set, every answer closes its connection
+        self.is_healthy = True  # reported by `/_health`
+        self.on_settings: Callable[[Settings], object] = _ignore  # called when new settings take effect
+        self.buffer = memoryview(bytearray(_READ_BYTES))  # each read is processed before the next
         self._versions = SettingsVersions(settings)
         self._limits = limits
         self._listener: Listener | None = None
@@ -51,16 +51,16 @@
         """Accept clients at this address.
 
         Raises:
-            OSError: The address can't be had.
+            OSError: The address can't be bound.
         """
-        # Shared with the process that takes over from this one, or that this one takes over from.
+        # Shared with the other process during a hot restart.
         self._listener = self.network.listen(
-            lambda: DownstreamConnection(self, self.connections), address, _ACCEPTED_AT_ONCE, shared=True
+            lambda: DownstreamConnection(self, self.connections), address, _ACCEPT_BATCH, shared=True
         )
         self._sweeper.start()
 
     def stop_listening(self) -> None:
-        """Accept nobody from here on."""
+        """Stop accepting connections."""
         if self._listener is not None:
             self._listener.close()
         self._sweeper.stop()
@@ -73,34 +73,35 @@
 
     @property
     def is_accepting(self) -> bool:
-        """Whether a client was accepted whose connection is not in the table yet."""
+        """Whether a connection was accepted that is not in the table yet."""
         return self._listener is not None and self._listener.is_accepting
 
-    def take(self, request: Request, client: DownstreamConnection) -> int | None:
-        """Bring a request to the engine.
+    def submit(self, request: Request, client: DownstreamConnection) -> int | None:
+        """Submit a request to the engine.
 
         Returns:
-            The engine's number for it; None if it has its answer already.
+            The engine's number for it; None if it is answered already.
 
         Raises:
-            BadRequestError: No server must see it.
+            BadRequestError: It is invalid.
         """
         validated = self._validated(request)
-        validated.begin = client.begin
-        validated.check_client_end = client.check_client_end
+        validated.start_streaming = client.start_streaming
+        validated.check_client_disconnect = client.check_client_disconnect
         if request.arrived_at and validated.is_complete:
-            # Its time counts from its last byte, wherever it waited since: unread, or behind another.
+            # The timeout counts from the last byte, including time in the socket or behind another request.
             validated.remaining_us -= int((self.network.time() - request.arrived_at) * 1e6)
         client.remaining_us = validated.remaining_us
         if not validated.is_complete:
-            validated.remaining_us += self._upload_us(request)  # its own time counts from its last byte
+            # The timeout counts from the last byte, so the time to receive the body is added.
+            validated.remaining_us += self._upload_allowance_us(request)
         try:
             return self.engine.submit(validated, client)
         except RequestIdInUseError:
             raise BadRequestError("request-id is that of an open request", 409) from None
 
     def _validated(self, request: Request) -> ValidatedRequest:
-        """Check a request against the settings that its client follows."""
+        """Validate a request against the settings that its client follows."""
         versions = self._versions
         if versions.is_settled:
             return read_request(request, versions)
@@ -111,20 +112,22 @@
             if versions.settings is not before:
                 self.on_settings(versions.settings)
 
-    def _upload_us(self, request: Request) -> int:
-        """How long a body may take to come."""
+    def _upload_allowance_us(self, request: Request) -> int:
+        """Maximum time to receive a body."""
         length = MAX_BODY_BYTES if request.stream is None else request.stream.length or MAX_BODY_BYTES
         limits = self._limits
         return int((limits.request_timeout_s + length / limits.min_bytes_per_s) * 1e6)
 
     def announce(self, settings: Settings) -> None:
-        """Put other settings in force once clients follow them."""
+        """Schedule new settings for when clients follow them."""
         due = self._versions.announce(settings, self.network.now())
         for at in (due, due + OVERLAP_US):
-            self.network.call_later((at - self.network.now()) / 1e6 + _TIMER_MARGIN_S, self._turn_version)
+            self.network.call_later(
+                (at - self.network.now()) / 1e6 + _TIMER_MARGIN_S, self._apply_due_settings
+            )
 
-    def _turn_version(self) -> None:
-        if self._versions.turn(self.network.now()):
+    def _apply_due_settings(self) -> None:
+        if self._versions.apply_due(self.network.now()):
             self.on_settings(self._versions.settings)
 
 
--- a/micadeck/http/request_validation.py
+++ b/micadeck/http/request_validation.py
@@ -1,4 +1,4 @@
-"""Checks a client's request before anything else sees it."""
+"""Validates client requests."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _TIMEOUT = re.compile(rb"[0-9]{1,5}(\.[0-9]{0,9})?")
 _HINT = re.compile(rb"[0-9]{1,15}")
-_OWN = frozenset(
+_PROTOCOL_HEADERS = frozenset(
     b"host request-id request-class tenant request-timeout client-retry work-hint idempotency-key".split()
 )
-# Of one connection only, or made anew for the server.
+# Hop-by-hop headers, and those that are written anew for the server.
 _HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect"
     b" request-timeout content-length".split()
 )
-_ALWAYS_FORWARDED = frozenset((b"host", b"request-id", b"idempotency-key"))  # whatever `Connection` lists
+_ALWAYS_FORWARDED = frozenset((b"host", b"request-id", b"idempotency-key"))  # even if `Connection` lists them
 
 
 class BadRequestError(Exception):
-    """What a client sent is not a request of this protocol; `status` is the answer's."""
+    """A client sent an invalid request; `status` is that of the answer."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -37,27 +37,27 @@
 
 @dataclass(slots=True)
 class ValidatedRequest(ports.Request):
-    """A client's request, read and checked."""
+    """A client's request after validation."""
 
     method: bytes
     target: bytes
-    headers: Headers  # as they go on to a server, but for the time that it has
+    headers: Headers  # as forwarded to servers, without `request-timeout`
     body: bytes
-    stream: BodyStream | None = None  # the body, where it is passed on as it comes
-    begin: Callable[[Response], bool] | None = None  # takes an answer that is too large to be kept
-    check_client_end: Callable[[], None] | None = None  # at its client's connection
+    stream: BodyStream | None = None  # the body, if it is streamed
+    start_streaming: Callable[[Response], bool] | None = None  # takes an answer that is too large to buffer
+    check_client_disconnect: Callable[[], None] | None = None  # of the client's connection
 
     def check_client(self) -> None:
-        """Find out whether the client has left; see `ports.Request`."""
-        if self.check_client_end is not None:
-            self.check_client_end()
+        """Check for a client disconnect; see `ports.Request`."""
+        if self.check_client_disconnect is not None:
+            self.check_client_disconnect()
 
     def can_go_again(self) -> bool:
-        """Whether all of it is kept; see `ports.Request`."""
+        """Whether a retry is possible; see `ports.Request`."""
         return self.stream is None or not self.stream.was_opened
 
     def message(self, left_us: int) -> Request:
-        """The same request as a server gets it, when the sidecar will wait for so long."""
+        """The request as sent to a server, with the remaining time as its timeout."""
         return Request(
             self.method,
             self.target,
@@ -68,40 +68,40 @@
 
 
 def read_request(request: Request, versions: SettingsVersions, now_us: int = 0) -> ValidatedRequest:
-    """Check a request.
+    """Validate a request.
 
     Args:
-        request: As it was read.
-        versions: The settings that it may have been sent under.
-        now_us: Microseconds of the network's clock; of no matter while one version alone is in force.
+        request: As received.
+        versions: The settings versions that its client may follow.
+        now_us: Microseconds of the network's clock; ignored while only one version is in force.
 
     Raises:
-        BadRequestError: No server must see it.
+        BadRequestError: It is invalid.
     """
-    own, headers = _own_and_forwarded(request)
-    _required(own, b"host")  # HTTP/1.0 may leave it out; towards servers it may not be
-    service_class, is_retired = _service_class_of(request, own, versions, now_us)
-    if not _REQUEST_ID.fullmatch(_required(own, b"request-id")):
+    protocol_headers, headers = _split_headers(request)
+    _required(protocol_headers, b"host")  # optional in HTTP/1.0, but required in the forwarded request
+    service_class, is_retired = _service_class_of(request, protocol_headers, versions, now_us)
+    if not _REQUEST_ID.fullmatch(_required(protocol_headers, b"request-id")):
         raise BadRequestError("request-id is nonsense")
-    remaining_us = _remaining_us(own)
+    remaining_us = _remaining_us(protocol_headers)
     is_get = request.method == b"GET"
-    _check_form(request, own, service_class)
-    cost_us = _cost_hint_us(own)
+    _check_form(request, protocol_headers, service_class)
+    cost_us = _cost_hint_us(protocol_headers)
     length = len(request.body) if request.stream is None else request.stream.length
     if length is None:
         headers.append((b"transfer-encoding", b"chunked"))
     elif length or not is_get:
         headers.append((b"content-length", b"%d" % length))
-    tenant = own.get(b"tenant", b"").decode("latin-1")
+    tenant = protocol_headers.get(b"tenant", b"").decode("latin-1")
     return ValidatedRequest(
         service_class=service_class.name,
         tenant=tenant if tenant in versions.tenants else None,
         key=key_of(request.target),
-        # Guards against a client that claims more time than its class has: each open request holds memory.
+        # Capped at the class's deadline, as every open request holds memory.
         remaining_us=min(remaining_us, service_class.deadline_us),
         cost_us=cost_us,
-        client_retry=own.get(b"client-retry") == b"1",
-        request_id=own[b"request-id"],
+        client_retry=protocol_headers.get(b"client-retry") == b"1",
+        request_id=protocol_headers[b"request-id"],
         write=not is_get,
         method=request.method,
         target=request.target,
@@ -113,68 +113,70 @@
     )
 
 
-def _own_and_forwarded(request: Request) -> tuple[dict[bytes, bytes], Headers]:
-    """The headers that this protocol defines, by name, and those that go on to a server."""
-    own: dict[bytes, bytes] = {}
+def _split_headers(request: Request) -> tuple[dict[bytes, bytes], Headers]:
+    """The headers defined by this protocol, by name, and those forwarded to servers."""
+    protocol_headers: dict[bytes, bytes] = {}
     headers: Headers = []
     options: set[bytes] = set()
     for name, value in request.headers:
-        if name in _OWN:
-            if name in own:
+        if name in _PROTOCOL_HEADERS:
+            if name in protocol_headers:
                 raise BadRequestError(f"{name.decode()} stands twice")
-            own[name] = value
+            protocol_headers[name] = value
         if name not in _HOP_BY_HOP:
             headers.append((name, value))
         elif name == b"connection":
             options.update(each.strip().lower() for each in value.split(b","))
     if options:
         headers = [each for each in headers if each[0] not in options or each[0] in _ALWAYS_FORWARDED]
-    return own, headers
+    return protocol_headers, headers
 
 
 def _service_class_of(
-    request: Request, own: Mapping[bytes, bytes], versions: SettingsVersions, now_us: int
+    request: Request, protocol_headers: Mapping[bytes, bytes], versions: SettingsVersions, now_us: int
 ) -> tuple[ServiceClass, bool]:
-    """The class that a request names, and whether it is no longer in force."""
-    class_name = _required(own, b"request-class").decode("latin-1")
-    if b"idempotency-key" in own:
-        repeat = Idempotency.KEYED
+    """The class that a request names, and whether it is from previous settings."""
+    class_name = _required(protocol_headers, b"request-class").decode("latin-1")
+    if b"idempotency-key" in protocol_headers:
+        idempotency = Idempotency.KEYED
     else:
-        repeat = Idempotency.IDEMPOTENT if request.method == b"GET" else Idempotency.NON_IDEMPOTENT
+        idempotency = Idempotency.IDEMPOTENT if request.method == b"GET" else Idempotency.NON_IDEMPOTENT
     service_class = versions.classes.get(class_name)
-    if service_class is not None and service_class.idempotency is repeat:
+    if service_class is not None and service_class.idempotency is idempotency:
         return service_class, False
-    found = versions.find(class_name, repeat, now_us)
+    found = versions.find(class_name, idempotency, now_us)
     if found is None:
         raise BadRequestError("request-class is unknown")
     return found
 
 
-def _remaining_us(own: Mapping[bytes, bytes]) -> int:
-    """The time that the client has left, in microseconds."""
-    timeout = _required(own, b"request-timeout")
+def _remaining_us(protocol_headers: Mapping[bytes, bytes]) -> int:
+    """The client's remaining time, in microseconds."""
+    timeout = _required(protocol_headers, b"request-timeout")
     remaining_us = round(float(timeout) * 1e6) if _TIMEOUT.fullmatch(timeout) else 0
     if remaining_us <= 0:
         raise BadRequestError("request-timeout is nonsense")
     return remaining_us
 
 
-def _check_form(request: Request, own: Mapping[bytes, bytes], service_class: ServiceClass) -> None:
+def _check_form(
+    request: Request, protocol_headers: Mapping[bytes, bytes], service_class: ServiceClass
+) -> None:
     """Check that method, key and target go with the class."""
     is_get = request.method == b"GET"
     is_idempotent = service_class.idempotency is Idempotency.IDEMPOTENT
     if request.method not in (b"GET", b"POST") or is_get != is_idempotent:
         raise BadRequestError("the method is not that of the class")
-    key = own.get(b"idempotency-key")
+    key = protocol_headers.get(b"idempotency-key")
     if (key is not None) != (service_class.idempotency is Idempotency.KEYED) or key == b"":
         raise BadRequestError("idempotency-key does not go with the class")
     if not request.target.startswith(b"/"):
         raise BadRequestError("the target is no path")
 
 
-def _cost_hint_us(own: Mapping[bytes, bytes]) -> int | None:
-    """What the client says of the work, in microseconds; None: nothing."""
-    hint = own.get(b"work-hint")
+def _cost_hint_us(protocol_headers: Mapping[bytes, bytes]) -> int | None:
+    """The client's estimate of the work, in microseconds, if it sent one."""
+    hint = protocol_headers.get(b"work-hint")
     if hint is None:
         return None
     if not _HINT.fullmatch(hint):
@@ -182,14 +184,14 @@
     return int(hint)
 
 
-def _required(own: Mapping[bytes, bytes], name: bytes) -> bytes:
-    value = own.get(name)
+def _required(protocol_headers: Mapping[bytes, bytes], name: bytes) -> bytes:
+    value = protocol_headers.get(name)
     if value is None:
         raise BadRequestError(f"{name.decode()} is missing")
     return value
 
 
 def key_of(target: bytes) -> int | None:
-    """What the request is about, as a number: requests about one thing have the same."""
+    """A hash of the target's last path segment, which identifies the requested item."""
     last = target.partition(b"?")[0].rpartition(b"/")[2]
     return int.from_bytes(hashlib.blake2b(last, digest_size=6).digest(), "big") if last else None
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -1,4 +1,4 @@
-"""Attempts and health checks, and the pool of connections to servers that carries them."""
+"""Sends attempts and health checks over a pool of connections to servers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from micadeck.engine import AttemptCallback, EndpointUpdate
 from micadeck.engine.send_guard import SendDenial, send_denial
 from micadeck.http.body_stream import MAX_BUFFERED_BYTES, BufferBudget
-from micadeck.http.client import BEYOND_TIME_S, ClientConnection, Failure
+from micadeck.http.client import STREAM_DEADLINE_GRACE_S, ClientConnection, Failure
 from micadeck.http.h1 import MAX_BODY_BYTES, Request, Response
 from micadeck.http.request_validation import ValidatedRequest
 from micadeck.http.reuse_delay import ReuseDelay
@@ -20,9 +20,11 @@
 from micadeck.policy.outcomes import Outcome
 from micadeck.policy.settings import ReportSource, Settings
 
-_IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
-_MAX_REPORT_VALUE = 1e9  # of a load report; what is larger is nonsense
-# What says that this machine, not the server, had no room for a connection.
+_IDLE_MARGIN = (
+    0.1  # share of the idle limit; the server may already have closed a connection this close to it
+)
+_MAX_REPORT_VALUE = 1e9  # larger values in a load report are ignored as implausible
+# Errors of a dial that mean that this machine, not the server, ran out of resources.
 _LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
@@ -34,7 +36,6 @@
 
     __slots__ = (
         "_network",
-        "begin",
         "check_client",
         "connection",
         "deadline_us",
@@ -43,6 +44,7 @@
         "message",
         "on_done",
         "server",
+        "start_streaming",
         "timer",
         "write_deadline_us",
     )
@@ -56,97 +58,95 @@
         on_done: AttemptCallback,
         *,
         is_probe: bool = False,
-        begin: Callable[[Response], bool] | None = None,
+        start_streaming: Callable[[Response], bool] | None = None,
         write_deadline_us: int | None = None,
         check_client: Callable[[], None] | None = None,
     ) -> None:
         self._network = network
         self.server = server
         self.deadline_us = deadline_us
-        self.message = message  # given the time left, in microseconds
+        self.message = message  # builds the request, given the remaining time in microseconds
         self.on_done = on_done
         self.is_probe = is_probe
-        self.write_deadline_us = (
-            write_deadline_us  # it is written whole by then, or not at all; None: any time
-        )
-        self.begin = begin  # takes an answer that is too large to be kept
-        self.check_client = check_client  # sees whether who waits has left
+        self.write_deadline_us = write_deadline_us  # when an unwritten request is dropped; None: no limit
+        self.start_streaming = start_streaming  # takes an answer that is too large to buffer
+        self.check_client = check_client  # checks whether the client has disconnected
         self.ended = False
-        self.connection: ClientConnection | None = None  # once it is written
+        self.connection: ClientConnection | None = None  # set once writing starts
         self.timer: Timer | None = None
 
     @property
     def is_unwritten(self) -> bool:
-        """Whether a part of it has not left: then no server has begun it."""
+        """Whether a part of it is unsent, so that no server can have started on it."""
         return self.connection is None or self.connection.is_unwritten
 
-    def end_by(self) -> float:
-        """When an answer that is passed on has to be over, on the network's clock."""
+    def response_deadline(self) -> float:
+        """When a streamed answer has to be complete, on the network's clock."""
         left_us = self.deadline_us - self._network.now()
-        return self._network.time() + left_us / 1e6 + BEYOND_TIME_S
+        return self._network.time() + left_us / 1e6 + STREAM_DEADLINE_GRACE_S
 
-    def begin_answer(self, response: Response) -> bool:
-        """An answer that is too large to be kept has begun; say whether anybody takes it."""
+    def start_streaming_answer(self, response: Response) -> bool:
+        """Start streaming an answer that is too large to buffer; return False if nobody takes it."""
         connection = self.connection
-        if self.ended or self.begin is None or connection is None or connection.is_unwritten:
-            return False  # nobody waits, or it is no answer to a request that is not there yet
+        if self.ended or self.start_streaming is None or connection is None or connection.is_unwritten:
+            return False  # nobody waits, or the response precedes the end of the request
         if self.timer is not None:
-            self.timer.cancel()  # from here on its connection sees to its time
-        connection.end_by(self.end_by())
+            self.timer.cancel()  # from here on the connection enforces the deadline
+        connection.set_response_deadline(self.response_deadline())
         response.abandon = connection.abandon
-        return self.begin(response)
+        return self.start_streaming(response)
 
 
 @dataclass(slots=True, eq=False)
-class _Idle:
+class _IdleConnection:
     connection: ClientConnection
     since: int
 
 
 class _Server:
-    """Where a server is reached, and the connections to the process that is there now."""
+    """A server's address, and the idle connections to its current process."""
 
     __slots__ = ("address", "identity", "idle", "is_leaving")
 
     def __init__(self, address: Address, identity: tuple[object, ...]) -> None:
         self.address = address
-        self.identity = identity  # it is another one if any of this changes
+        self.identity = identity  # a change means another process
         self.is_leaving = False
-        self.idle: list[_Idle] = []  # the most recently used last
+        self.idle: list[_IdleConnection] = []  # the most recently used last
 
 
 class ConnectionPool:
-    """All connections to servers, never more than `most`."""
+    """All connections to servers, at most `max_connections`."""
 
     def __init__(self, network: Network, settings: Settings, budget: BufferBudget | None = None) -> None:
-        self._budget = budget  # of answers that are passed on as they come; None: they are kept
+        self._budget = budget  # for streamed answers; None: answers are always buffered
         self._network = network
         self.apply_settings(settings)
-        self.most = 0  # connections; set by whoever knows how many descriptors there are
+        self.max_connections = 0  # set by the runtime from the descriptor limit
         self._servers: dict[str, _Server] = {}
-        self._owners: dict[ClientConnection, _Server] = {}  # of every open connection
+        self._owners: dict[ClientConnection, _Server] = {}  # server of every open connection
         self._dialling = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._sweep: Timer | None = None
-        self._reuse = ReuseDelay()
+        self._reuse_delay = ReuseDelay()
         self.denials: Counter[SendDenial] = Counter()
-        self.tries = 0  # attempts written whole; probes are none
+        self.attempts_written = 0  # attempts written completely; probes don't count
 
     def apply_settings(self, settings: Settings) -> None:
-        """Follow these settings from now on."""
+        """Apply new settings."""
         self._dial_timeout_s = settings.limits.dial_timeout_us / 1e6
         self._idle_limit_us = int(settings.limits.idle_close_us * (1.0 - _IDLE_MARGIN))
         self._columns = settings.report_columns
         self._probes_for_load = settings.report_source is not ReportSource.SILENT
 
-    # The list
+    # The endpoint list
 
-    def update_endpoints(self, listing: EndpointUpdate) -> None:
-        """Take over a list or its changes, before any action that follows from it."""
-        if listing.full:
-            for name in self._servers.keys() - {each.listed.server for each in listing.entries}:
+    def update_endpoints(self, update: EndpointUpdate) -> None:
+        """Apply a list or its changes, before any action that follows from it."""
+        if update.full:
+            for name in self._servers.keys() - {each.listed.server for each in update.entries}:
                 self._forget(name)
-        for entry in listing.entries:
+        for entry in update.entries:
             name, address = entry.listed.server, entry.address
             if address is None:
                 self._forget(name)
@@ -154,8 +154,8 @@
             server = self._servers.get(name)
             identity = (address, entry.listed.started_at, entry.listed.zone, entry.listed.cell)
             if server is None or server.identity != identity:
-                # Guards against writing to what was there before under the same id, and rule 2: a repeat that
-                # waits for its dial was decided on for the group that the server was in.
+                # Connections to the previous process under this id must not be used.  Also guards rule 2: a
+                # retry waiting for its dial was decided for the group that the server was in.
                 self._forget(name)
                 server = self._servers[name] = _Server(address, identity)
             server.is_leaving = entry.listed.state is not ServerState.READY
@@ -165,10 +165,10 @@
     def _forget(self, name: str) -> None:
         server = self._servers.pop(name, None)
         if server is not None:
-            server.is_leaving = True  # for dials under way
+            server.is_leaving = True  # so that dials in progress close their connection
             self._close_idle(server)
 
-    # Calls
+    # Exchanges
 
     def start(
         self,
@@ -178,14 +178,14 @@
         on_done: AttemptCallback,
         write_deadline_us: int | None = None,
     ) -> Exchange:
-        """Begin an attempt.
+        """Start an attempt.
 
         Args:
             server: Its name on the endpoint list.
-            deadline_us: When the attempt is given up, in microseconds of the network's clock.
+            deadline_us: When the attempt times out, in microseconds of the network's clock.
             request: What to send.
-            on_done: Called once, with how it ended.
-            write_deadline_us: What is not written completely by then ends unsent; None: any time.
+            on_done: Called once, with the outcome.
+            write_deadline_us: When an unwritten request ends as not sent; None: no limit.
         """
         exchange = Exchange(
             self._network,
@@ -193,7 +193,7 @@
             deadline_us,
             request.message,
             on_done,
-            begin=request.begin,
+            start_streaming=request.start_streaming,
             write_deadline_us=write_deadline_us,
             check_client=request.check_client,
         )
@@ -217,10 +217,10 @@
         if exchange.write_deadline_us is not None:
             left_us = min(left_us, max(exchange.write_deadline_us - self._network.now(), 0))
         exchange.timer = self._network.call_later(left_us / 1e6, self._expire, exchange)
-        connection = self._take(server)
+        connection = self._take_idle(server)
         if connection is not None:
             self._write_if_allowed(exchange, server, connection)
-        elif self._has_room():
+        elif self._can_open_connection():
             self._dialling += 1
             task = self._network.spawn(self._dial_or_end(exchange, server))
             self._tasks.add(task)
@@ -229,7 +229,7 @@
             self._network.call_soon(self._end, exchange, Outcome.NOT_SENT)
 
     def set_deadline(self, exchange: Exchange, deadline_us: int) -> None:
-        """Give it up at another time."""
+        """Change the deadline."""
         exchange.deadline_us = deadline_us
         if exchange.timer is not None and not exchange.ended:
             exchange.timer.cancel()
@@ -241,14 +241,14 @@
         self._drop(exchange, Outcome.CANCELLED)
 
     def withdraw(self, exchange: Exchange) -> None:
-        """Write nothing for it that is not written yet."""
+        """End it as not sent unless it was written completely."""
         if exchange.is_unwritten:
             self._drop(exchange, Outcome.NOT_SENT)
 
     def _drop(self, exchange: Exchange, outcome: Outcome) -> None:
         if exchange.ended:
             return
-        exchange.ended = True  # from here on nothing is written for it, also when a dial comes up
+        exchange.ended = True  # from here on nothing is written for it, even if a dial in progress succeeds
         if exchange.timer is not None:
             exchange.timer.cancel()
         if exchange.connection is not None:
@@ -256,7 +256,7 @@
         self._network.call_soon(exchange.on_done, outcome, None, None)
 
     def close_all_idle(self) -> None:
-        """Close every connection at rest."""
+        """Close all idle connections."""
         for server in list(self._servers.values()):
             self._close_idle(server)
 
@@ -267,7 +267,7 @@
             self._close_idle(server)
 
     def close(self) -> None:
-        """Close every connection; what is out ends as broken."""
+        """Close all connections, which drops exchanges in progress."""
         for task in self._tasks:
             task.cancel()
         if self._sweep is not None:
@@ -276,14 +276,14 @@
             connection.close()
 
     def _expire(self, exchange: Exchange) -> None:
-        # What was not written completely never ran.
+        # A request that was not written completely never ran.
         outcome = Outcome.CONNECT_FAILED if exchange.is_unwritten else Outcome.TIMED_OUT
         left_us = exchange.deadline_us - self._network.now()
         if exchange.write_deadline_us is not None and left_us > 0:
             if not exchange.is_unwritten:
                 exchange.timer = self._network.call_later(left_us / 1e6, self._expire, exchange)
                 return
-            outcome = Outcome.NOT_SENT  # its time to be written is over, which is no fault of the server
+            outcome = Outcome.NOT_SENT  # the write deadline passed, which says nothing about the server
         if exchange.connection is not None:
             exchange.connection.close()
         self._end(exchange, outcome)
@@ -301,26 +301,25 @@
             exchange.on_done(outcome, response, load_report(response, self._columns, in_body=in_body))
 
     def _write(self, exchange: Exchange, connection: ClientConnection) -> None:
-        def ended(how: Response | Failure) -> None:
-            self._end(exchange, _outcome(how), how if isinstance(how, Response) else None)
+        def on_end(result: Response | Failure) -> None:
+            self._end(exchange, _outcome(result), result if isinstance(result, Response) else None)
 
         exchange.connection = connection
         message = exchange.message(max(exchange.deadline_us - self._network.now(), 1_000))
         if exchange.is_probe:
-            connection.exchange(
-                message, ended, max_body=MAX_BUFFERED_BYTES
-            )  # kept: nobody waits for its answer
+            # Always buffered: no client takes the answer of a probe.
+            connection.exchange(message, on_end, max_body=MAX_BUFFERED_BYTES)
         else:
-            begin = exchange.begin_answer if exchange.begin else None
-            connection.exchange(message, ended, self._count_attempt, begin)
+            start_streaming = exchange.start_streaming_answer if exchange.start_streaming else None
+            connection.exchange(message, on_end, self._count_attempt, start_streaming)
 
     def _count_attempt(self) -> None:
-        self.tries += 1
+        self.attempts_written += 1
 
     # Connections
 
     async def _dial_or_end(self, exchange: Exchange, server: _Server) -> None:
-        """Guards against an attempt that never ends: a defect in its dial fails it, and is told."""
+        """Dial; an unexpected exception ends the attempt, and is raised to be reported."""
         try:
             await self._dial(exchange, server)
         except Exception:
@@ -338,10 +337,10 @@
                     ),
                     server.address,
                 )
-        except (OSError, TimeoutError) as fault:
-            if isinstance(fault, ConnectionRefusedError):
+        except (OSError, TimeoutError) as error:
+            if isinstance(error, ConnectionRefusedError):
                 outcome = Outcome.CONNECTION_REFUSED
-            elif isinstance(fault, OSError) and fault.errno in _LOCAL_ERRORS:
+            elif isinstance(error, OSError) and error.errno in _LOCAL_ERRORS:
                 outcome = Outcome.NOT_SENT
         finally:
             self._dialling -= 1
@@ -354,7 +353,7 @@
         self._write_if_allowed(exchange, server, connection)
 
     def _write_if_allowed(self, exchange: Exchange, server: _Server, connection: ClientConnection) -> None:
-        """Ask the gate and write, in one step; what may not be written ends, its connection is kept."""
+        """Check that sending is still allowed and write, in one step; else end the exchange as unsent."""
         denial = send_denial(
             self._network.now(),
             exchange,
@@ -369,20 +368,20 @@
             connection.close()
             self._network.call_soon(self._end, exchange, Outcome.CONNECT_FAILED)
         else:
-            self._release(connection)  # it is good; one to a server that leaves is closed
+            self._release(connection)  # still usable; closed if its server is leaving
             self._network.call_soon(self._end, exchange, Outcome.NOT_SENT)
 
-    def _has_room(self) -> bool:
-        """Whether one more connection may be opened, at the price of the one that is idle for longest."""
-        return len(self._owners) + self._dialling < self.most or self._close_oldest()
+    def _can_open_connection(self) -> bool:
+        """Whether another connection may be opened, closing the longest idle one if necessary."""
+        return len(self._owners) + self._dialling < self.max_connections or self._close_longest_idle()
 
     def trim(self) -> None:
-        """Close what is idle beyond `most`."""
-        while len(self._owners) > self.most and self._close_oldest():
+        """Close idle connections while there are more than `max_connections`."""
+        while len(self._owners) > self.max_connections and self._close_longest_idle():
             pass
 
-    def _close_oldest(self) -> bool:
-        """Close the connection that is idle for longest; say whether there was one."""
+    def _close_longest_idle(self) -> bool:
+        """Close the connection that has been idle longest; return False if none is idle."""
         oldest = min(
             (server for server in self._servers.values() if server.idle),
             key=lambda server: server.idle[0].since,
@@ -393,15 +392,15 @@
         oldest.idle.pop(0).connection.close()
         return True
 
-    def _take(self, server: _Server) -> ClientConnection | None:
-        """The most recently used idle connection that is good and has rested, if there is one."""
+    def _take_idle(self, server: _Server) -> ClientConnection | None:
+        """The most recently used idle connection past its reuse delay that is usable, if any."""
         now = self._network.now()
-        rested = now - self._reuse.delay_us_at(now)
-        for idle in [each for each in reversed(server.idle) if each.since <= rested]:
+        reusable_since = now - self._reuse_delay.delay_us_at(now)
+        for idle in [each for each in reversed(server.idle) if each.since <= reusable_since]:
             if now - idle.since < self._idle_limit_us and idle.connection.is_usable():  # else it is closed
                 server.idle.remove(idle)
                 return idle.connection
-            idle.connection.close()  # and so it is idle no more
+            idle.connection.close()  # which removes it from the list
         return None
 
     def _release(self, connection: ClientConnection) -> None:
@@ -409,12 +408,12 @@
         if server is None or server.is_leaving:
             connection.close()
             return
-        server.idle.append(_Idle(connection, self._network.now()))
+        server.idle.append(_IdleConnection(connection, self._network.now()))
         if self._sweep is None:
             self._sweep = self._network.call_later(self._idle_limit_us / 4e6, self._close_expired)
 
     def _close_expired(self) -> None:
-        """Close what has been idle for nearly as long as servers allow."""
+        """Close connections that have been idle for nearly as long as servers allow."""
         self._sweep = None
         before = self._network.now() - self._idle_limit_us
         for server in self._servers.values():
@@ -427,10 +426,10 @@
         server = self._owners.pop(connection, None)
         if server is None:
             return
-        if connection.brought_more:
+        if connection.received_unexpected_bytes:
             now = self._network.now()
             since = next((each.since for each in server.idle if each.connection is connection), now)
-            self._reuse.saw_late_bytes(now, now - since)
+            self._reuse_delay.record_late_bytes(now, now - since)
         server.idle = [each for each in server.idle if each.connection is not connection]
 
     def _close_idle(self, server: _Server) -> None:
@@ -439,21 +438,21 @@
             each.connection.close()
 
 
-def _outcome(how: Response | Failure) -> Outcome:
-    if how is Failure.UNWRITTEN:
+def _outcome(result: Response | Failure) -> Outcome:
+    if result is Failure.UNWRITTEN:
         return Outcome.CONNECT_FAILED
-    if how is Failure.BROKEN:
+    if result is Failure.BROKEN:
         return Outcome.CONNECTION_LOST
-    if how is Failure.MALFORMED:
+    if result is Failure.MALFORMED:
         return Outcome.MALFORMED
-    if how is Failure.ABANDONED:
+    if result is Failure.ABANDONED:
         return Outcome.CANCELLED
-    if isinstance(how, Response):
-        if how.status == 200:
+    if isinstance(result, Response):
+        if result.status == 200:
             return Outcome.DELIVERED
-        if how.status in (503, 504) and how.header(b"not-started") == b"1":
+        if result.status in (503, 504) and result.header(b"not-started") == b"1":
             return Outcome.FULL
-        if 400 <= how.status < 500:
+        if 400 <= result.status < 500:
             return Outcome.REJECTED
     return Outcome.ERROR
 
@@ -461,7 +460,7 @@
 def load_report(
     response: Response, columns: tuple[str, ...], *, in_body: bool = False
 ) -> dict[str, float] | None:
-    """The load report of an answer, as far as the settings name its figures; nonsense counts as none."""
+    """The load report of an answer, limited to known columns; invalid values are ignored."""
     text = response.header(b"server-load") or (response.body if in_body else None)
     if not text:
         return None
@@ -473,6 +472,6 @@
                 value = float(value_text)
             except ValueError:
                 continue
-            if 0.0 <= value <= _MAX_REPORT_VALUE:  # and a number
+            if 0.0 <= value <= _MAX_REPORT_VALUE:  # also excludes NaN
                 report[name.strip()] = value
     return report or None
--- a/micadeck/runtime.py
+++ b/micadeck/runtime.py
@@ -240,7 +240,7 @@
         sockets = divide_limit(self.config.sockets, self._sibling_count)
         descriptors = max(sockets - _RESERVED_DESCRIPTORS, _MIN_DESCRIPTORS)
         self.max_client_connections = int(descriptors * _CLIENT_FRACTION)
-        self.upstream.most = descriptors - self.max_client_connections
+        self.upstream.max_connections = descriptors - self.max_client_connections
         memory_mb = divide_limit(self.config.memory_mb, self._sibling_count)
         self.buffer_budget.max_bytes = memory_mb * _BUFFER_BYTES_PER_MB
         self.memory.set_limit(memory_mb * MB)
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -229,10 +229,10 @@
         """The statsd report, each line with its end."""
         engine = self._engine
         statistics = RuntimeStatistics(
-            in_progress=engine.in_progress + self.frontend.connections.trailing_answers,
+            in_progress=engine.in_progress + self.frontend.connections.flushing_answers,
             known_servers=engine.known_servers,
             skipped_servers=engine.skipped_servers,
-            attempts=self._runtime.upstream.tries,
+            attempts=self._runtime.upstream.attempts_written,
             config_loads=self._config_loads,
             config_load_errors=self._config_load_errors,
             resident_bytes=self.memory.resident_bytes,
--- a/micadeck/stand_ins/http_server.py
+++ b/micadeck/stand_ins/http_server.py
@@ -91,8 +91,8 @@
         self._reader.feed(data)
         while self._reader.requests:
             self._begin(self._reader.requests.popleft())
-        if self._reader.fault is not None:
-            self.transport.write(Response(self._reader.fault, []).encode())
+        if self._reader.error_status is not None:
+            self.transport.write(Response(self._reader.error_status, []).encode())
             self.transport.close()
 
     def _begin(self, request: Request) -> None:
--- a/tests/broken_builds.py
+++ b/tests/broken_builds.py
@@ -84,7 +84,7 @@
     """An attempt given up on stays open beside the next."""
 
     def later(self: Any) -> None:
-        self._ended = self._on_written = None
+        self._on_end = self._on_written = None
         self._stop_timer()
         if self._transport is not None and not self._closed:
             self._network.call_later(0.05, self._transport.abort)
@@ -151,7 +151,7 @@
 def _serves_what_came_before() -> contextlib.AbstractContextManager[Any]:
     """Answers come from a store: the last good one is served in place of a spoilt one."""
     last: list[Any] = []
-    answered = ClientConnection._answered
+    answered = ClientConnection._finish_response
 
     def from_store(self: Any, response: Any) -> None:
         if response.status == 200 and response.body:
@@ -160,14 +160,14 @@
             response = last[0]
         answered(self, response)
 
-    return mock.patch.object(ClientConnection, "_answered", from_store)
+    return mock.patch.object(ClientConnection, "_finish_response", from_store)
 
 
 def _takes_cut_answers() -> contextlib.AbstractContextManager[Any]:
     """What was spoilt passes for good."""
 
     def fail(self: Any, failure: Any) -> None:
-        ended = self._ended
+        ended = self._on_end
         self.close()
         if ended is not None:
             ended(Response(200, [], b"s-0 nothing"))
@@ -180,7 +180,7 @@
     fail = ClientConnection._fail
 
     def defect(self: Any, failure: Any) -> None:
-        is_broken = failure is Failure.BROKEN and self._ended is not None
+        is_broken = failure is Failure.BROKEN and self._on_end is not None
         fail(self, failure)
         if is_broken:
             raise ValueError("a defect")
--- a/tests/embedding_parity.py
+++ b/tests/embedding_parity.py
@@ -69,7 +69,7 @@
     """The requests in these bytes; none if they are not HTTP."""
     reader = RequestReader(max_body=1 << 26)
     reader.feed(raw)
-    return [] if reader.fault is not None else list(reader.requests)
+    return [] if reader.error_status is not None else list(reader.requests)
 
 
 def takes(way: str, raw: bytes) -> bool:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -103,7 +103,7 @@
     reader = RequestReader(1 << 24, lambda length: BodyStream(budget, length, lambda: None, lambda: None))
     for at in range(0, len(raw), size):
         reader.feed(raw[at : at + size])
-    assert reader.fault is None
+    assert reader.error_status is None
     told = []
     for each in reader.requests:
         if each.stream is None:
@@ -144,9 +144,9 @@
     reader.feed(request("lodge", Content_Length="", Transfer_Encoding="chunked"))
     for _ in range(10):
         reader.feed(b"2710\r\n" + b"x" * 10_000 + b"\r\n")
-        assert reader.fault is None
+        assert reader.error_status is None
     reader.feed(b"1\r\nx\r\n")
-    assert reader.fault == 413
+    assert reader.error_status == 413
     reader.release()
 
 
@@ -405,7 +405,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + answer[:size])
             await writer.drain()
 
-    async with beside(serve, client_limits=DownstreamLimits(reading_s=1.5)) as (_, scene):
+    async with beside(serve, client_limits=DownstreamLimits(write_stall_s=1.5)) as (_, scene):
         budget = scene.sidecar._runtime.buffer_budget
         slow: list[Client] = []
         for _ in range(10):
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -50,7 +50,7 @@
         self.answers: list[str] = []
         given = settings(limits={"second_copies": False, "dial_timeout_us": S})
         self.upstream = ConnectionPool(self.network, given)
-        self.upstream.most = 10
+        self.upstream.max_connections = 10
         self.engine = Engine(
             given, 1, EnginePorts(self.network, self.upstream, _NoSource(), _NoMessages()), _ignore
         )
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -40,10 +40,10 @@
     reader = RequestReader(MAX_BODY_BYTES)
     begun(reader, what)
     read = 0
-    while reader.fault is None and read < MOST_READ:
+    while reader.error_status is None and read < MOST_READ:
         reader.feed(ENDLESS[what][1] * at_once)
         read += at_once * len(ENDLESS[what][1])
-    assert reader.fault in STATUSES and not reader.requests
+    assert reader.error_status in STATUSES and not reader.requests
 
 
 @pytest.mark.parametrize("at_once", [1, 100, 8_192])
@@ -68,7 +68,7 @@
     raw = GET + b"a:\r\n" * count + b"\r\n"
     for begin in range(0, len(raw), at_once):
         reader.feed(raw[begin : begin + at_once])
-    assert reader.fault == fault
+    assert reader.error_status == fault
     assert len(reader.requests) == (fault is None)
 
 
@@ -89,7 +89,7 @@
         for _ in range(20_000):  # each byte of the body has six of framing
             reader.feed(b"1\r\nx\r\n")
         reader.feed(b"0\r\n" + b"t: 1\r\n" * 100 + b"\r\n")
-    assert len(requests.requests) == 1 and requests.fault is None
+    assert len(requests.requests) == 1 and requests.error_status is None
     assert answers.response is not None and len(answers.response.body) == 20_002
 
 
@@ -99,7 +99,7 @@
     for _ in range(200):
         reader.feed(whole * 20 + whole[:-4])
         reader.feed(whole[-4:])
-    assert reader.fault is None and len(reader.requests) == 200 * 21
+    assert reader.error_status is None and len(reader.requests) == 200 * 21
 
 
 @pytest.mark.parametrize(
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -102,7 +102,7 @@
     async with stage(OK, given={"operator": f"{HOST}:0", "limits": limits}) as scene:
         sidecar = scene.sidecar
         runtime = sidecar._runtime
-        whole = runtime.max_client_connections + runtime.upstream.most
+        whole = runtime.max_client_connections + runtime.upstream.max_connections
         assert whole == 256 - _RESERVED_DESCRIPTORS
         resting = [await scene.client() for _ in range(60)]
         for each in resting:
@@ -112,12 +112,15 @@
         with other(tmp_path):
             assert beside.refresh()
             sidecar._share_limits()
-            assert runtime.max_client_connections + runtime.upstream.most == 256 // 2 - _RESERVED_DESCRIPTORS
+            assert (
+                runtime.max_client_connections + runtime.upstream.max_connections
+                == 256 // 2 - _RESERVED_DESCRIPTORS
+            )
             assert runtime.buffer_budget.max_bytes == 32 * (1 << 20) // 8
             await until(lambda: len(sidecar.frontend.connections) <= runtime.max_client_connections)
         assert beside.refresh()
         sidecar._share_limits()
-        assert runtime.max_client_connections + runtime.upstream.most == whole
+        assert runtime.max_client_connections + runtime.upstream.max_connections == whole
 
 
 def test_a_limit_is_shared_in_whole_numbers() -> None:
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -16,9 +16,9 @@
 def _ask_once(resting: IdleConnections[int], numbers: range) -> None:
     """Each comes to rest after one request; what is too many is closed."""
     for number in numbers:
-        resting.became_idle(number, 1, ROOM)
+        resting.record_idle(number, 1, ROOM)
         for spare in list(resting.closable(ROOM))[: resting.excess(ROOM)]:
-            resting.closed(spare)
+            resting.record_closed(spare)
 
 
 def test_those_that_never_come_back_keep_a_quarter_of_the_room() -> None:
@@ -26,19 +26,19 @@
     for turn in range(5):  # the witnesses are closed by time, 20 in each turn
         _ask_once(resting, range(turn * 1_000, turn * 1_000 + 400))
         for number in range(turn * 1_000, turn * 1_000 + 400):
-            resting.closed(number)
+            resting.record_closed(number)
     assert resting.max_single_use(ROOM) == ROOM // 4
 
 
 def test_those_that_come_back_keep_more_and_the_estimate_recovers() -> None:
     resting: IdleConnections[int] = IdleConnections()
     for number in range(800):
-        resting.became_idle(number, 1, ROOM)
-        resting.closed(number)
+        resting.record_idle(number, 1, ROOM)
+        resting.record_closed(number)
     assert resting.reuse_ratio < 0.01
     for number in range(800):
-        resting.became_idle(number, 1, ROOM)
-        resting.used_again(number)
+        resting.record_idle(number, 1, ROOM)
+        resting.record_reuse(number)
     assert resting.reuse_ratio > 0.99
     assert resting.max_single_use(ROOM) >= 0.74 * ROOM
 
@@ -54,7 +54,7 @@
 def test_one_that_asked_twice_counts_against_nobody() -> None:
     resting: IdleConnections[int] = IdleConnections()
     for number in range(1_000):
-        resting.became_idle(number, 2, ROOM)
+        resting.record_idle(number, 2, ROOM)
     assert resting.excess(ROOM) == 0 and list(resting.closable(ROOM)) == []
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -46,14 +46,14 @@
     asked = SettingsVersions(old)
     due = asked.announce(new, 1_000_000)
     assert due == 2_200_000
-    assert not asked.turn(due - 1)
+    assert not asked.apply_due(due - 1)
     found = asked.find("lodge", Idempotency.NON_IDEMPOTENT, due - 1)
     assert found is not None and found[0].name == "lodge" and asked.settings is old
     assert asked.find("track", Idempotency.IDEMPOTENT, due - 1) == (
         new.classes[2],
         False,
     )  # the first that needs them
-    assert asked.settings is new and not asked.turn(due)
+    assert asked.settings is new and not asked.apply_due(due)
     # What only the old ones explain is served by them for a moment more.
     assert asked.find("amend", Idempotency.KEYED, due) == (old.classes[1], True)
     assert asked.find("amend", Idempotency.NON_IDEMPOTENT, due) == (new.classes[1], False)
@@ -71,12 +71,12 @@
     asked.announce(settings(TRACK), 0)
     last = settings(CHECK)
     due = asked.announce(last, 500_000)
-    assert not asked.turn(1_200_000)
-    assert asked.turn(due) and asked.settings is last
+    assert not asked.apply_due(1_200_000)
+    assert asked.apply_due(due) and asked.settings is last
     # Also where it takes the first one back.
     asked.announce(settings(TRACK), due)
     due = asked.announce(settings(CHECK), due + 1)
-    assert not asked.turn(due) and asked.settings is last
+    assert not asked.apply_due(due) and asked.settings is last
     assert asked.find("track", Idempotency.IDEMPOTENT, due) is None
 
 
--- a/tests/test_room_for_clients.py
+++ b/tests/test_room_for_clients.py
@@ -20,7 +20,7 @@
 
     def answer_and_make_room(self: DownstreamConnection, *given: Any) -> None:
         real(self, *given)
-        self._table._make_room()  # type: ignore[attr-defined]  # one more client connects in this round of the event loop
+        self._table._evict_one()  # type: ignore[attr-defined]  # one more client connects in this round of the event loop
 
     async with stage(OK) as scene:
         scene.sidecar.frontend.is_draining = ends == "draining"
@@ -46,7 +46,7 @@
         def make_room_as_it_moves(connection: DownstreamConnection, state: ConnectionState) -> None:
             moved(connection, state)
             if state is ConnectionState.READING and connection._reader.requests:
-                frontend.connections._make_room()
+                frontend.connections._evict_one()
 
         with (
             mock.patch.object(frontend.connections, "move", make_room_as_it_moves),
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -64,7 +64,7 @@
     host = Host("sidecar")
     network = VirtualNetwork(wire.machine(host, "10.0.0.1"))
     upstream = ConnectionPool(network, settings(limits={"idle_close_us": 10 * S}))
-    upstream.most = 100
+    upstream.max_connections = 100
     connections: list[Server] = []
     there = VirtualNetwork(wire.machine(Host(SERVER), PLACE[0]))
     there.listen(lambda: Server(loop, case, connections), PLACE, 8)
--- a/tests/test_tasks_that_end.py
+++ b/tests/test_tasks_that_end.py
@@ -110,7 +110,7 @@
     async with stage(OK) as scene:
         watch = mock.Mock(refresh=FailingCall(lambda: False, 2))
         watching = asyncio.create_task(scene.sidecar._watch_siblings(watch))
-        with failing(TimeoutSweeper, "_cut_lingering", 2) as sweep:
+        with failing(TimeoutSweeper, "_abort_lingering", 2) as sweep:
             await until(lambda: sweep.calls > 3 and watch.refresh.calls > 3)
         watching.cancel()
         assert scene.log == ["internal error: siblings: DefectError()"]
