--- a/micadeck/http/connection_table.py
+++ b/micadeck/http/connection_table.py
@@ -26,17 +26,17 @@
         self._network = network
         self._budget = budget
         self._by_state: dict[ConnectionState, dict[DownstreamConnection, None]] = {
-            each: {} for each in ConnectionState
+            state: {} for state in ConnectionState
         }
         self._idle: IdleConnections[DownstreamConnection] = IdleConnections()
         self._held_bytes = 0
 
     def __len__(self) -> int:
-        return sum(len(each) for each in self._by_state.values())
+        return sum(len(connections) for connections in self._by_state.values())
 
     def __iter__(self) -> Iterator[DownstreamConnection]:
-        for each in self._by_state.values():
-            yield from each
+        for connections in self._by_state.values():
+            yield from connections
 
     def in_state(self, state: ConnectionState) -> list[DownstreamConnection]:
         """The connections in a state, in the order in which they entered it; thread-safe."""
@@ -118,12 +118,12 @@
     @property
     def unsent_bytes(self) -> int:
         """Bytes of answers in the send buffers of all connections."""
-        return sum(each.unsent_bytes for each in self)
+        return sum(connection.unsent_bytes for connection in self)
 
     @property
     def flushing_answers(self) -> int:
         """Number of answers received completely and still being sent; thread-safe."""
-        return sum(each.is_flushing_answer for each in self.in_state(ConnectionState.SERVING))
+        return sum(connection.is_flushing_answer for connection in self.in_state(ConnectionState.SERVING))
 
     def reject_oldest_partial(self) -> bool:
         """Reject the oldest partial request; return False if there is none."""
@@ -135,16 +135,20 @@
 
     def _partial(self) -> Iterator[DownstreamConnection]:
         """Connections with nothing but a partial request, oldest first."""
-        return (each for each in self._by_state[ConnectionState.READING] if not each.has_complete_request)
+        return (
+            connection
+            for connection in self._by_state[ConnectionState.READING]
+            if not connection.has_complete_request
+        )
 
     # Closing idle connections
 
     def close_idle(self) -> None:
         """Close idle connections, except new ones whose first request may be on its way."""
         new_since = self._network.time() - self._limits.first_request_grace_s
-        for each in [each for each in self if each.is_idle]:
-            if each.state is not ConnectionState.NEW or each.since <= new_since:
-                each.close()
+        for connection in [connection for connection in self if connection.is_idle]:
+            if connection.state is not ConnectionState.NEW or connection.since <= new_since:
+                connection.close()
 
     def close_without_pending_answer(self) -> None:
         """Close every connection without a pending answer or a started request.
@@ -152,22 +156,22 @@
         One with an unread request stays: it is read in the next loop iteration, and closed by its answer.
         """
         for state in (ConnectionState.IDLE, ConnectionState.NEW):
-            for each in self.in_state(state):
-                if each.has_unsent:
-                    each.abort()
-                elif each.is_idle:
-                    each.close()
+            for connection in self.in_state(state):
+                if connection.has_unsent:
+                    connection.abort()
+                elif connection.is_idle:
+                    connection.close()
 
     def close_all(self) -> None:
         """Close every connection, once no answer is pending."""
-        for each in list(self):
-            each.close()
+        for connection in list(self):
+            connection.close()
 
     def trim(self) -> None:
         """Close idle connections above `max_connections`, the longest idle first."""
-        idle = (each for each in self.in_state(ConnectionState.IDLE) if each.is_idle)
-        for each in islice(idle, max(len(self) - self.max_connections, 0)):
-            each.close()
+        idle = (connection for connection in self.in_state(ConnectionState.IDLE) if connection.is_idle)
+        for connection in islice(idle, max(len(self) - self.max_connections, 0)):
+            connection.close()
 
     def _close_excess_idle(self) -> None:
         """Close single-use idle connections above their share, except those with an unread request.
@@ -175,10 +179,10 @@
         Clients that send one request per connection and keep it have limits of their own: once all they may
         hold are idle here, they can't send until some are closed.
         """
-        idle = (each for each in self._idle.closable(self.max_connections) if each.is_idle)
-        for each in list(islice(idle, self._idle.excess(self.max_connections))):
-            self._idle.record_closed(each)
-            each.close()
+        idle = (connection for connection in self._idle.closable(self.max_connections) if connection.is_idle)
+        for connection in list(islice(idle, self._idle.excess(self.max_connections))):
+            self._idle.record_closed(connection)
+            connection.close()
 
     # Eviction
 
@@ -200,18 +204,26 @@
         now = self._network.time()
         new_since, unsent_since = now - self._limits.first_request_grace_s, now - self._limits.stall_s
         return chain(
-            (each for each in by_state[ConnectionState.CLOSING] if not each.has_unsent),
+            (connection for connection in by_state[ConnectionState.CLOSING] if not connection.has_unsent),
             # New connections have a grace period: the first request may be on its way, and would stay
             # unanswered although idle connections could be closed instead.
-            (each for each in islice(by_state[ConnectionState.NEW], 1) if each.since <= new_since),
-            (each for each in by_state[ConnectionState.IDLE] if each.is_idle),
+            (
+                connection
+                for connection in islice(by_state[ConnectionState.NEW], 1)
+                if connection.since <= new_since
+            ),
+            (connection for connection in by_state[ConnectionState.IDLE] if connection.is_idle),
             # Otherwise clients with requests that never end could occupy the whole table, and new clients
             # would be aborted.
             self._oldest_without_request(),
             # Guards against endless bodies; no server has started on an incomplete request.
             by_state[ConnectionState.UPLOADING],
             # The last answer is not sent completely: evicted late, and only after the stall timeout.
-            (each for each in by_state[ConnectionState.CLOSING] if each.since <= unsent_since),
+            (
+                connection
+                for connection in by_state[ConnectionState.CLOSING]
+                if connection.since <= unsent_since
+            ),
             # Clients that request large answers and don't read them are evicted last.
             self._longest_blocked(unsent_since),
         )
@@ -219,9 +231,9 @@
     def _longest_blocked(self, blocked_before: float) -> Iterator[DownstreamConnection]:
         """The connection blocked longest, if its client has read nothing since `blocked_before`."""
         blocked = [
-            (each.blocked_since, number, each)
-            for number, each in enumerate(self._by_state[ConnectionState.SERVING])
-            if each.blocked_since is not None and each.blocked_since <= blocked_before
+            (connection.blocked_since, number, connection)
+            for number, connection in enumerate(self._by_state[ConnectionState.SERVING])
+            if connection.blocked_since is not None and connection.blocked_since <= blocked_before
         ]
         if blocked:
             yield min(blocked)[2]
@@ -229,4 +241,4 @@
     def _oldest_without_request(self) -> list[DownstreamConnection]:
         """The oldest connection without a complete request."""
         first = [*islice(self._by_state[ConnectionState.NEW], 1), *islice(self._partial(), 1)]
-        return [min(first, key=lambda each: each.since)] if first else []
+        return [min(first, key=lambda connection: connection.since)] if first else []
--- a/micadeck/http/connection_timeouts.py
+++ b/micadeck/http/connection_timeouts.py
@@ -37,18 +37,18 @@
         self._abort_lingering(now)
 
     def _close_late_heads(self, now: float) -> None:
-        for each in self._table.in_state(ConnectionState.NEW):
-            if now - each.since >= self._limits.header_timeout_s:
-                each.close()
-        for each in self._table.in_state(ConnectionState.READING):
-            if now - each.since >= self._limits.header_timeout_s and not each.has_head:
-                each.reject(408)
+        for connection in self._table.in_state(ConnectionState.NEW):
+            if now - connection.since >= self._limits.header_timeout_s:
+                connection.close()
+        for connection in self._table.in_state(ConnectionState.READING):
+            if now - connection.since >= self._limits.header_timeout_s and not connection.has_head:
+                connection.reject(408)
 
     def _reject_late_bodies(self, now: float) -> None:
         reading = self._table.in_state(ConnectionState.READING)
-        for each in [*reading, *self._table.in_state(ConnectionState.UPLOADING)]:
-            if each.has_head and each.is_waiting_for_client and self._is_late(each, now):
-                each.reject(408)
+        for connection in [*reading, *self._table.in_state(ConnectionState.UPLOADING)]:
+            if connection.has_head and connection.is_waiting_for_client and self._is_late(connection, now):
+                connection.reject(408)
 
     def _is_late(self, connection: DownstreamConnection, now: float) -> bool:
         """Whether a body is slower than the minimum rate, or stalled."""
@@ -58,31 +58,34 @@
 
     def _abort_abandoned(self, now: float) -> None:
         """Abort connections whose client does not read its answer or has disconnected."""
-        for each in self._table.in_state(ConnectionState.SERVING):
-            if each.blocked_since is not None and now - each.blocked_since >= self._limits.write_stall_s:
-                each.abort()
+        for connection in self._table.in_state(ConnectionState.SERVING):
+            if (
+                connection.blocked_since is not None
+                and now - connection.blocked_since >= self._limits.write_stall_s
+            ):
+                connection.abort()
         serving = self._table.in_state(ConnectionState.SERVING)
-        for each in [*serving, *self._table.in_state(ConnectionState.UPLOADING)]:
-            if each.has_unread_eof:
-                each.abort_disconnected()
+        for connection in [*serving, *self._table.in_state(ConnectionState.UPLOADING)]:
+            if connection.has_unread_eof:
+                connection.abort_disconnected()
 
     def _close_idle(self, now: float) -> None:
         table = self._table
         idle_s = idle_timeout_s(self._limits.idle_timeout_s, len(table), table.max_connections)
-        for each in table.in_state(ConnectionState.IDLE):
-            if now - each.since < idle_s:
+        for connection in table.in_state(ConnectionState.IDLE):
+            if now - connection.since < idle_s:
                 break  # they are in the order in which they became idle
-            if each.is_idle:
-                each.close()
-            elif each.has_unsent:
-                each.abort()  # otherwise there is an unread request, which is read in the next loop iteration
+            if connection.is_idle:
+                connection.close()
+            elif connection.has_unsent:
+                connection.abort()  # otherwise an unread request is read in the next loop iteration
 
     def _abort_lingering(self, now: float) -> None:
         limits = self._limits
-        for each in self._table.in_state(ConnectionState.CLOSING):
-            if each.has_unsent and now - each.since < limits.write_stall_s:
+        for connection in self._table.in_state(ConnectionState.CLOSING):
+            if connection.has_unsent and now - connection.since < limits.write_stall_s:
                 continue  # its last answer is still being sent
-            lingers = now - each.since < each.linger_s
-            is_uploading = each.linger_s > limits.linger_s
-            if not lingers or (is_uploading and now - each.received_at >= limits.linger_s):
-                each.abort()
+            lingers = now - connection.since < connection.linger_s
+            is_uploading = connection.linger_s > limits.linger_s
+            if not lingers or (is_uploading and now - connection.received_at >= limits.linger_s):
+                connection.abort()
--- a/micadeck/http/downstream_connection.py
+++ b/micadeck/http/downstream_connection.py
@@ -490,7 +490,7 @@
         self._reader.release()
         self.received_at = self._listener.network.time()
         if not self.has_unsent:
-            # At once, not in a later loop iteration: a request read before the shutdown would be dropped.
+            # Immediately: before a shutdown in a later loop iteration, a request could be read and dropped.
             self._stream.shutdown_write()
         elif self._transport.can_write_eof():
             self._transport.write_eof()
--- a/micadeck/http/error_responses.py
+++ b/micadeck/http/error_responses.py
@@ -18,7 +18,7 @@
 
 def streamed_headers(response: Response) -> Headers:
     """The response headers that are forwarded to the client."""
-    return [each for each in response.headers if each[0] in _FORWARDED_HEADERS]
+    return [header for header in response.headers if header[0] in _FORWARDED_HEADERS]
 
 
 def refused(retry_after_us: int) -> FinalAnswer:
--- a/micadeck/http/h1.py
+++ b/micadeck/http/h1.py
@@ -20,12 +20,10 @@
 Headers = list[tuple[bytes, bytes]]
 
 MAX_BODY_BYTES = 33 << 20  # of a request, and of a server's answer
-_STREAMING_THRESHOLD_BYTES = (
-    4 << 10
-)  # buffered of an answer that is large or of unknown length, before streaming
+_STREAMING_THRESHOLD_BYTES = 4 << 10  # buffered before a large answer, or one of unknown length, is streamed
 _SPACE = 0x20  # the tab's code is lower
 _MAX_INTERIM = 8  # 1xx responses before the final one
-_REASONS = {each.value: each.phrase.encode() for each in HTTPStatus}
+_REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 @dataclass(slots=True)
@@ -263,11 +261,11 @@
         part.version = self._parser.get_http_version()
         if part.version not in ("1.0", "1.1"):
             self._reject(505)
-        elif codings and [each.lower() for each in codings] != [b"chunked"]:
+        elif codings and [coding.lower() for coding in codings] != [b"chunked"]:
             self._reject(501)
-        elif any(int(each) > self._max_body for each in lengths):
+        elif any(int(length) > self._max_body for length in lengths):
             self._reject(413)
-        elif expects and [each.lower() for each in expects] == [b"100-continue"]:
+        elif expects and [value.lower() for value in expects] == [b"100-continue"]:
             self.awaits_continue = True
 
     def on_body(self, body: bytes) -> None:
@@ -288,7 +286,7 @@
 
     def _begin_streaming(self, part: _PartialMessage, make_body_stream: MakeBodyStream) -> None:
         """Queue the request before its body is complete, as it is too large to buffer."""
-        length = next((int(each) for each in part.values(b"content-length")), None)
+        length = next((int(value) for value in part.values(b"content-length")), None)
         part.stream = make_body_stream(length)
         part.stream.put(bytes(part.body))
         part.body.clear()
@@ -393,7 +391,7 @@
             # Reject an answer above the size limit before the body is received, and one maybe truncated:
             # without a length or chunked coding, a broken connection looks like the end of the body.
             lengths = self._part.values(b"content-length")
-            codings = [each.lower() for each in self._part.values(b"transfer-encoding")]
+            codings = [coding.lower() for coding in self._part.values(b"transfer-encoding")]
             bounded = codings == [b"chunked"] or status in (204, 304)
             bounded = bounded or (bool(lengths) and int(lengths[0]) <= self._response_limit)
             if not bounded and not lengths and not codings:
@@ -442,7 +440,7 @@
         if status != 200:
             self.is_malformed = True  # only a 200 is passed on to the client, so the rest is not needed
             return
-        length = next((int(each) for each in part.values(b"content-length")), None)
+        length = next((int(value) for value in part.values(b"content-length")), None)
         part.stream = make_body_stream(length)
         part.stream.put(bytes(part.body))
         part.body.clear()
@@ -457,7 +455,9 @@
         """
         assert self._part is not None
         options = {
-            each.strip().lower() for value in self._part.values(b"connection") for each in value.split(b",")
+            option.strip().lower()
+            for value in self._part.values(b"connection")
+            for option in value.split(b",")
         }
         return b"close" in options or self._parser.get_http_version() == "1.0"
 
--- a/micadeck/http/idle_connections.py
+++ b/micadeck/http/idle_connections.py
@@ -63,7 +63,7 @@
     def closable(self, capacity: int) -> Iterator[C]:
         """Connections that may be closed, in this order; none without `excess`."""
         if self.excess(capacity):
-            yield from (each for each, is_sample in self._single_use.items() if not is_sample)
+            yield from (connection for connection, is_sample in self._single_use.items() if not is_sample)
 
     def excess(self, capacity: int) -> int:
         """How many single-use connections are idle above their maximum."""
--- a/micadeck/http/request_validation.py
+++ b/micadeck/http/request_validation.py
@@ -126,9 +126,9 @@
         if name not in _HOP_BY_HOP:
             headers.append((name, value))
         elif name == b"connection":
-            options.update(each.strip().lower() for each in value.split(b","))
+            options.update(option.strip().lower() for option in value.split(b","))
     if options:
-        headers = [each for each in headers if each[0] not in options or each[0] in _ALWAYS_FORWARDED]
+        headers = [header for header in headers if header[0] not in options or header[0] in _ALWAYS_FORWARDED]
     return protocol_headers, headers
 
 
--- a/micadeck/http/settings_versions.py
+++ b/micadeck/http/settings_versions.py
@@ -26,8 +26,8 @@
 
     def _activate(self, settings: Settings) -> None:
         self.settings = settings
-        self.tenants = frozenset(each.name for each in settings.tenants)
-        self.classes = {each.name: each for each in settings.classes}  # in force, by name
+        self.tenants = frozenset(tenant.name for tenant in settings.tenants)
+        self.classes = {entry.name: entry for entry in settings.classes}  # in force, by name
 
     @property
     def is_settled(self) -> bool:
@@ -70,7 +70,7 @@
         if service_class is not None and service_class.idempotency is idempotency:
             return service_class, False
         if self._next is not None:
-            upcoming = next((each for each in self._next.classes if each.name == name), None)
+            upcoming = next((entry for entry in self._next.classes if entry.name == name), None)
             if upcoming is not None and upcoming.idempotency is idempotency:
                 self._advance(now_us)
                 return upcoming, False
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -20,9 +20,7 @@
 from micadeck.policy.outcomes import Outcome
 from micadeck.policy.settings import ReportSource, Settings
 
-_IDLE_MARGIN = (
-    0.1  # share of the idle limit; the server may already have closed a connection this close to it
-)
+_IDLE_MARGIN = 0.1  # share of the idle limit; this close to it, the server may have closed the connection
 _MAX_REPORT_VALUE = 1e9  # larger values in a load report are ignored as implausible
 # Errors of a dial that mean that this machine, not the server, ran out of resources.
 _LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
@@ -144,7 +142,7 @@
     def update_endpoints(self, update: EndpointUpdate) -> None:
         """Apply a list or its changes, before any action that follows from it."""
         if update.full:
-            for name in self._servers.keys() - {each.listed.server for each in update.entries}:
+            for name in self._servers.keys() - {entry.listed.server for entry in update.entries}:
                 self._forget(name)
         for entry in update.entries:
             name, address = entry.listed.server, entry.address
@@ -396,7 +394,7 @@
         """The most recently used idle connection past its reuse delay that is usable, if any."""
         now = self._network.now()
         reusable_since = now - self._reuse_delay.delay_us_at(now)
-        for idle in [each for each in reversed(server.idle) if each.since <= reusable_since]:
+        for idle in [item for item in reversed(server.idle) if item.since <= reusable_since]:
             if now - idle.since < self._idle_limit_us and idle.connection.is_usable():  # else it is closed
                 server.idle.remove(idle)
                 return idle.connection
@@ -428,14 +426,14 @@
             return
         if connection.received_unexpected_bytes:
             now = self._network.now()
-            since = next((each.since for each in server.idle if each.connection is connection), now)
+            since = next((item.since for item in server.idle if item.connection is connection), now)
             self._reuse_delay.record_late_bytes(now, now - since)
-        server.idle = [each for each in server.idle if each.connection is not connection]
+        server.idle = [item for item in server.idle if item.connection is not connection]
 
     def _close_idle(self, server: _Server) -> None:
         idle, server.idle = server.idle, []
-        for each in idle:
-            each.connection.close()
+        for item in idle:
+            item.connection.close()
 
 
 def _outcome(result: Response | Failure) -> Outcome:
