--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -1,6 +1,6 @@
-"""The engine: outside events go to the decisions from here, and their actions are carried out here.
+"""The engine passes events to the decisions and executes the actions that they return.
 
-`Balancer.handle` is called nowhere else.
+Only this module calls `Balancer.handle`.
 """
 
 from __future__ import annotations
@@ -55,17 +55,17 @@
 from micadeck.policy.statistics import BalancerStatistics
 
 _PROBE_TIMEOUT_US = 1_000_000
-_MEMORY_RETRY_AFTER_US = 500_000  # for a request that was refused for memory
+_MEMORY_RETRY_AFTER_US = 500_000  # for requests refused for lack of memory
 
 
 class RequestIdInUseError(OperatorError):
-    """A request has the id of one that is open."""
+    """A request has the id of another open request."""
 
-    advice = "Have clients give each open request an id of its own."
+    advice = "Have clients give every open request a unique id."
 
 
 class _Attempt:
-    """An attempt in flight; the transport calls it once, with how it ended."""
+    """An attempt in flight; the transport calls it once, when it has ended."""
 
     __slots__ = ("_engine", "index", "request", "sent_at", "server")
 
@@ -81,27 +81,27 @@
 
 
 class Engine:
-    """One balancer from its start to its end.
+    """Runs the decisions of one load balancer.
 
     Owns the decisions, the queue of their events, their timers and the open requests.
 
     Attributes:
-        invariants: Counts and logs what must never happen.
+        invariants: Counts and logs violated invariants.
         outcomes: How requests ended, by service class.
-        shed_requests: How many requests were refused for memory.
-        on_endpoint_update: Gets each endpoint update, as the decisions do.
+        shed_requests: How many requests were refused for lack of memory.
+        on_endpoint_update: Called with every endpoint update.
         has_list: Whether the source reported a list since the start.
-        memory: The memory budget by which new requests are refused; None: they never are.
+        memory: Memory budget whose pressure level sheds new requests; None: none are shed.
     """
 
     def __init__(self, settings: Settings, seed: int, ports: EnginePorts, log: Callable[[str], None]) -> None:
-        """Connect the decisions to the ports; `start` makes them run.
+        """Connect the decisions to the ports; `start` runs them.
 
         Args:
             settings: The settings of the decisions.
             seed: The seed of their random numbers.
             ports: What the engine is connected to.
-            log: Takes one line at a time.
+            log: Writes one line.
         """
         self._settings = settings
         self._network = ports.network
@@ -110,7 +110,7 @@
         self._peers = ports.peers
         self._log = log
         self._policy = Balancer(settings, seed)
-        self._balancer = self._policy  # or what wraps it
+        self._balancer = self._policy  # or its wrapper, see `wrap_balancer`
         self.invariants = InvariantLog(log)
         self.shed_requests = 0
         self.on_endpoint_update: Callable[[EndpointUpdate], None] | None = None
@@ -121,16 +121,16 @@
         self._open = OpenRequests()
         self._answers = FinalAnswers(ports.network, ports.transport, self._open, self.invariants)
         self.outcomes = self._answers.outcomes
-        self._drain_deadline_us: int | None = None  # when all must be answered, once it drains
+        self._drain_deadline_us: int | None = None  # all must be answered by then; set while draining
 
     def start(self, known: EndpointUpdate) -> None:
-        """Use the last known endpoint list, and have the source report newer ones."""
+        """Use the last known endpoint list, and subscribe to updates from the source."""
         self._transport.update_endpoints(known)
         self._post(known.event(ListKind.REMEMBERED))
         self._source.start(self._endpoints_updated, lambda: self._post(ServersListed(ListKind.FAILED)))
 
     def request_id(self, request: int) -> bytes:
-        """The client's id of an open request; empty if it is over."""
+        """The client's id of an open request; empty if it is not open."""
         opened = self._open.get(request)
         return opened.request.request_id if opened is not None else b""
 
@@ -139,20 +139,20 @@
         return self._policy.statistics()
 
     def wrap_balancer(self, wrap: Callable[[Balancer], Balancer]) -> None:
-        """Put something round the decisions that gets their events; before `start`."""
+        """Wrap the decisions in a recorder of their events; call before `start`."""
         self._balancer = wrap(self._balancer)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put other settings in force; open requests keep their class."""
+        """Apply new settings; open requests keep their class."""
         self._settings = settings
         self._post(SettingsChanged(settings))
 
     def share_request_ids(self, ids: set[bytes]) -> None:
-        """Keep the ids of unanswered requests in this set, which other processes add theirs to.
+        """Store the ids of unanswered requests in this set, which other processes share.
 
         An id in it is in use.
         """
-        self._open.keep_ids_in(ids)
+        self._open.store_ids_in(ids)
 
     def close(self) -> None:
         """Close all ports."""
@@ -162,7 +162,7 @@
 
     @property
     def open_requests(self) -> int:
-        """Number of requests that are unanswered, or have an attempt in flight."""
+        """Number of requests that are unanswered or have an attempt in flight."""
         return len(self._open)
 
     @property
@@ -184,13 +184,13 @@
 
     @property
     def skipped_servers(self) -> int:
-        """Number of listed servers that get no new requests: they drain, or are ejected."""
+        """Number of listed servers that get no new requests: draining or ejected."""
         return self._policy.avoided()
 
-    # What listeners call
+    # Called by listeners
 
     def submit(self, request: Request, handler: ResponseHandler) -> int | None:
-        """Accept a request; from here on its handler gets exactly one answer, unless the client disconnects.
+        """Accept a request; its handler gets exactly one answer, unless the client disconnects.
 
         Returns:
             The request's number; None if it was answered within this call.
@@ -213,7 +213,7 @@
         if self._drain_deadline_us is not None:
             request.remaining_us = self._time_left(request.remaining_us)
         number = self._open.add(handler, request, self._network.now() + request.remaining_us)
-        self._post(_arrival_of(number, request))
+        self._post(_arrival_event(number, request))
         return None if self._open.is_answered(number) else number
 
     def _memory_retry_after_us(self) -> int:
@@ -221,7 +221,7 @@
         return min(limits.max_retry_after_us, _MEMORY_RETRY_AFTER_US) if limits.retry_after else 0
 
     def request_completed(self, request: int, remaining_us: int) -> None:
-        """Take note that the last byte of a request was received; its time runs from here."""
+        """Record that the last byte of a request was received; its deadline counts from now."""
         opened = self._open.get(request)
         if opened is None or opened.handler is None or opened.request.is_complete:
             return
@@ -236,19 +236,19 @@
         return max(min(remaining_us, self._drain_deadline_us - self._network.now()), 1)
 
     def client_disconnected(self, request: int) -> None:
-        """Take note that the client went away; its handler gets no answer any more."""
-        if self._answers.settle(request) is None:
+        """Record that the client disconnected; its handler gets no answer any more."""
+        if self._answers.mark_answered(request) is None:
             return
         self._post(ClientDisconnected(request))
         self._open.remove_if_over(request)
 
     def response_started(self, request: int) -> bool:
-        """Take note that a part of an attempt's answer goes to the client now.
+        """Record that the first part of an attempt's answer is about to go to the client.
 
-        From here on no other attempt follows: should this one not deliver the rest, the request has failed.
+        No other attempt follows: if this one does not deliver the rest, the request fails.
 
         Returns:
-            Whether it may go there: false if the request has its answer.
+            Whether it may be sent: false if the request is already answered.
         """
         opened = self._open.get(request)
         if opened is None or opened.handler is None:
@@ -260,26 +260,26 @@
         return True
 
     def set_drain_deadline(self, deadline_us: int) -> None:
-        """Give no request that is accepted from now on more time than up to this point."""
+        """Limit the deadlines of requests accepted from now on to this time."""
         self._drain_deadline_us = deadline_us
 
     def fail_open_requests(self) -> None:
-        """Fail all unanswered requests; for the end of a drain, when the decisions did not answer in time."""
+        """Fail all unanswered requests, when a drain ends before the decisions answered them."""
         for request in list(self._open):
             self._answers.fail(request, FailureCause.TIME)
 
     def receive_peer_message(self, sender: int, payload: bytes) -> None:
-        """Take a message from another sidecar."""
+        """Handle a message from another sidecar."""
         self._post(MessageReceived(sender, payload))
 
     def report_defect(self, text: str) -> None:
-        """Log a defect that a listener survived."""
+        """Log a defect that a listener caught."""
         self._log(f"internal error: {text}")
 
     # Events
 
     def _post(self, event: Event) -> None:
-        """Bring an event to the decisions, at once unless they are at work: then right after, in order."""
+        """Queue an event for the decisions; unless they are handling one, handle the queue at once."""
         self._events.append(event)
         if self._is_handling:
             return
@@ -291,15 +291,15 @@
                     event.answered = self._open.is_answered(event.request)
                 try:
                     for action in self._balancer.handle(self._network.now(), event):
-                        _CARRY_OUT[type(action)](self, action)
+                        _ACTION_HANDLERS[type(action)](self, action)
                 except Exception as error:
-                    self._survive_defect(event, error)
+                    self._recover_from_defect(event, error)
                 if isinstance(event, AttemptEnded):
                     self._open.remove_if_over(event.request)
         finally:
             self._is_handling = False
 
-    def _survive_defect(self, event: Event, error: Exception) -> None:
+    def _recover_from_defect(self, event: Event, error: Exception) -> None:
         """Log a defect in the decisions, and fail the request that it left unanswered."""
         self._log(f"internal error: {type(event).__name__}: {error!r}")
         if isinstance(event, (RequestArrived, AttemptEnded)):
@@ -319,7 +319,7 @@
         opened = self._open[request]
         is_delivered = outcome is Outcome.DELIVERED
         if not is_delivered and opened.handler is not None:
-            opened.request.check_client()  # no further attempt for a client that has left
+            opened.request.check_client()  # no further attempt if the client has disconnected
         opened.in_flight -= 1
         opened.last_outcome = outcome
         opened.may_have_run = opened.may_have_run or not self._settings.rules.never_ran(outcome)
@@ -327,29 +327,29 @@
             self._source.suspect_stale()
         if is_delivered:
             self._answers.serve(request, opened, response)
-        # A request that was completed after the attempt was sent is timed from its completion.
+        # A request whose body was complete only after the attempt was sent is timed from its completion.
         elapsed_us = self._network.now() - max(attempt.sent_at, opened.completed_at)
         if opened.response_delay_us is not None:
-            # The rest of an answer takes as long as the client reads, which is no measure of the server.
+            # The client's read speed determines how long the rest took, so it does not count for the server.
             elapsed_us = opened.response_delay_us
             if not is_delivered:
                 self._answers.fail(request, FailureCause.SERVERS)
-        # Whether the request is answered is filled in when the event's turn comes.
-        can_retry = is_delivered or opened.request.can_go_again()
+        # `_post` sets `answered` when it takes the event from the queue.
+        can_retry = is_delivered or opened.request.can_retry()
         self._post(
             AttemptEnded(
                 request, attempt.index, attempt.server, outcome, elapsed_us, False, report, can_retry
             )
         )
 
-    # Actions, each called through `_CARRY_OUT`
+    # Actions, called through `_ACTION_HANDLERS`
 
     def _send(self, action: Send) -> None:
         opened = self._open[action.request]
         sent_at = self._network.now()
         if opened.in_flight and not self._settings.limits.allow_hedging:
             self.invariants.record(
-                InvariantViolation.TWO_ATTEMPTS, opened.request.request_id, f"{opened.in_flight} out"
+                InvariantViolation.TWO_ATTEMPTS, opened.request.request_id, f"{opened.in_flight} in flight"
             )
         opened.in_flight += 1
         opened.last_sent = (action.server, sent_at)
@@ -365,7 +365,7 @@
     def _arm_timer(self, due_us: int, token: str) -> None:
         def fire() -> None:
             if self._network.now() < due_us:
-                self._arm_timer(due_us, token)  # it fired early, when nothing is due yet
+                self._arm_timer(due_us, token)  # the event loop fired it early; nothing is due yet
             else:
                 self._post(TimerFired(token))
 
@@ -409,13 +409,13 @@
 
     def _send_peer_message(self, action: SendPeerMessage) -> None:
         if not self._peers.send(action.receiver, action.payload):
-            self._log("a message to other sidecars could not be sent")
+            self._log("peers: could not send a message")
 
     def _write_log(self, action: Log) -> None:
         self._log(action.text)
 
 
-def _arrival_of(number: int, request: Request) -> RequestArrived:
+def _arrival_event(number: int, request: Request) -> RequestArrived:
     return RequestArrived(
         request=number,
         service_class=request.service_class,
@@ -431,7 +431,7 @@
     )
 
 
-_CARRY_OUT: dict[type[Action], Callable[[Engine, Any], None]] = {
+_ACTION_HANDLERS: dict[type[Action], Callable[[Engine, Any], None]] = {
     Send: Engine._send,
     SetTimer: Engine._set_timer,
     Refuse: Engine._refuse,
--- a/micadeck/engine/final_answers.py
+++ b/micadeck/engine/final_answers.py
@@ -1,4 +1,4 @@
-"""Final answers: the one way out of the engine for a request's answer, exactly once each."""
+"""Final answers: the engine answers every request here, exactly once."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
         Args:
             network: The clock.
-            transport: Withdraws attempts that nobody waits for any more.
+            transport: Withdraws attempts that are no longer needed.
             open_requests: The open requests.
-            invariants: Gets the answers that are late.
+            invariants: Records late answers.
         """
         self._network = network
         self._transport = transport
@@ -36,14 +36,14 @@
         self.outcomes = OutcomeCounters()
 
     def reject(self, request: Request, handler: ResponseHandler, retry_after_us: int) -> None:
-        """Refuse a request that is not open."""
+        """Refuse a request that was not accepted."""
         self.outcomes[request.service_class].refused += 1
         handler.refused(retry_after_us)
 
     def refuse(self, number: int, retry_after_us: int) -> None:
         """Refuse an open request, unless it is answered."""
         opened = self._open.get(number)
-        handler = self.settle(number)
+        handler = self.mark_answered(number)
         if opened is not None and handler is not None:
             self.reject(opened.request, handler, retry_after_us)
         self._open.remove_if_over(number)
@@ -51,7 +51,7 @@
     def fail(self, number: int, cause: FailureCause) -> None:
         """Fail an open request, unless it is answered."""
         opened = self._open.get(number)
-        handler = self.settle(number)
+        handler = self.mark_answered(number)
         if opened is not None and handler is not None:
             self.outcomes[opened.request.service_class].failed += 1
             handler.failed(cause, opened.may_have_run or opened.in_flight > 0)
@@ -59,28 +59,29 @@
 
     def serve(self, number: int, opened: OpenRequest, response: Any) -> None:
         """Deliver a server's answer, unless the request is answered."""
-        handler = self.settle(number)
+        handler = self.mark_answered(number)
         if handler is not None:
             self.outcomes[opened.request.service_class].served += 1
             handler.served(response)
 
-    def settle(self, number: int) -> ResponseHandler | None:
-        """Mark a request as answered; return who gets the answer, None if it was answered before."""
+    def mark_answered(self, number: int) -> ResponseHandler | None:
+        """Mark a request as answered; return its handler, None if it was answered before."""
         opened = self._open.get(number)
         if opened is None or opened.handler is None:
             return None
         self._check_in_time(opened)
         handler = self._open.take_handler(opened)
         if opened.in_flight:
-            # Keeps servers from work for nobody, where cancelling what was sent is not permitted.
+            # Saves servers useless work where cancelling sent attempts is not permitted.
             for attempt in opened.attempts:
                 self._transport.withdraw(attempt)
         return handler
 
     def _check_in_time(self, opened: OpenRequest) -> None:
         late_us = self._network.now() - opened.deadline_us
-        # The transport sees to the deadline of an answer that is under way.
+        # The transport enforces the deadline of a partly delivered answer.
         is_timed = opened.request.is_complete and opened.response_delay_us is None
         if late_us > ANSWER_SLACK_US and is_timed:
-            detail = f"by {late_us / 1e6:.3f} s, {len(opened.attempts)} attempts, {opened.in_flight} out"
+            attempts = f"{len(opened.attempts)} attempts, {opened.in_flight} in flight"
+            detail = f"by {late_us / 1e6:.3f} s, {attempts}"
             self._invariants.record(InvariantViolation.ANSWERED_LATE, opened.request.request_id, detail)
--- a/micadeck/engine/open_requests.py
+++ b/micadeck/engine/open_requests.py
@@ -1,4 +1,4 @@
-"""Open requests: those that were accepted and are unanswered, or still have an attempt in flight.  No I/O."""
+"""Open requests: accepted, and unanswered or with an attempt in flight.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     """A request from its acceptance until it is answered and its attempts have ended.
 
     Attributes:
-        handler: Gets the final answer; None once that was given, or nobody waits for it.
+        handler: Gets the final answer; None once it was given or the client has disconnected.
         request: The request as the listener made it.
-        deadline_us: When its time is over, on the network's clock.
-        attempts: The transport's names of its attempts, in the order they were sent.
+        deadline_us: Its deadline, on the network's clock.
+        attempts: The transport's handles of its attempts, in the order they were sent.
         in_flight: How many of these have not ended.
-        last_outcome: How the last one that ended did so.
+        last_outcome: Outcome of the attempt that ended last.
         may_have_run: Whether a server may have started on it, by the attempts that have ended.
         last_sent: The server and the time in microseconds of the last attempt.
         completed_at: When its last byte was received, if that was after its acceptance; else 0.
-        response_delay_us: How long its answer took to begin on its way to the handler; None: it has not.
+        response_delay_us: How long the answer's first part took; None: no part was delivered.
     """
 
     __slots__ = (
@@ -38,7 +38,7 @@
     )
 
     def __init__(self, handler: ResponseHandler, request: Request, deadline_us: int) -> None:
-        """Take up a request that has no attempt yet."""
+        """Open a request without attempts."""
         self.handler: ResponseHandler | None = handler
         self.request = request
         self.deadline_us = deadline_us
@@ -69,12 +69,12 @@
         return number
 
     def is_answered(self, number: int) -> bool:
-        """Whether a request has its final answer, or nobody waits for one."""
+        """Whether a request has its final answer or needs none any more."""
         opened = self.get(number)
         return opened is None or opened.handler is None
 
     def take_handler(self, opened: OpenRequest) -> ResponseHandler | None:
-        """Mark a request as answered; return who gets the answer, None if it was answered before."""
+        """Mark a request as answered; return its handler, None if it was answered before."""
         handler, opened.handler = opened.handler, None
         if handler is not None:
             self.unanswered_ids.discard(opened.request.request_id)
@@ -86,8 +86,8 @@
         if opened is not None and opened.handler is None and opened.in_flight == 0:
             del self[number]
 
-    def keep_ids_in(self, ids: set[bytes]) -> None:
-        """Keep the ids of unanswered requests in this set from now on, the present ones too."""
+    def store_ids_in(self, ids: set[bytes]) -> None:
+        """Store the ids of unanswered requests in this set, the present ones too."""
         for request_id in self.unanswered_ids:
             ids.add(request_id)
         self.unanswered_ids = ids
--- a/micadeck/engine/outcome_counters.py
+++ b/micadeck/engine/outcome_counters.py
@@ -4,7 +4,7 @@
 
 
 class OutcomeCounts:
-    """The ended requests of one class, each under exactly one of these."""
+    """Number of ended requests of one class, by outcome."""
 
     __slots__ = ("failed", "refused", "served")
 
@@ -16,12 +16,12 @@
 
 
 class OutcomeCounters(dict[str, OutcomeCounts]):
-    """Outcome counts by class since the start of the process; a class appears when it is first named.
+    """Outcome counts by class since the start of the process; a class is added on first use.
 
-    Requests whose client disconnected are counted nowhere.
+    Requests whose client disconnected are not counted.
     """
 
     def __missing__(self, name: str) -> OutcomeCounts:
-        """Add a class that is named for the first time."""
+        """Add a class on its first use."""
         counts = self[name] = OutcomeCounts()
         return counts
--- a/micadeck/engine/ports.py
+++ b/micadeck/engine/ports.py
@@ -1,6 +1,6 @@
-"""Ports of the engine: requests and who handles their answers, transports, endpoint sources and peers.
+"""Ports of the engine: requests and their handlers, transports, endpoint sources and peers.
 
-Times are whole microseconds; `deadline_us` is a point on the network's clock.
+Times are whole microseconds; `deadline_us` is a time on the network's clock.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from micadeck.policy.settings import ServiceClass
 
 # ---------------------------------------------------------------------------------------------------
-# Towards listeners
+# Listeners
 
 
 @dataclass(slots=True)
 class Request:
-    """What the decisions need to know of a request.  Subclasses hold what their transport needs too."""
+    """What the decisions need to know of a request.  Subclasses add what their transport needs."""
 
     service_class: str
     tenant: str | None
@@ -29,20 +29,20 @@
     remaining_us: int
     cost_us: int | None
     client_retry: bool
-    request_id: bytes  # the client's; no two open requests share one
+    request_id: bytes  # set by the client; unique among open requests
     write: bool
     sticky_server: str | None = field(default=None, kw_only=True)  # the only server that can serve it
-    is_complete: bool = field(default=True, kw_only=True)  # False: its body is still coming
+    is_complete: bool = field(default=True, kw_only=True)  # False: its body is still being received
     retired_class: ServiceClass | None = field(default=None, kw_only=True)  # its class, if no longer in force
 
-    def can_go_again(self) -> bool:
-        """Whether all of it is buffered for another attempt; called when an attempt has ended."""
+    def can_retry(self) -> bool:
+        """Whether it is buffered completely, so that it can be sent again; called when an attempt ends."""
         return True
 
     def check_client(self) -> None:
-        """Find out whether the client has left, where that may lie unread on its connection.
+        """Check the client's connection for an unread disconnect.
 
-        If so, it calls `Engine.client_disconnected`.  It is called before another attempt begins, and before
+        If there is one, call `Engine.client_disconnected`.  Called before another attempt begins, and before
         one is written after its dial.
         """
 
@@ -51,36 +51,36 @@
 class FailureCause(Enum):
     """Why a request failed."""
 
-    SERVERS = "servers"  # they answered with errors, broke off, or sent what can't be used
-    TIME = "time"  # there was no answer in its time
-    DEFECT = "defect"  # this program went wrong
+    SERVERS = "servers"  # errors, lost connections or malformed responses
+    TIME = "time"  # no answer before the deadline
+    DEFECT = "defect"  # a defect of this program
 
 
 class ResponseHandler(Protocol):
-    """Gets the one final answer of a request: exactly one of these is called, once."""
+    """Gets the final answer of a request: exactly one of these methods is called, once."""
 
     def served(self, response: Any) -> None:
-        """Take a server's answer, as the transport made it."""
+        """Handle a server's answer, as the transport made it."""
 
     def refused(self, retry_after_us: int) -> None:
-        """Take a refusal: a retry is harmless, but not before so long, if that is above 0."""
+        """Handle a refusal: a retry is harmless, after this delay if it is above 0."""
 
     def failed(self, cause: FailureCause, may_have_run: bool) -> None:
-        """Take a failure; `may_have_run` is false only if no server can have started on the request."""
+        """Handle a failure; `may_have_run` is false only if no server can have started on the request."""
 
 
 # ---------------------------------------------------------------------------------------------------
-# Towards servers
+# Servers
 
 AttemptCallback = Callable[[Outcome, Any, Mapping[str, float] | None], None]
-"""How an attempt ended, the answer if there is one, and the load report that it carried."""
+"""Gets an attempt's outcome, the response if there is one, and the load report it carried."""
 
 
 class Transport(Protocol):
-    """Carries attempts to servers.  Calls each `on_done` exactly once, never from within these methods."""
+    """Sends attempts to servers.  Calls each `on_done` exactly once, never from within these methods."""
 
     def update_endpoints(self, update: EndpointUpdate) -> None:
-        """Take over an endpoint list or its changes, before any action that follows from it."""
+        """Apply an endpoint list or its changes, before any action that follows from it."""
 
     def start(
         self,
@@ -94,24 +94,24 @@
 
         Args:
             server: The server's name on the endpoint list.
-            deadline_us: When the attempt is given up.
+            deadline_us: When the attempt times out.
             request: The request, as the listener made it.
-            on_done: Is called with how the attempt ended.
-            write_deadline_us: What has not been written in full by then is not written at all, and ends as
-                unsent; None: any time.
+            on_done: Called when the attempt has ended.
+            write_deadline_us: An attempt that is not written in full by then is not written at all, and ends
+                as unsent; None: no limit.
 
         Returns:
-            The attempt's name for `set_deadline`, `cancel` and `withdraw`.
+            A handle of the attempt for `set_deadline`, `cancel` and `withdraw`.
         """
 
     def set_deadline(self, attempt: Any, deadline_us: int) -> None:
-        """Give the attempt up at another time than was said at its start."""
+        """Change the deadline of an attempt."""
 
     def cancel(self, attempt: Any) -> None:
-        """Stop waiting.  Nothing is written for it from here on, and on return it is over."""
+        """Stop the attempt: nothing more is written for it, and on return it has ended."""
 
     def withdraw(self, attempt: Any) -> None:
-        """Nobody waits for it: if it is not written in full yet, it never is, and ends as unsent."""
+        """End the attempt as unsent unless it is written in full: it is no longer needed."""
 
     def probe(self, server: str, deadline_us: int, on_done: AttemptCallback) -> None:
         """Send a health check to a server."""
@@ -124,27 +124,27 @@
 
 
 # ---------------------------------------------------------------------------------------------------
-# Towards membership
+# Membership
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One server of an endpoint list, with where it can be reached from here."""
+    """One server of an endpoint list, with the address at which this process reaches it."""
 
     listed: ListedServer
-    address: Address | None  # None: it left
+    address: Address | None  # None: it was removed
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """An endpoint list, or the changes of one."""
+    """A complete endpoint list, or changes to it."""
 
     version: int
     full: bool
     entries: tuple[EndpointEntry, ...]
 
     def event(self, kind: ListKind | None = None) -> ServersListed:
-        """The event for the decisions; its kind follows from `full` unless it is given."""
+        """The event for the decisions; `kind` defaults to the one that `full` implies."""
         default_kind = ListKind.COMPLETE if self.full else ListKind.CHANGES
         return ServersListed(kind or default_kind, [entry.listed for entry in self.entries], self.version)
 
@@ -153,27 +153,27 @@
     """Reports the endpoint list.  Every `watch` and `fetch` is answered by an update or a failure."""
 
     def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None:
-        """Report updates and failed calls to these from now on."""
+        """Start to report updates and failed calls."""
 
     def watch(self, wanted: bool) -> None:
-        """Report changes from now on, or no longer."""
+        """Start or stop reporting changes."""
 
     def fetch(self) -> None:
         """Report the complete list once."""
 
     def suspect_stale(self) -> None:
-        """Check whether the list is still discovery's own: a listed server refused a connection."""
+        """Check whether the list is out of date: a listed server refused a connection."""
 
     def close(self) -> None:
-        """Report nothing any more, and close all connections."""
+        """Stop reporting, and close all connections."""
 
 
 # ---------------------------------------------------------------------------------------------------
-# Towards other sidecars
+# Other sidecars
 
 
 class PeerTransport(Protocol):
-    """Carries short messages between the sidecars of a tier."""
+    """Sends short messages between the sidecars of a tier."""
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
         """Send to one sidecar, or to all (None); return whether it could be sent at all."""
@@ -188,9 +188,9 @@
 
     Attributes:
         network: The clock and timers.
-        transport: Carries attempts to servers.
+        transport: Sends attempts to servers.
         source: Reports the endpoint list.
-        peers: Carries messages to other sidecars.
+        peers: Sends messages to other sidecars.
     """
 
     network: Network
--- a/micadeck/engine/send_guard.py
+++ b/micadeck/engine/send_guard.py
@@ -1,7 +1,7 @@
-"""Send guard: the one place that decides whether an attempt may be written now; counts broken invariants.
+"""Send guard: the only place that decides whether an attempt may be written; counts violated invariants.
 
-Everything here is a function of one snapshot and one reading of the clock, taken in the step that then acts.
-After an await, the decision is made anew.  No I/O but the log that it is given.
+A decision holds only until the next await: state and clock are read in the step that writes, and the decision
+is repeated after an await.  No I/O except for the log.
 """
 
 from __future__ import annotations
@@ -11,26 +11,26 @@
 from enum import Enum, unique
 from typing import Protocol
 
-ANSWER_SLACK_US = 500_000  # an answer that is later than this counts as lost
+ANSWER_SLACK_US = 500_000  # an answer this long after its deadline counts as lost
 
 
 @unique
 class SendDenial(Enum):
     """Why an attempt is not written."""
 
-    CANCELLED = "called off"  # its request is over, its client left, or it was cancelled
-    SERVER_LEAVING = "server leaving"  # it drains, has left, or is another process by now
-    TIME_OVER = "time over"  # of the attempt
-    REPEAT_TOO_LATE = "repeat too late"  # servers may have forgotten the first attempt
-    CONNECTION_ENDED = "connection ended"  # or brought data that was not requested
+    CANCELLED = "cancelled"  # the request is answered, its client left, or the attempt was cancelled
+    SERVER_LEAVING = "server leaving"  # draining, removed or replaced by another process
+    DEADLINE_PASSED = "deadline passed"  # the attempt's deadline
+    RETRY_TOO_LATE = "retry too late"  # the deduplication window of the first attempt may have ended
+    CONNECTION_ENDED = "connection ended"  # or it delivered unsolicited data
 
 
 @unique
 class InvariantViolation(Enum):
-    """What must never happen; each is counted and logged."""
+    """Invariants whose violations are counted and logged."""
 
     TWO_ATTEMPTS = "two attempts at once"
-    ANSWERED_LATE = "answered over 0.5 s after its time"
+    ANSWERED_LATE = "answered over 0.5 s after its deadline"
     CLOSED_UNANSWERED = "closed with a request unanswered"
 
 
@@ -38,9 +38,9 @@
     """An attempt that is about to be written.
 
     Attributes:
-        deadline_us: When it is given up.
-        write_deadline_us: When it must be written in full; None: at any time.
-        ended: Whether nobody waits for it any more.
+        deadline_us: When it times out.
+        write_deadline_us: When it must be written in full; None: no limit.
+        ended: Whether it is no longer needed.
     """
 
     deadline_us: int
@@ -56,7 +56,7 @@
     Args:
         now: The time.
         attempt: The attempt.
-        is_server_leaving: Whether its server takes no new requests.
+        is_server_leaving: Whether its server gets no new requests.
         is_connection_usable: Whether its connection can carry it.
 
     Returns:
@@ -67,16 +67,16 @@
     if is_server_leaving:
         return SendDenial.SERVER_LEAVING
     if attempt.write_deadline_us is not None and now >= attempt.write_deadline_us:
-        return SendDenial.REPEAT_TOO_LATE
+        return SendDenial.RETRY_TOO_LATE
     if now >= attempt.deadline_us:
-        return SendDenial.TIME_OVER
+        return SendDenial.DEADLINE_PASSED
     if not is_connection_usable:
         return SendDenial.CONNECTION_ENDED
     return None
 
 
 class InvariantLog:
-    """Counts broken invariants, and logs each with its request; owns the counts."""
+    """Counts and logs violated invariants; owns the counts."""
 
     def __init__(self, log: Callable[[str], None]) -> None:
         """Start at zero; `log` takes one line at a time."""
@@ -84,7 +84,7 @@
         self.counts: Counter[InvariantViolation] = Counter()
 
     def record(self, violation: InvariantViolation, request_id: bytes, detail: str = "") -> None:
-        """Count and log a violation; it changes nothing else."""
+        """Count and log a violation, without any other effect."""
         self.counts[violation] += 1
         self._log(
             f"invariant violated: {violation.value}: request {request_id.decode('latin-1')} {detail}".rstrip()
--- a/micadeck/http/request_validation.py
+++ b/micadeck/http/request_validation.py
@@ -52,7 +52,7 @@
         if self.check_client_end is not None:
             self.check_client_end()
 
-    def can_go_again(self) -> bool:
+    def can_retry(self) -> bool:
         """Whether all of it is kept; see `ports.Request`."""
         return self.stream is None or not self.stream.was_opened
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -250,7 +250,7 @@
             (await scene.client()).send(request())
             data, sender = await got.get()
             assert (data, sender) == (b"hi", own)
-            assert scene.log == ["a message to other sidecars could not be sent"]
+            assert scene.log == ["peers: could not send a message"]
             transport.sendto(b"back", own)
             await until(lambda: balancer.heard(MessageReceived) == [MessageReceived(1, b"back")])
         transport.close()
