--- a/micadeck/__init__.py
+++ b/micadeck/__init__.py
@@ -11,7 +11,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    # Late, so that the daemon, which is of this package too, loads none of it.
+    # Imported on first use, so that the daemon does not load the library.
     if name in __all__:
         from micadeck import library
 
--- a/micadeck/__main__.py
+++ b/micadeck/__main__.py
@@ -1,10 +1,10 @@
 """Starts a sidecar: `python -m micadeck`.
 
-Exit codes, each with a last line on standard error; an exit without one is a kill:
+Exit codes; each exit writes a last line to standard error, unless the process was killed:
 
 - 0: ended by SIGTERM or SIGINT;
-- 1: it can't listen, or the event loop can't be made, after all retries;
-- 2: the configuration is bad;
+- 1: can't listen or can't create the event loop, after all retries;
+- 2: invalid configuration;
 - 3: a defect of the program.
 """
 
@@ -24,7 +24,7 @@
     signals = ProcessSignals()
     signals.listen()
     try:
-        from micadeck.daemon import run  # it takes a third of a second to load
+        from micadeck.daemon import run  # imported here because it takes a third of a second to load
 
         return run(signals)
     except Exception as defect:
--- a/micadeck/config.py
+++ b/micadeck/config.py
@@ -1,7 +1,7 @@
-"""The configuration of a sidecar: a JSON file, and the environment for what it leaves out.
+"""The configuration of a sidecar: a JSON file, with environment variables for keys that it lacks.
 
-The `settings` object has the platform's form, which is the simulator's wire form too; so it is read by
-`micadeck.simulator_adapter`, the one place that maps its keys to those of the decisions.
+The `settings` object has the platform's form, which the simulator's protocol uses too; so it is read by
+`micadeck.simulator_adapter`, the only module that maps its keys to those of the decisions.
 """
 
 from __future__ import annotations
@@ -35,30 +35,30 @@
 _MIN_RECORDS_MB = 4
 _PATH_VARIABLE = "BALANCER_CONFIG"
 _ENVIRONMENT_KEYS = ("name", "listen", "discovery", "operator", "trace", "records")
-# Keys that a reloaded file may not lack if the running configuration has them.
+# Keys that a reloaded file must have if the running configuration has them.
 _REQUIRED_ON_RELOAD = ("name", "listen", "discovery", "seed", "limits", "settings", "operator")
 _OPTIONAL_CLASS_KEYS = ("group", "memorySpanUs")  # only keyed classes have them
 
 
 class ConfigError(OperatorError):
-    """The configuration can't be used; the text begins with the key at fault.
+    """The configuration is invalid; the text begins with the invalid key.
 
     Attributes:
-        key: The path of the key; empty for the file as such.
+        key: The path of the key; empty for the file itself.
         problem: What is wrong.
     """
 
     advice = "Correct the key that the text begins with, and start the sidecar again or send it SIGHUP."
 
     def __init__(self, key: str, problem: str) -> None:
-        """Name the key at fault, and what is wrong."""
+        """Create the error for this key."""
         super().__init__(": ".join(part for part in (key, problem) if part))
         self.key = key
         self.problem = problem
 
 
 class ConfigUnreadableError(ConfigError):
-    """The file can't be read now.
+    """The file can't be read at the moment.
 
     Attributes:
         os_error: Why.
@@ -67,7 +67,7 @@
     advice = "Make the file readable for the sidecar; a start retries for a while."
 
     def __init__(self, key: str, problem: str, os_error: OSError) -> None:
-        """Name the key at fault, what is wrong, and the system's error."""
+        """Create the error for this key and system error."""
         super().__init__(key, problem)
         self.os_error = os_error
 
@@ -78,7 +78,7 @@
 
     name: str
     listen: Address
-    discovery: Address | None  # the platform's endpoint list; None: there is only Consul
+    discovery: Address | None  # the platform's endpoint list; None: only Consul is used
     settings: Settings
     seed: int
     sockets: int
@@ -89,31 +89,31 @@
     peers_all: Address | None
     consul: ConsulConfig | None = None
     mysql: MysqlConfig | None = None
-    fleet: FleetConfig | None = None  # the other sidecars; None: they are not known
-    operator: Address | None = None  # of the admin server; None: there is none
+    fleet: FleetConfig | None = None  # the fleet of sidecars; None: not configured
+    operator: Address | None = None  # of the admin server; None: not configured
     trace: str = ""  # a file to record the decisions' events to
-    records: str = ""  # a folder to record what happens in, for `micadeck incident`
-    records_mb: int = _DEFAULT_RECORDS_MB  # that all its files of this sidecar may take
-    keys: frozenset[str] = frozenset()  # paths in the file, as far as a reloaded file may not lack them
+    records: str = ""  # a folder for the records that `micadeck incident` reads
+    records_mb: int = _DEFAULT_RECORDS_MB  # limit for all record files of this sidecar
+    keys: frozenset[str] = frozenset()  # paths in the file that a reloaded file must have
 
     def check_replaces(self, running: Config) -> None:
         """Check that this configuration can replace the running one.
 
-        A file that lost a key would put a default in force that nobody asked for.
+        A missing key would silently put its default in force.
 
         Raises:
             ConfigError: It lacks a key that the running one has.
         """
         missing = sorted(running.keys - self.keys)
         if missing:
-            raise ConfigError(missing[0], "it is missing, and the running configuration has it")
+            raise ConfigError(missing[0], "it is missing, but set in the running configuration")
 
 
 def load(environ: Mapping[str, str]) -> Config:
     """Read the file that the variable `BALANCER_CONFIG` names.
 
     Raises:
-        ConfigError: The file can't be read, or a key of it can't be used.
+        ConfigError: The file can't be read, or a key of it is invalid.
     """
     path = environ.get(_PATH_VARIABLE)
     if not path:
@@ -138,7 +138,7 @@
     """Check a configuration.
 
     Raises:
-        ConfigError: A key can't be used.
+        ConfigError: A key is invalid.
     """
     settings = _settings(document.get("settings"))
     known = _known(document.get("known"))
@@ -180,7 +180,7 @@
         raise ConfigError(path if path.startswith("settings") else f"settings.{path}", problem) from None
     if settings.limits.max_attempts < 1:
         raise ConfigError(
-            "settings.limits.max_attempts", "at least 1 is needed: it would refuse every request"
+            "settings.limits.max_attempts", "at least 1 is needed: with less, every request would be refused"
         )
     return settings
 
@@ -210,7 +210,7 @@
 
 
 def _required_keys(document: Mapping[str, Any]) -> Iterator[str]:
-    """Paths that a reloaded file may not lack; of a list's objects, the keys that all of them have."""
+    """Paths that a reloaded file must have; of a list's objects, the keys common to all."""
     for key in _REQUIRED_ON_RELOAD:
         if document.get(key) is not None:
             yield key
@@ -229,14 +229,14 @@
 
 
 def _discovery(document: Mapping[str, Any]) -> Address | None:
-    """The address of discovery; with Consul, there may be none."""
+    """The address of discovery; optional with Consul."""
     is_needed = not document.get("consul")
     read = _address if is_needed else _optional_address
     return read("discovery", document.get("discovery"))
 
 
 def _load_part(key: str, path: object, module_name: str) -> Any:
-    """Read the file that the key names; the module that reads it is loaded only if there is one."""
+    """Read the file that the key names; its module is loaded only if the key is set."""
     if path in (None, ""):
         return None
     if not isinstance(path, str):
@@ -247,12 +247,12 @@
         raise ConfigError(key, f"install micadeck[{key}]: {error}") from None
     try:
         return module.load(path)
-    except ValueError as error:  # of each such module, its own error
+    except ValueError as error:  # base class of the modules' own errors
         raise ConfigError(key, str(error)) from None
 
 
 def _output_path(key: str, kind: str, extra: str, path: object) -> str:
-    """The path that a part of an extra writes to on demand; empty if there is none."""
+    """The output path of an optional feature; empty if the key is not set."""
     if path in (None, ""):
         return ""
     if not isinstance(path, str):
@@ -273,7 +273,7 @@
 def _text(document: Mapping[str, Any], key: str) -> str:
     value = document.get(key)
     if not isinstance(value, str) or not value:
-        raise ConfigError(key, f"a text is needed, not {value!r:.60}")
+        raise ConfigError(key, f"a non-empty string is needed, not {value!r:.60}")
     return value
 
 
--- a/micadeck/daemon.py
+++ b/micadeck/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: its start with retries, its event loop, its signals and its exit codes."""
+"""The daemon's process: start with retries, event loop, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 EXIT_OK = 0
 EXIT_NO_START = 1
 EXIT_BAD_CONFIGURATION = 2
-_MIN_REQUEST_MEMORY_MB = 2  # beyond what the idle process takes
+_MIN_REQUEST_MEMORY_MB = 2  # on top of the idle process's memory
 
 
 def reload(sidecar: Sidecar, log: RateLimitedLog) -> None:
-    """Read the configuration anew; one that can't be used leaves the old one in force."""
+    """Reload the configuration; if the new one is invalid, the old one stays in force."""
     try:
         sidecar.reload(load(os.environ))
     except ConfigError as error:
@@ -39,12 +39,12 @@
 
 
 async def serve(config: Config, signals: ProcessSignals, on_loop_running: Callable[[], None]) -> None:
-    """Run until SIGTERM or SIGINT, then drain; SIGHUP reads the configuration anew.
+    """Run until SIGTERM or SIGINT, then drain; SIGHUP reloads the configuration.
 
     Args:
         config: The configuration.
         signals: The signals of the process.
-        on_loop_running: Is called first of all: from then on the event loop is known to work.
+        on_loop_running: Called first, once the event loop is known to work.
     """
     on_loop_running()
     network = LoopNetwork()
@@ -63,7 +63,7 @@
 
     signals.attach(loop.call_soon_threadsafe, end.set, reload_unless_ending)
     monitor = MemoryMonitor(network, sidecar.memory, log, sidecar.count_memory)
-    sidecar.memory_relief.on_level = monitor.log_level_change
+    sidecar.memory_relief.on_level_change = monitor.log_level_change
     try:
         await sidecar.start(end.is_set)
     except StartCancelledError:
@@ -71,7 +71,7 @@
         _log_cancelled_start(signals, log)
         return
     _log_start(sidecar, config, log)
-    gc.freeze()  # what is there now stays: collections need not visit it
+    gc.freeze()  # these objects live as long as the process: collections skip them
     monitor.start()
     await end.wait()
     log("draining")
@@ -82,7 +82,7 @@
 
 
 def _running_loop(log: RateLimitedLog) -> asyncio.AbstractEventLoop:
-    """The event loop, set to log exceptions that nothing handles."""
+    """The event loop, with logging of unhandled exceptions."""
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
         lambda _, context: log(f"internal error: {context['message']}: {context.get('exception')!r}")
@@ -95,19 +95,19 @@
     if sidecar.admin is not None and config.operator is not None:
         admin = f", operators on {config.operator[0]}:{sidecar.admin.port}"
     compiled = ", decisions compiled" if IS_COMPILED else ""
-    log(f"{config.name} serves on {config.listen[0]}:{sidecar.frontend.port}{admin}{compiled}")
+    log(f"{config.name} serves on {config.listen[0]}:{sidecar.listener.port}{admin}{compiled}")
 
 
 def _log_cancelled_start(signals: ProcessSignals, log: RateLimitedLog) -> None:
-    log("told to end before the start: nothing was taken")
+    log("startup: cancelled by a signal; no request was accepted")
     signals.ignore()
 
 
 def check_memory(config: Config) -> None:
-    """Check the memory limit against what the idle process takes.
+    """Check the memory limit against the memory of the idle process.
 
     Raises:
-        ConfigError: The idle process takes more.
+        ConfigError: The idle process uses more.
     """
     idle_mb = -(-anonymous_bytes() // MB)
     if idle_mb > config.memory_mb:
@@ -119,20 +119,20 @@
 
 
 def _wait_for_retry(retry: StartupRetry, error: OSError, text: str, signals: ProcessSignals) -> bool:
-    """Wait before the next attempt, and log that once.
+    """Wait before the next attempt to start; log only the first wait.
 
     Returns:
-        Whether there is a next attempt.
+        Whether to try again.
 
     Raises:
-        StartCancelledError: The process is to end.
+        StartCancelledError: A signal ends the process.
     """
     is_first = not retry.has_failed
     retry_s = retry.next_delay_s(error, time.monotonic())
     if retry_s is None:
         return False
     if is_first:
-        print(f"waits to start: {text}", file=sys.stderr, flush=True)
+        print(f"startup: retrying: {text}", file=sys.stderr, flush=True)
     if signals.ended_at is None:
         time.sleep(retry_s)
     if signals.ended_at is not None:
@@ -155,12 +155,12 @@
 
 
 def _new_event_loop() -> asyncio.AbstractEventLoop:
-    """Make an event loop, and run it once.
+    """Create an event loop, and run it once.
 
-    A loop that fails as it begins to run can be neither run again nor closed: what it needs is tried first.
+    A loop that fails as it begins to run can be neither run again nor closed: a socket pair is tried first.
 
     Raises:
-        OSError: The system lacks descriptors or memory for one.
+        OSError: The system lacks descriptors or memory.
     """
     for end in socket.socketpair():
         end.close()
@@ -171,10 +171,10 @@
 
 
 def _run_loop(config: Config, signals: ProcessSignals) -> None:
-    """Serve on an event loop; retry while one can't be made, or fails as it begins to run."""
+    """Serve on an event loop; retry while one can't be created or fails as it begins to run."""
     retry = StartupRetry(time.monotonic())
     has_run = False
-    abandoned: list[asyncio.Runner] = []  # a loop that failed as it began can't be closed
+    abandoned: list[asyncio.Runner] = []  # a loop that failed as it began to run can't be closed
 
     def on_loop_running() -> None:
         nonlocal has_run
@@ -183,7 +183,7 @@
     while True:
         runner = asyncio.Runner(loop_factory=_new_event_loop)
         try:
-            runner.get_loop()  # makes it
+            runner.get_loop()  # creates the loop
             runner.run(serve(config, signals, on_loop_running))
         except OSError as error:
             if has_run:
@@ -208,10 +208,10 @@
         print(f"micadeck: config: {error}".replace("\n", " "), file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     except StartCancelledError:
-        print("told to end before the start: nothing was taken", file=sys.stderr)
+        print("startup: cancelled by a signal; no request was accepted", file=sys.stderr)
     except OSError as error:
         print(f"micadeck: can't listen: {error}", file=sys.stderr)
         return EXIT_NO_START
-    signal_name = signals.ended_by.name if signals.ended_by is not None else "nobody"
-    print(f"ended: code {EXIT_OK}, told by {signal_name}", file=sys.stderr, flush=True)
+    signal_name = signals.ended_by.name if signals.ended_by is not None else "no signal"
+    print(f"ended: code {EXIT_OK}, received {signal_name}", file=sys.stderr, flush=True)
     return EXIT_OK
--- a/micadeck/errors.py
+++ b/micadeck/errors.py
@@ -1,4 +1,4 @@
-"""Roots of the program's own errors: what happened, and what an operator can do about it."""
+"""Base classes of the program's own errors, with advice for operators."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
     """An error that an operator can act on.
 
     Attributes:
-        advice: One sentence on what to do.
+        advice: What to do, in one sentence.
     """
 
-    advice: ClassVar[str] = "Report it with the lines around it."
+    advice: ClassVar[str] = "Report it with the surrounding log lines."
 
 
 class MicadeckError(OperatorError):
     """An error whose text ends with its advice."""
 
     def __init__(self, what: str) -> None:
-        """Say what happened, in one sentence."""
+        """Describe the error in one sentence."""
         super().__init__(what)
 
     def __str__(self) -> str:
--- a/micadeck/graceful_shutdown.py
+++ b/micadeck/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: the ordered stop of the HTTP daemon, and the drain of the clients' connections."""
+"""Graceful shutdown of the HTTP daemon, and the drain of client connections."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     from micadeck.mysql.service import MysqlService
 
 _POLL_S = 0.01
-_NEW_CONNECTIONS_S = 0.4  # after SIGTERM, clients may go on opening connections
-_QUIET_S = 0.05  # without a new connection, before the listener closes
+_NEW_CONNECTIONS_S = 0.4  # after SIGTERM, clients may still open connections
+_QUIET_PERIOD_S = 0.05  # without a new connection, before the listener closes
 
 
 async def drain_engine(network: Network, engine: Engine, timeout_s: float) -> None:
-    """Wait until all open requests are answered; those without an answer after `timeout_s` have failed."""
+    """Wait until all requests are answered; fail those that are not after `timeout_s`."""
     deadline = network.time() + timeout_s
     engine.set_drain_deadline(network.now() + int(timeout_s * 1e6))
     while engine.unanswered_requests and network.time() < deadline:
@@ -30,7 +30,7 @@
 
 
 class ConnectionDrain:
-    """Closes the clients' connections while the process is draining; owns the task that does it."""
+    """Closes client connections in a background task while the process is draining."""
 
     def __init__(self, network: Network, lifecycle: Lifecycle, listener: HttpListener) -> None:
         """Drain the connections of `listener` for as long as `lifecycle` is draining."""
@@ -40,12 +40,12 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin, unless connections are being drained already."""
+        """Start the task, unless it is running."""
         if self._task is None or self._task.done():
             self._task = self._network.spawn(self._run())
 
     def close(self) -> None:
-        """Stop closing connections."""
+        """Cancel the task."""
         if self._task is not None:
             self._task.cancel()
 
@@ -60,15 +60,15 @@
 
 
 class GracefulShutdown:
-    """Answers all that was taken and is still coming, then closes the clients' connections.
+    """Answers all accepted requests and those still arriving, then closes client connections.
 
-    The phase of the process is the lifecycle's; this holds no state between its steps.
+    `Lifecycle` owns the phase of the process; this class keeps no state between the steps.
     """
 
     def __init__(
         self, network: Network, engine: Engine, listener: HttpListener, mysql: MysqlService | None
     ) -> None:
-        """Stop these, in the order that `run` keeps."""
+        """Shut these down, in the order of `run`."""
         self._network = network
         self._engine = engine
         self._listener = listener
@@ -83,10 +83,10 @@
         """Run all steps.
 
         Args:
-            requested_at: When the end was requested, on the network's clock in seconds; None: now.  SIGKILL
-                follows so long after that, whenever the event loop reacts to it.
+            requested_at: When the end was requested, on the network's clock in seconds; None: now.  The time
+                until SIGKILL counts from then, however late the event loop reacts.
             deadlines_s: The deadlines of the service classes, in seconds.
-            enter_stopping: Moves the process to its stopping phase, given the time of the request.
+            enter_stopping: Enters the stopping phase, given the time of the request.
         """
         network, engine, listener = self._network, self._engine, self._listener
         started = network.time() if requested_at is None else requested_at
@@ -103,16 +103,16 @@
         if mysql_drain is not None:
             await mysql_drain
         listener.connections.close_all()
-        # Until clients have their last answers, and ended their side.
+        # Wait until clients have received their last answers and closed their side.
         while len(listener.connections) and network.time() < answers_due + CLIENT_FLUSH_S:
             await network.sleep(_POLL_S)
 
     async def _await_last_connections(self, started: float, latest: float) -> None:
-        """Wait until clients open no more connections, no longer than to `latest`."""
+        """Wait until clients open no more connections, at most until `latest`."""
         network = self._network
         await network.sleep(max(started + _NEW_CONNECTIONS_S - network.time(), 0.0))
-        while network.time() < min(self._listener.connections.last_opened_at + _QUIET_S, latest):
-            await network.sleep(_QUIET_S / 2)
+        while network.time() < min(self._listener.connections.last_opened_at + _QUIET_PERIOD_S, latest):
+            await network.sleep(_QUIET_PERIOD_S / 2)
 
     def _has_work(self) -> bool:
         """Whether a request is unanswered, or a client may still send one."""
--- a/micadeck/keys.py
+++ b/micadeck/keys.py
@@ -1,4 +1,4 @@
-"""Errors of the schema library (msgspec), reordered as configuration errors are: the key at fault first."""
+"""Reorders msgspec (schema library) errors like configuration errors: the invalid key first."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """Split the text of a `msgspec.ValidationError`.
 
     Returns:
-        The path of the key (empty for the file as such); what is wrong; and whether the key is missing or
-        unknown, when msgspec names it in the text and not in the path.
+        The path of the key (empty for the file itself); what is wrong; and whether the key is missing or
+        unknown, in which case msgspec names it in the text and not in the path.
     """
     text, _, location = error_text.partition(" - at `$")
     path = location.rstrip("`").lstrip(".")
--- a/micadeck/memory_relief.py
+++ b/micadeck/memory_relief.py
@@ -1,4 +1,4 @@
-"""Memory relief: frees what owes nobody an answer while the process is short of memory."""
+"""Memory relief: frees memory that no complete request needs."""
 
 from __future__ import annotations
 
@@ -10,38 +10,37 @@
 from micadeck.network import Network
 
 _RETRY_S = 0.1
-_DROPPED_FRACTION = 4  # one in so many of the partly received requests is dropped at a time
+_DROPPED_FRACTION = 4  # a step drops one in so many of the partly received requests
 
 
 class MemoryRelief:
     """Drops partly received requests and closes idle connections, step by step, until memory suffices.
 
-    Owns whether a step is scheduled.  A step frees only a part: the resident memory is only seen to shrink
-    a moment later.
+    Owns whether a step is scheduled.  A step frees only a part: resident memory shrinks with a delay.
     """
 
     def __init__(
         self, network: Network, budget: MemoryBudget, listener: HttpListener, upstream: ConnectionPool
     ) -> None:
-        """Take over `budget.on_level_change`.
+        """Register as `budget.on_level_change`.
 
         Args:
             network: The clock and timers.
             budget: The memory budget, whose pressure level decides what is freed.
-            listener: The clients' connections.
-            upstream: The connections to servers.
+            listener: Owns the client connections.
+            upstream: Owns the connections to servers.
         """
         self._network = network
         self._budget = budget
         self._listener = listener
         self._upstream = upstream
         self._is_scheduled = False
-        self.on_level: Callable[[PressureLevel], object] = _ignore
-        budget.on_level_change = self._level_entered
+        self.on_level_change: Callable[[PressureLevel], object] = _ignore
+        budget.on_level_change = self._change_level
 
-    def _level_entered(self, level: PressureLevel) -> None:
-        """React to a pressure level, but not within the call that has just charged memory."""
-        self.on_level(level)
+    def _change_level(self, level: PressureLevel) -> None:
+        """React to a new pressure level, after the call that charged the memory has returned."""
+        self.on_level_change(level)
         if level >= PressureLevel.GIVE_UP and not self._is_scheduled:
             self._is_scheduled = True
             self._network.call_soon(self._run_step)
@@ -60,4 +59,4 @@
 
 
 def _ignore(_: PressureLevel) -> None:
-    """No monitor is attached."""
+    """Used while no monitor is set."""
--- a/micadeck/rate_limited_log.py
+++ b/micadeck/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""The daemon's log: lines on standard error, limited in rate."""
+"""The daemon's log: rate-limited lines on standard error."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RateLimitedLog:
-    """Writes lines to standard error by a token bucket: a log must not fill a disk."""
+    """Writes lines to standard error by a token bucket, so as not to fill a disk."""
 
     def __init__(self, time: Callable[[], float]) -> None:
         """Start with a full bucket; `time` gives seconds that never step back."""
@@ -20,7 +20,7 @@
         self._dropped_count = 0
 
     def __call__(self, text: str) -> None:
-        """Write a line, unless there were too many."""
+        """Write a line, unless the bucket is empty."""
         now = self._time()
         self._tokens = min(self._tokens + (now - self._refilled_at) * _RATE_PER_S, _MAX_BURST)
         self._refilled_at = now
--- a/micadeck/reload.py
+++ b/micadeck/reload.py
@@ -1,6 +1,6 @@
-"""Configuration reload: which keys a running process takes over, and which only a restart does.
+"""Configuration reload: which keys a running process applies, and which need a restart.
 
-Decides only; `Runtime.reload` carries the plan out.
+It only plans; `Runtime.reload` executes the plan.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     "memory_mb",
 )
 _RESTART_ONLY_SETTINGS = ("zone", "me", "discovery")
-# Their values may change, but not whether there is one.
+# A reload may change their values, but neither add nor remove them.
 _OPTIONAL_PARTS = ("discovery", "consul", "mysql", "fleet")
 
 
@@ -31,9 +31,9 @@
     """What a reload changes.
 
     Attributes:
-        config: The configuration in force from now on, still with the settings from before.
-        settings: The settings to put in force, with their restart-only values as they were.
-        restart_keys: Keys that differ in the file, and that only a restart takes up.
+        config: The new configuration, still with the old settings.
+        settings: The new settings, with the old restart-only values.
+        restart_keys: Keys that differ in the file but need a restart.
     """
 
     config: Config
@@ -46,7 +46,7 @@
 
     Args:
         running: The configuration in force.
-        loaded: The one that was read anew.
+        loaded: The reloaded one.
 
     Raises:
         ConfigError: `loaded` lacks keys that the running configuration has.
--- a/micadeck/runtime.py
+++ b/micadeck/runtime.py
@@ -1,4 +1,4 @@
-"""What the daemon and the library share: the engine with its transport, endpoint sources and peers."""
+"""The runtime of the daemon and the library: the engine with transport, endpoint sources and peers."""
 
 from __future__ import annotations
 
@@ -29,31 +29,31 @@
     from micadeck.policy import Balancer, Settings
     from micadeck.traces.record import Recorder
 
-_RESERVED_DESCRIPTORS = 48  # for everything but clients and servers
+_RESERVED_DESCRIPTORS = 48  # for everything except connections to clients and servers
 _MIN_DESCRIPTORS = 16  # for clients and servers, however many processes share the limit
 _CLIENT_FRACTION = 0.5  # of the descriptors for clients and servers
-_BUFFER_BYTES_PER_MB = (1 << 20) // 8  # for bodies that are streamed, per MB of the memory limit
+_BUFFER_BYTES_PER_MB = (1 << 20) // 8  # for streamed bodies, per MB of the memory limit
 
 
 class Runtime:
     """The engine with its transport, endpoint sources and peers, as one configuration defines them.
 
-    Owns the configuration in force, and this process's part of the limits that several processes share.
+    Owns the configuration in force, and this process's part of limits shared by several processes.
 
     Attributes:
         config: The configuration in force.
         network: The clock, timers and sockets.
         memory: The memory budget of the process.
-        buffer_budget: The budget for bodies that are streamed.
+        buffer_budget: The budget for streamed bodies.
         upstream: The HTTP transport: attempts and the pool of connections to servers.
         discovery: The watcher of the platform's list; None if only Consul is configured.
         sources: Discovery and Consul as one source; None without Consul.
         peers: Datagrams between the sidecars of the tier.
         engine: The engine.
-        fleet: The member of the fleet; None if it is not configured.
-        recorder: The trace of the decisions' events; None if it is not configured, or can't be written.
-        recording: The records of what happens; None if they are not configured, or can't be written.
-        max_client_connections: How many connections clients may have open.
+        fleet: This sidecar's fleet membership; None if not configured.
+        recorder: Writes the trace of the decisions' events; None if not configured or not writable.
+        recording: Writes the incident records; None if not configured or not writable.
+        max_client_connections: Limit of open client connections.
     """
 
     def __init__(
@@ -63,13 +63,13 @@
         log: Callable[[str], None],
         make_engine: Callable[..., Engine] = Engine,
     ) -> None:
-        """Put all parts together; `start` makes them run.
+        """Create all components; `start` runs them.
 
         Args:
             config: The configuration.
             network: The clock, timers and sockets.
-            log: Takes one line at a time.
-            make_engine: The engine's class.
+            log: Writes one line.
+            make_engine: Creates the engine.
         """
         settings = config.settings
         self.config = config
@@ -106,7 +106,7 @@
         return DiscoveryWatcher(self.network, config.discovery, config.known.version, options, self._log)
 
     def _make_sources(self) -> EndpointSources | None:
-        """Discovery and Consul as one source; without Consul, nothing of it is loaded."""
+        """Discovery and Consul as one source; without Consul, its modules are not loaded."""
         config = self.config
         if config.consul is None:
             return None
@@ -118,11 +118,11 @@
         )
 
     def _make_fleet(self, suspect_stale: Callable[[], None]) -> FleetHost | None:
-        """A member of the fleet; without the key, nothing of it is loaded."""
+        """The fleet membership; without the key, its modules are not loaded."""
         config = self.config
         if config.fleet is None:
             return None
-        assert config.peer_listen is not None  # the configuration sees to it
+        assert config.peer_listen is not None  # checked by the configuration
         from micadeck.fleet.host import FleetHost
 
         own_number = config.settings.me
@@ -141,8 +141,8 @@
         return fleet
 
     def _make_recorder(self) -> Recorder | None:
-        """The trace of the decisions' events; without the key, nothing of it is loaded."""
-        if IS_COMPILED:  # the compiled types can't be written down
+        """The trace recorder; without the key, its modules are not loaded."""
+        if IS_COMPILED:  # compiled types can't be serialized
             self._log("trace: no recording: the decisions are compiled, set MICADECK_INTERPRETED")
             return None
         from micadeck.traces.record import Recorder
@@ -153,7 +153,7 @@
         def wrap(balancer: Balancer) -> Balancer:
             recorder = Recorder(balancer, config.settings, config.seed, Path(config.trace), self._log)
             recorders.append(recorder)
-            return recorder  # type: ignore[return-value]  # all that the engine calls is `handle`
+            return recorder  # type: ignore[return-value]  # the engine calls only `handle`
 
         try:
             self.engine.wrap_balancer(wrap)
@@ -162,7 +162,7 @@
         return recorders[0] if recorders else None
 
     def _make_recording(self) -> Recording | None:
-        """Records for the analysis of incidents; without the key, nothing of it is loaded."""
+        """The incident records; without the key, their modules are not loaded."""
         from micadeck.incidents.recording import Recording
         from micadeck.incidents.segments import Limits
 
@@ -188,7 +188,7 @@
         self.engine.start(config.known)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put settings in force, unless they are."""
+        """Apply settings, unless they are in force."""
         if settings == self.config.settings:
             return
         self.config = replace(self.config, settings=settings)
@@ -198,15 +198,15 @@
         self.engine.apply_settings(settings)
 
     def reload(self, config: Config, announce: Callable[[Settings], object] | None = None) -> None:
-        """Take over what a new configuration may change, and log what only a restart does.
+        """Apply the changes that a running process can make, and log the keys that need a restart.
 
         Args:
-            config: The configuration that was read anew.
-            announce: Is given the settings, changed or not, and has them put in force by `apply_settings`;
-                None: they are in force at once.
+            config: The reloaded configuration.
+            announce: Gets the settings, changed or not, and has `apply_settings` called with them; None: they
+                are applied at once.
 
         Raises:
-            ConfigError: Keys are missing that the running configuration has; nothing has changed.
+            ConfigError: Keys of the running configuration are missing; nothing has changed.
         """
         before = self.config
         plan = plan_reload(before, config)
@@ -218,20 +218,20 @@
         if self.fleet is not None and config.fleet is not None:
             self.fleet.reload(config.fleet)
         self.config = plan.config
-        # Last: settings that are in force at once become part of the configuration.
+        # Last, because settings that are applied at once replace those in `self.config`.
         (announce or self.apply_settings)(plan.settings)
         self._divide_limits()
         self._log_reload(config, plan.restart_keys)
 
     def _log_reload(self, config: Config, restart_keys: tuple[str, ...]) -> None:
-        places = [format_address(config.discovery)] if config.discovery else []
+        sources = [format_address(config.discovery)] if config.discovery else []
         if config.consul is not None:
-            places += [f"consul ({', '.join(service.name for service in config.consul.services)})"]
+            sources += [f"consul ({', '.join(service.name for service in config.consul.services)})"]
         restart = f"; only a restart takes up {', '.join(restart_keys)}" if restart_keys else ""
-        self._log(f"reloaded: discovery at {' and '.join(places)}{restart}")
+        self._log(f"reloaded: discovery at {' and '.join(sources)}{restart}")
 
     def share_limits(self, sibling_count: int) -> None:
-        """Share the limits with so many other processes of this sidecar."""
+        """Divide the limits between this and so many other processes of this sidecar."""
         self._sibling_count = sibling_count
         self._divide_limits()
         self.upstream.trim()
@@ -246,7 +246,7 @@
         self.memory.set_limit(memory_mb * MB)
 
     async def drain(self, timeout_s: float) -> None:
-        """Wait until all that was taken has its answer; what has none after `timeout_s` has failed."""
+        """Wait until all requests are answered; fail those that are not after `timeout_s`."""
         await drain_engine(self.network, self.engine, timeout_s)
 
     def close(self) -> None:
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -1,4 +1,4 @@
-"""The HTTP daemon: a runtime with its listeners, admin server, memory relief and graceful shutdown."""
+"""The HTTP daemon: a runtime with listeners, admin server, memory relief and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -32,22 +32,20 @@
     from micadeck.mysql.service import MysqlService
 
 _REQUEST_BYTES_PER_MB = (1 << 20) // 8  # for unanswered requests, per MB of the memory limit
-_LIST_TIMEOUT_S = 2.0  # after the start; then the list in the configuration has to do
+_LIST_TIMEOUT_S = 2.0  # after the start; then it is ready with the list in the configuration
 _SIBLING_POLL_S = 0.1
-_SIBLING_IDS_S = 0.1  # beyond a poll, until a sibling shows the ids of its open requests
+_SIBLING_IDS_S = 0.1  # after a poll, until a sibling has published the ids of its open requests
 
 
 class Sidecar:
-    """One daemon from its start to its end.
-
-    Owns the listeners, the phase of the process and the background tasks.
+    """The daemon: owns the listeners, the phase of the process and the background tasks.
 
     Attributes:
-        frontend: The listener for the application's HTTP connections.
-        mysql: The MySQL service; None if it is not configured.
+        listener: The listener for the application's HTTP connections.
+        mysql: The MySQL service; None if not configured.
         lifecycle: The phase of the process.
-        admin: The admin server; None if it is not configured.
-        memory_relief: Frees memory while there is too little.
+        admin: The admin server; None if not configured.
+        memory_relief: Frees memory while the process is short of it.
     """
 
     def __init__(
@@ -58,13 +56,13 @@
         client_limits: DownstreamLimits | None = None,
         hot_restart: HotRestart | None = None,
     ) -> None:
-        """Put all parts together; `start` makes them run.
+        """Create all components; `start` runs them.
 
         Args:
             config: The configuration.
             network: The clock, timers and sockets.
-            log: Takes one line at a time.
-            client_limits: Limits of the application's connections; None: the usual ones.
+            log: Writes one line.
+            client_limits: Limits of the application's connections; None: the defaults.
             hot_restart: Finds other processes of this sidecar; None: there are none.
         """
         self._network = network
@@ -75,24 +73,24 @@
         runtime = self._runtime = Runtime(config, network, log)
         engine = self._engine = runtime.engine
         if runtime.sources is not None:
-            # A list of thousands comes after the start: a collection that visits all of it takes 50 ms.
+            # Thousands of servers arrive after the start: a collection that visits all of them takes 50 ms.
             runtime.sources.on_partial_list = gc.freeze
         client_limits = client_limits or DownstreamLimits(max_bytes=config.memory_mb * _REQUEST_BYTES_PER_MB)
-        self.frontend = HttpListener(config.settings, client_limits, engine, network, runtime.buffer_budget)
-        self.frontend.connections.max_connections = runtime.max_client_connections
-        self.frontend.on_settings = runtime.apply_settings
-        engine.memory = runtime.memory  # the library leaves its host's memory alone
-        self.memory_relief = MemoryRelief(network, runtime.memory, self.frontend, runtime.upstream)
+        self.listener = HttpListener(config.settings, client_limits, engine, network, runtime.buffer_budget)
+        self.listener.connections.max_connections = runtime.max_client_connections
+        self.listener.on_settings = runtime.apply_settings
+        engine.memory = runtime.memory  # not in the library, which leaves its host's memory alone
+        self.memory_relief = MemoryRelief(network, runtime.memory, self.listener, runtime.upstream)
         self.mysql = self._make_mysql(config, network, log)
         self.lifecycle = Lifecycle()
         self.admin = AdminThread(network, self) if config.operator is not None else None
-        self._connection_drain = ConnectionDrain(network, self.lifecycle, self.frontend)
+        self._connection_drain = ConnectionDrain(network, self.lifecycle, self.listener)
         self._config_loads = self._config_load_errors = 0
         self._started_at = 0.0
 
     @staticmethod
     def _make_mysql(config: Config, network: Network, log: Callable[[str], None]) -> MysqlService | None:
-        """A second listener with an engine of its own; without the key, nothing of it is loaded."""
+        """A second listener with its own engine; without the key, its modules are not loaded."""
         if config.mysql is None:
             return None
         from micadeck.mysql.service import MysqlService
@@ -100,13 +98,13 @@
         return MysqlService(config.mysql, network, config.seed, log)
 
     async def start(self, is_ending: Callable[[], bool] = lambda: False) -> None:
-        """Start the runtime, then listen, to clients last.
+        """Start the runtime, then listen, for clients last.
 
         Args:
-            is_ending: Whether the process is to end; asked while listening is retried.
+            is_ending: Whether the process is to end; checked between retries.
 
         Raises:
-            ListenError: An address can't be listened at, and a retry won't help.
+            ListenError: It can't listen on an address, and a retry won't help.
             StartCancelledError: The process is to end.
         """
         await self._runtime.start()
@@ -115,7 +113,7 @@
         config = self._runtime.config
         if self.admin is not None and config.operator is not None:
             await self._listen("operator", config.operator, self.admin.listen, is_ending)
-        await self._listen("listen", config.listen, self.frontend.listen, is_ending)
+        await self._listen("listen", config.listen, self.listener.listen, is_ending)
         if self.mysql is not None:
             self.mysql.start()
         self._started_at = self._network.time()
@@ -125,7 +123,7 @@
     async def _listen(
         self, key: str, address: Address, listen: Callable[[Address], None], is_ending: Callable[[], bool]
     ) -> None:
-        """Listen at the address of this key, and retry what fails temporarily."""
+        """Listen on the address of this key; retry temporary failures."""
         retry = StartupRetry(self._network.time())
         while True:
             try:
@@ -139,32 +137,32 @@
             if retry_s is None:
                 raise ListenError(failure)
             if is_first:
-                self._log(f"waits to listen: {failure}")
+                self._log(f"startup: can't listen yet, retrying: {failure}")
             await self._network.sleep(retry_s)
             if is_ending():
                 raise StartCancelledError
 
     @property
     def open_requests(self) -> int:
-        """Number of requests that are unanswered, or have an attempt in flight."""
+        """Number of requests that are unanswered or have an attempt in flight."""
         return self._engine.open_requests
 
     # Configuration
 
     def reload(self, config: Config) -> None:
-        """Take over what a new configuration may change in a running sidecar; log what it may not.
+        """Apply the changes that a running sidecar can make; log the keys that need a restart.
 
         Raises:
-            ConfigError: Keys are missing that the running configuration has; nothing has changed.
+            ConfigError: Keys of the running configuration are missing; nothing has changed.
         """
-        self._runtime.reload(config, self.frontend.announce)
+        self._runtime.reload(config, self.listener.announce)
         self._config_loads += 1
-        self.frontend.connections.max_connections = self._runtime.max_client_connections
+        self.listener.connections.max_connections = self._runtime.max_client_connections
         if self.mysql is not None and config.mysql is not None:
             self.mysql.reload(config.mysql)
 
     def count_rejected_config(self) -> None:
-        """Count a configuration that can't be used."""
+        """Count an invalid configuration."""
         self._config_load_errors += 1
 
     # Other processes of this sidecar, as in a hot restart
@@ -173,7 +171,7 @@
         hot_restart.register()
         self._share_limits()
         if hot_restart.sibling_count:
-            # A request must not run twice: by then the siblings show the ids of their open requests.
+            # A request must not run twice: wait until the siblings have published the ids of their open ones.
             await self._network.sleep(_SIBLING_POLL_S + _SIBLING_IDS_S)
         self._sibling_watch = self._network.spawn(self._watch_siblings(hot_restart))
 
@@ -184,11 +182,11 @@
                 if hot_restart.refresh():
                     self._share_limits()
             except Exception as error:
-                # Without this task, a process that starts beside this one would not be seen.
+                # The task must go on: without it, other processes of this sidecar would go unnoticed.
                 self._log(f"internal error: siblings: {error!r}")
 
     def _share_limits(self) -> None:
-        """Share the limits, and the ids of open requests, with the siblings."""
+        """Share the limits and the ids of open requests with the siblings."""
         assert self._hot_restart is not None
         request_ids = self._hot_restart.open_registry() if self._hot_restart.sibling_count else None
         self._engine.share_request_ids(set() if request_ids is None else request_ids)
@@ -196,8 +194,8 @@
             self._request_ids.close(keep_file=request_ids is not None)
         self._request_ids = request_ids
         self._runtime.share_limits(self._hot_restart.sibling_count)
-        self.frontend.connections.max_connections = self._runtime.max_client_connections
-        self.frontend.connections.trim()
+        self.listener.connections.max_connections = self._runtime.max_client_connections
+        self.listener.connections.trim()
 
     # Memory
 
@@ -207,11 +205,11 @@
         return self._runtime.memory
 
     def count_memory(self) -> None:
-        """Charge the memory uses that are not charged with each message."""
-        self.memory.set_charge(MemoryUse.UNSENT, self.frontend.connections.unsent_bytes)
+        """Update the memory charges that are not updated with every message."""
+        self.memory.set_charge(MemoryUse.UNSENT, self.listener.connections.unsent_bytes)
         self.memory.set_charge(MemoryUse.BODIES, self._runtime.buffer_budget.held)
 
-    # What the admin server calls, on a thread of its own
+    # Called by the admin server, on its own thread
 
     @property
     def phase(self) -> Phase:
@@ -219,17 +217,17 @@
         return self.lifecycle.phase
 
     def unready_reason(self) -> str | None:
-        """None once it can serve, else why it can't."""
+        """Why it can't serve yet; None if it can."""
         if not self.lifecycle.can_serve:
             return self.lifecycle.phase.value
         is_list_overdue = self._network.time() >= self._started_at + _LIST_TIMEOUT_S
         return None if self._engine.has_list or is_list_overdue else "no list of servers yet"
 
     def statistics_report(self) -> bytes:
-        """The statsd report, each line with its end."""
+        """The statsd report; every line ends with a newline."""
         engine = self._engine
         statistics = RuntimeStatistics(
-            in_progress=engine.in_progress + self.frontend.connections.trailing_answers,
+            in_progress=engine.in_progress + self.listener.connections.trailing_answers,
             known_servers=engine.known_servers,
             skipped_servers=engine.skipped_servers,
             attempts=self._runtime.upstream.tries,
@@ -247,23 +245,23 @@
         return format_report(engine.outcomes, (each.name for each in classes), statistics)
 
     def drain(self) -> bool:
-        """Send clients away, while the process runs on; return false if it is stopping."""
+        """Drain clients while the process runs on; return false if it is stopping."""
         if self.lifecycle.drain(self._network.time()):
-            self._log("draining, by an operator's word")
+            self._log("draining, requested by an operator")
             self._apply_phase()
         return self.lifecycle.phase is not Phase.STOPPING
 
     def undrain(self) -> bool:
         """Accept clients again; return false if the process is stopping."""
         if self.lifecycle.undrain(self._network.time()):
-            self._log("taking clients again, by an operator's word")
+            self._log("accepting clients again, requested by an operator")
             self._apply_phase()
         return self.lifecycle.phase is not Phase.STOPPING
 
     def _apply_phase(self) -> None:
-        """Have the listener, the records and the connection drain follow the phase."""
-        self.frontend.is_healthy = self.lifecycle.is_healthy
-        self.frontend.is_draining = self.lifecycle.is_draining
+        """Apply the phase to the listener, the records and the connection drain."""
+        self.listener.is_healthy = self.lifecycle.is_healthy
+        self.listener.is_draining = self.lifecycle.is_draining
         if self._runtime.recording is not None:
             self._runtime.recording.phase(self.lifecycle.phase.value)
         if self.lifecycle.is_draining:
@@ -272,12 +270,12 @@
     # Shutdown
 
     async def stop(self, requested_at: float | None = None) -> None:
-        """Answer all that was taken and is still coming, then close everything.
+        """Answer all accepted requests and those still arriving, then close everything.
 
         Args:
-            requested_at: When that was requested, on the network's clock in seconds; None: now.
+            requested_at: When this was requested, on the network's clock in seconds; None: now.
         """
-        shutdown = GracefulShutdown(self._network, self._engine, self.frontend, self.mysql)
+        shutdown = GracefulShutdown(self._network, self._engine, self.listener, self.mysql)
         classes = self._runtime.config.settings.classes
         await shutdown.run(requested_at, [each.deadline_us / 1e6 for each in classes], self._enter_stopping)
         self.close()
@@ -302,12 +300,12 @@
             self._runtime.recorder.close()
         if self._runtime.recording is not None:
             self._runtime.recording.close()
-        self.frontend.stop_listening()
+        self.listener.stop_listening()
         if self.mysql is not None:
             self.mysql.close()
 
 
 class ListenError(OperatorError, OSError):
-    """An address of the configuration is taken, or not this machine's; the text begins with its key."""
+    """An address of the configuration is in use or not local; the text begins with its key."""
 
     advice = "Free the address, or change the key that the text begins with."
--- a/micadeck/signals.py
+++ b/micadeck/signals.py
@@ -1,6 +1,6 @@
-"""SIGTERM, SIGINT and SIGHUP of the process, in series and in any order, from its first line to its last.
+"""Handles SIGTERM, SIGINT and SIGHUP, in any number and order, from the process's start to its exit.
 
-This module imports nothing that takes long to load: whoever starts the program listens here first.
+It imports nothing that is slow to load, because the handlers are installed before anything else.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class ProcessSignals:
-    """The signals that the process got.
+    """The signals that the process received.
 
-    Handlers run between two instructions of the main thread: an event loop that is held up reacts late, but
-    the time of the signal is right.
+    Handlers run between two instructions of the main thread: a blocked event loop reacts late, but the
+    recorded time of the signal is right.
 
     Attributes:
         ended_at: When the end was first requested, on the monotonic clock in seconds; None: it was not.
@@ -34,9 +34,9 @@
         self._on_reload: Callable[[], object] = _nothing
 
     def listen(self) -> None:
-        """Install the handlers; no signal but SIGKILL ends the process from here on.
+        """Install the handlers; from now on none of these signals ends the process by itself.
 
-        Whoever started the process may have blocked the signals, so that earlier ones wait for this.
+        It also unblocks the signals: the parent may have blocked them, and earlier ones are pending.
         """
         for number in _END_SIGNALS:
             signal.signal(number, self._end)
@@ -52,9 +52,9 @@
         """Report signals from now on, and earlier ones at once.
 
         Args:
-            call: Calls what it is given on the event loop; safe in a signal handler.
-            on_end: Is called for the first signal that ends the process.
-            on_reload: Is called for each reload.
+            call: Schedules a callback on the event loop; safe in a signal handler.
+            on_end: Called for the first SIGTERM or SIGINT.
+            on_reload: Called for every SIGHUP.
         """
         self._on_end, self._on_reload, self._call = on_end, on_reload, call
         if self._is_reload_requested:
@@ -63,7 +63,7 @@
             call(on_end)
 
     def ignore(self) -> None:
-        """Ignore all signals: the process is about to end by itself."""
+        """Ignore all signals: the process is about to exit."""
         for number in _ALL_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
         self._call = None
@@ -83,4 +83,4 @@
 
 
 def _nothing() -> None:
-    """Do nothing; `attach` was not called yet."""
+    """Used before `attach` is called."""
--- a/tests/embedding_parity.py
+++ b/tests/embedding_parity.py
@@ -109,7 +109,7 @@
     sidecar: Sidecar
 
     async def client(self) -> Client:
-        return Client(*await asyncio.open_connection(HOST, self.sidecar.frontend.port))
+        return Client(*await asyncio.open_connection(HOST, self.sidecar.listener.port))
 
     async def close(self, clients: list[Any]) -> None:
         self.sidecar.close()
@@ -132,7 +132,7 @@
 
     def __init__(self, balancer: Micadeck) -> None:
         self._balancer = balancer
-        self.frontend = _NoFrontend()
+        self.listener = _NoFrontend()
 
     @property
     def open_requests(self) -> int:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -453,7 +453,7 @@
 
 @contextlib.contextmanager
 def raw_client(scene: Stage) -> Iterator[socket.socket]:
-    with socket.create_connection((HOST, scene.sidecar.frontend.port)) as client:
+    with socket.create_connection((HOST, scene.sidecar.listener.port)) as client:
         yield client
 
 
--- a/tests/shim/test_failing_calls.py
+++ b/tests/shim/test_failing_calls.py
@@ -96,11 +96,11 @@
         )
         assert process.stderr is not None
         waits, serves = [(await soon(process.stderr.readline())).decode() for _ in range(2)]
-        assert waits == f"waits to start: event loop: [Errno {number}] {os.strerror(number)}\n"
+        assert waits == f"startup: retrying: event loop: [Errno {number}] {os.strerror(number)}\n"
         assert "serves on" in serves
         process.send_signal(signal.SIGTERM)
         ended = (await soon(process.stderr.read())).decode()
-        assert ended == "draining\ndrained\nended: code 0, told by SIGTERM\n"
+        assert ended == "draining\ndrained\nended: code 0, received SIGTERM\n"
         assert await soon(process.wait()) == 0
 
     play(work)
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -53,8 +53,8 @@
                 clients = [held.enter_context(raw_client(scene)) for _ in range(CLIENTS)]
                 for client in clients:
                     client.sendall(request("lodge"))
-                scene.sidecar.frontend.is_draining = True
-                scene.sidecar.frontend.stop_listening()
+                scene.sidecar.listener.is_draining = True
+                scene.sidecar.listener.stop_listening()
                 for client in clients:
                     assert (await rest_of(client)).startswith(b"HTTP/1.1 200")
 
@@ -98,8 +98,8 @@
 def test_a_listener_that_closes_gives_its_port_back() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
-            port = scene.sidecar.frontend.port
-            scene.sidecar.frontend.stop_listening()
+            port = scene.sidecar.listener.port
+            scene.sidecar.listener.stop_listening()
             with pytest.raises(OSError):
                 socket.create_connection((HOST, port), timeout=1.0)
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -412,7 +412,7 @@
             with_little = socket.socket()
             with_little.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             with_little.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(with_little, (HOST, scene.sidecar.frontend.port))
+            await asyncio.get_running_loop().sock_connect(with_little, (HOST, scene.sidecar.listener.port))
             client = Client(*await asyncio.open_connection(sock=with_little, limit=1_024))
             client.send(request("check", target="/large"))
             slow.append(client)
@@ -441,7 +441,7 @@
 
     limits = DownstreamLimits(stall_s=0.4)
     async with beside(serve, given={"limits": {"sockets": 64}}, client_limits=limits) as (_, scene):
-        connections = scene.sidecar.frontend.connections
+        connections = scene.sidecar.listener.connections
         taking_nothing = [await asks_and_takes_nothing(scene) for _ in range(connections.max_connections)]
         began = time.monotonic()
         while not await is_served(scene):
@@ -458,7 +458,7 @@
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     client.setblocking(False)
     loop = asyncio.get_running_loop()
-    await loop.sock_connect(client, (HOST, scene.sidecar.frontend.port))
+    await loop.sock_connect(client, (HOST, scene.sidecar.listener.port))
     await loop.sock_sendall(client, request("check", timeout="3.0", target="/large"))
     return client
 
@@ -651,7 +651,7 @@
 async def test_bodies_that_come_for_ever_make_room_for_a_new_client() -> None:
     given = {**DOOR, "limits": {"sockets": 80, "memory_mb": 16}}
     async with beside(answers(b"ok"), given) as (_, scene):
-        frontend = scene.sidecar.frontend
+        frontend = scene.sidecar.listener
         for _ in range(frontend.connections.max_connections):
             client = await scene.client()
             client.send(request("lodge", body=content(LARGE))[:100_000])
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -64,7 +64,7 @@
         self.change(lambda state: state.drop_service(NODE, f"t-{number}"))
 
     async def client(self) -> Client:
-        client = Client(*await asyncio.open_connection(HOST, self.sidecar.frontend.port))
+        client = Client(*await asyncio.open_connection(HOST, self.sidecar.listener.port))
         self.clients.append(client)
         return client
 
--- a/tests/test_exit_codes.py
+++ b/tests/test_exit_codes.py
@@ -50,7 +50,7 @@
         process.send_signal(what)
         _, told = await soon(process.communicate())
         assert process.returncode == 0
-        assert told.decode().splitlines()[-1] == f"ended: code 0, told by {what.name}"
+        assert told.decode().splitlines()[-1] == f"ended: code 0, received {what.name}"
 
     play(work)
 
--- a/tests/test_failing_streams.py
+++ b/tests/test_failing_streams.py
@@ -58,7 +58,7 @@
         assert time.monotonic() - began < 1.0
         monkeypatch.undo()
         assert (await scene.ask("lodge")).status == 200
-        assert len(scene.sidecar.frontend.connections) <= 1
+        assert len(scene.sidecar.listener.connections) <= 1
 
 
 @played
@@ -67,7 +67,7 @@
 ) -> None:
     async with stage(OK) as scene:
         client = await scene.client()
-        await until(lambda: len(scene.sidecar.frontend.connections) == 1)
+        await until(lambda: len(scene.sidecar.listener.connections) == 1)
 
         def never(transport: asyncio.BaseTransport) -> object:
             raise OSError(errno.ENOBUFS, "drawn")
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -143,7 +143,7 @@
                 clients.append(client)
             assert await clients[0].reader.read() == b""
             assert (await clients[-1].ask()).status == 200
-            await until(lambda: len(scene.sidecar.frontend.connections) <= 8)
+            await until(lambda: len(scene.sidecar.listener.connections) <= 8)
 
     play(work)
 
@@ -169,7 +169,7 @@
                 stalled = await scene.client()
                 stalled.send(request("lodge", body=b"x" * 10)[:-1])
             assert (await scene.ask()).status == 200
-            await until(lambda: len(scene.sidecar.frontend.connections) <= 8)
+            await until(lambda: len(scene.sidecar.listener.connections) <= 8)
 
     play(work)
 
@@ -181,7 +181,7 @@
             client = await scene.client()
             assert (await client.ask()).status == 200
             client.send(request("lodge"))  # it is in the sidecar's socket now, and the event loop has not run
-            scene.sidecar.frontend.connections.close_idle()
+            scene.sidecar.listener.connections.close_idle()
             assert (await client.answer()).status == 200
 
     play(work)
@@ -255,7 +255,7 @@
                 assert (await client.answer()).status == status
             assert await soon(client.reader.read()) == b""
             client.writer.write(b"more of it")  # a client that sends on and on is cut off all the same
-            await until(lambda: len(scene.sidecar.frontend.connections) == 0)
+            await until(lambda: len(scene.sidecar.listener.connections) == 0)
             assert scene.heard == []
 
     play(work)
@@ -298,7 +298,7 @@
             most = 0
             for _ in range(200):
                 await scene.client()
-                most = max(most, len(scene.sidecar.frontend.connections))
+                most = max(most, len(scene.sidecar.listener.connections))
             release.set()
             assert (await scene.ask("lodge")).status == 200
             assert (await waiting.answer()).status == 200
@@ -342,7 +342,7 @@
             client.send(request("lodge") * 1_000)
             await until(lambda: len(scene.heard) == 1)
             await asyncio.sleep(0.05)
-            (held,) = scene.sidecar.frontend.connections
+            (held,) = scene.sidecar.listener.connections
             assert held.held_bytes < 70_000
 
     play(work)
@@ -375,13 +375,13 @@
         async with stage(OK) as scene:
             client = await scene.client()
             client.send(request("lodge", body=b"x" * 60_000)[:-1])
-            await until(lambda: any(each.has_head for each in scene.sidecar.frontend.connections))
-            (connection,) = scene.sidecar.frontend.connections
+            await until(lambda: any(each.has_head for each in scene.sidecar.listener.connections))
+            (connection,) = scene.sidecar.listener.connections
             reader = weakref.ref(connection._reader)
             gc.disable()
             try:
                 client.close()
-                await until(lambda: len(scene.sidecar.frontend.connections) == 0)
+                await until(lambda: len(scene.sidecar.listener.connections) == 0)
                 del connection
                 await until(lambda: reader() is None)
             finally:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -114,7 +114,7 @@
             sidecar._share_limits()
             assert runtime.max_client_connections + runtime.upstream.most == 256 // 2 - _RESERVED_DESCRIPTORS
             assert runtime.buffer_budget.max_bytes == 32 * (1 << 20) // 8
-            await until(lambda: len(sidecar.frontend.connections) <= runtime.max_client_connections)
+            await until(lambda: len(sidecar.listener.connections) <= runtime.max_client_connections)
         assert beside.refresh()
         sidecar._share_limits()
         assert runtime.max_client_connections + runtime.upstream.most == whole
@@ -129,7 +129,7 @@
 async def test_what_waits_in_the_kernel_is_taken_before_a_listener_closes() -> None:
     # Guards against requests turned back unheard: a close resets what has connected and was not accepted.
     async with stage(OK) as scene:
-        frontend = scene.sidecar.frontend
+        frontend = scene.sidecar.listener
         waiting = [
             socket.create_connection((HOST, frontend.port)) for _ in range(50)
         ]  # the loop stands still
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -78,9 +78,9 @@
     async def work() -> None:
         async with stage(OK, given=SMALL, client_limits=PATIENT) as scene:
             kept = [await _once(scene) for _ in range(28)]
-            most = scene.sidecar.frontend.connections.max_connections
+            most = scene.sidecar.listener.connections.max_connections
             assert most == 32
-            await until(lambda: len(scene.sidecar.frontend.connections) <= most * 0.5)
+            await until(lambda: len(scene.sidecar.listener.connections) <= most * 0.5)
             assert await soon(kept[0].reader.read()) == b""
             assert (await kept[3].ask()).status == 200  # a witness
             assert (await kept[-1].ask()).status == 200
@@ -109,10 +109,10 @@
             kept = [await _once(scene) for _ in range(8)]
             for client in kept:
                 client.send(request("lodge"))  # in the sidecar's sockets; the event loop has not run
-            scene.sidecar.frontend.connections.max_connections = (
+            scene.sidecar.listener.connections.max_connections = (
                 16  # less room, as after a reload: too many rest now
             )
-            scene.sidecar.frontend.connections._close_excess_idle()
+            scene.sidecar.listener.connections._close_excess_idle()
             await asyncio.sleep(0)
             assert [(await client.answer()).status for client in kept] == [200] * 8
 
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -144,7 +144,7 @@
             whole.send(request("lodge", timeout="10"))
             await until(lambda: len(scene.heard) == 1)
             half.send(request("lodge", body=b"x" * 1_000)[:-1])
-            await until(lambda: scene.sidecar.frontend.connections.partial_requests == 1)
+            await until(lambda: scene.sidecar.listener.connections.partial_requests == 1)
             memory.charge(
                 MemoryUse.ANSWERS, int(memory.limit_bytes * ENTER_AT_CHARGED[PressureLevel.CLOSE_IDLE])
             )
--- a/tests/test_message_races.py
+++ b/tests/test_message_races.py
@@ -48,7 +48,7 @@
     client.setblocking(False)
     assert (await soon(asyncio.get_running_loop().sock_recv(client, 65_536))).startswith(b"HTTP/1.1 200")
     client.setblocking(True)
-    (side,) = scene.sidecar.frontend.connections
+    (side,) = scene.sidecar.listener.connections
     assert isinstance(side, DownstreamConnection) and side.is_idle
     return side
 
@@ -73,7 +73,7 @@
                 reset(client) if how == "resets" else client.close()
                 async with asyncio.timeout(1.5):  # its own time would end it only after 4 s
                     await until(lambda: scene.sidecar.open_requests == 0)
-            assert len(scene.sidecar.frontend.connections) == 0
+            assert len(scene.sidecar.listener.connections) == 0
             accepted = await slow.let_go()
             scene.sidecar.close()
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
@@ -151,7 +151,7 @@
                 client.sendall(request("lodge"))  # after the look, before the close
                 side.close()
                 assert await rest_of(client) == b""
-            await until(lambda: len(scene.sidecar.frontend.connections) == 0)
+            await until(lambda: len(scene.sidecar.listener.connections) == 0)
             assert len(scene.heard) == 1
 
     play(work)
@@ -164,12 +164,12 @@
             with raw_client(scene) as client:
                 client.sendall(request("lodge"))
                 await until(lambda: len(scene.heard) == 1)
-                scene.sidecar.frontend.is_draining = True
+                scene.sidecar.listener.is_draining = True
                 client.sendall(behind)
                 scene.sidecar._engine.fail_open_requests()  # its answer is written, its connection closed
                 answer = await rest_of(client)
             assert answer.startswith(b"HTTP/1.1 504") and b"connection: close" in answer
-            await until(lambda: len(scene.sidecar.frontend.connections) == 0)
+            await until(lambda: len(scene.sidecar.listener.connections) == 0)
             assert len(scene.heard) == 1
 
     play(work)
@@ -182,10 +182,10 @@
         async with stage(answer) as scene:
             with socket.socket() as client:
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                client.connect((HOST, scene.sidecar.frontend.port))
-                scene.sidecar.frontend.is_draining = True
+                client.connect((HOST, scene.sidecar.listener.port))
+                scene.sidecar.listener.is_draining = True
                 client.sendall(request("lodge"))
-                await until(lambda: any(not each.is_idle for each in scene.sidecar.frontend.connections))
+                await until(lambda: any(not each.is_idle for each in scene.sidecar.listener.connections))
                 await until(lambda: scene.sidecar.open_requests == 0)
                 await asyncio.sleep(0.8)  # it takes nothing for longer than a client is waited for otherwise
                 assert (await rest_of(client)).endswith(body)
@@ -203,10 +203,10 @@
         async with stage(answer) as scene:
             with socket.socket() as client:
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                client.connect((HOST, scene.sidecar.frontend.port))
+                client.connect((HOST, scene.sidecar.listener.port))
                 client.sendall(request("lodge"))
                 await until(lambda: scene.sidecar.open_requests == 1)
-                (side,) = scene.sidecar.frontend.connections
+                (side,) = scene.sidecar.listener.connections
                 await until(lambda: side.has_unsent)
                 await soon(scene.sidecar.stop(loop.time() - 100.0))
                 came = 0
@@ -227,7 +227,7 @@
                 (await at_rest(scene, client)).close()
                 assert await rest_of(client) == b""
                 async with asyncio.timeout(3.0):
-                    await until(lambda: len(scene.sidecar.frontend.connections) == 0)
+                    await until(lambda: len(scene.sidecar.listener.connections) == 0)
 
     play(work)
 
@@ -235,7 +235,7 @@
 def test_who_connects_as_the_listener_closes_is_answered() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
-            frontend, clients = scene.sidecar.frontend, []
+            frontend, clients = scene.sidecar.listener, []
             stop_listening = frontend.stop_listening
 
             def connect_then_stop() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -143,11 +143,11 @@
         return None
 
     async with stage(silence, given=given) as scene:
-        most = scene.sidecar.frontend.connections.max_connections
+        most = scene.sidecar.listener.connections.max_connections
         crowd = [await scene.client() for _ in range(4 * most)]
         for each in crowd:
             each.send(request("lodge", timeout="3.0"))
-        await until(lambda: len(scene.sidecar.frontend.connections) >= most)
+        await until(lambda: len(scene.sidecar.listener.connections) >= most)
         for _ in range(20):
             assert await call(scene, b"READY\n") == b"200 ready\n"
         assert (await figures(scene))["in_progress"] <= most
@@ -338,7 +338,7 @@
         late = await (await scene.client()).ask()  # the front still sends clients for a moment
         assert (late.status, late.headers["connection"]) == (200, "close")
         assert await soon(resting.reader.read()) == b""  # at rest: closed
-        await until(lambda: len(scene.sidecar.frontend.connections) == 0)
+        await until(lambda: len(scene.sidecar.listener.connections) == 0)
         assert (await call(scene, b"READY\n")).startswith(b"200 ")
         assert (await call(scene, b"UNDRAIN\n")).startswith(b"200 ")
         back = await scene.client()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -230,7 +230,7 @@
         _, told = await soon(second.communicate())
         assert second.returncode == 1
         waited, ended = told.decode().splitlines()  # it may be that of a process that is ending
-        assert waited.startswith(f"waits to listen: {key}: {other.address}")
+        assert waited.startswith(f"startup: can't listen yet, retrying: {key}: {other.address}")
         assert ended.startswith(f"micadeck: can't listen: {key}: {other.address}")
         other.stop()
 
--- a/tests/test_room_for_clients.py
+++ b/tests/test_room_for_clients.py
@@ -23,7 +23,7 @@
         self._table._make_room()  # type: ignore[attr-defined]  # one more client connects in this round of the event loop
 
     async with stage(OK) as scene:
-        scene.sidecar.frontend.is_draining = ends == "draining"
+        scene.sidecar.listener.is_draining = ends == "draining"
         close: dict[str, Any] = {"Connection": "close"} if ends == "client says close" else {}
         with (
             mock.patch.object(DownstreamConnection, "answer", answer_and_make_room),
@@ -40,7 +40,7 @@
         return OK
 
     async with stage(answer) as scene:
-        frontend = scene.sidecar.frontend
+        frontend = scene.sidecar.listener
         moved = frontend.connections.move
 
         def make_room_as_it_moves(connection: DownstreamConnection, state: ConnectionState) -> None:
@@ -66,7 +66,7 @@
 @played
 async def test_a_client_that_has_just_connected_goes_before_requests_that_never_end() -> None:
     async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
-        frontend = scene.sidecar.frontend
+        frontend = scene.sidecar.listener
         dripping = [await scene.client() for _ in range(frontend.connections.max_connections)]
         for each in dripping:
             each.send(request("lodge")[:-2])
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -303,7 +303,7 @@
                 client.close()
             await until(lambda: scene.sidecar.open_requests == 0)
             scene.servers[0].script = scene.servers[1].script = scene.servers[2].script = OK
-            await until(lambda: len(scene.sidecar.frontend.connections) == 0)
+            await until(lambda: len(scene.sidecar.listener.connections) == 0)
             assert not [each for each in scene.log if "internal" in each]
             client = await scene.client()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -316,7 +316,7 @@
             return OK
 
         async with stage(hold, given={"limits": {"sockets": 80}}) as scene:
-            scene.sidecar.frontend.connections.max_connections = 32
+            scene.sidecar.listener.connections.max_connections = 32
             clients = []
             for number in range(20):
                 clients.append(await scene.client())
