--- a/micadeck/network/__init__.py
+++ b/micadeck/network/__init__.py
@@ -1,7 +1,7 @@
-"""Clocks, timers and sockets: the one package that reads a clock or touches a socket.
+"""Clocks, timers and sockets: the only package that reads clocks or uses sockets directly.
 
-`Network` is what the rest of the program uses; `LoopNetwork` implements it on a running asyncio event loop.
-A simulation replaces it by a virtual clock and an in-memory network.
+The rest of the program uses `Network`; `LoopNetwork` implements it on a running asyncio event loop.
+The simulation replaces it by a virtual clock and an in-memory network.
 """
 
 from micadeck.network.interfaces import (
--- a/micadeck/network/interfaces.py
+++ b/micadeck/network/interfaces.py
@@ -18,7 +18,7 @@
 
 
 class InvalidAddressError(OperatorError, ValueError):
-    """A value is no `address:port`; the message says what is needed."""
+    """A value is not a valid `address:port`."""
 
     advice = "Write a numeric address and a port, as in 127.0.0.1:8080."
 
@@ -65,17 +65,17 @@
 
 
 class Timer(Protocol):
-    """A call that is scheduled."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Don't make the call."""
+        """Cancel the call."""
 
 
 class Stream(Protocol):
-    """The socket under a stream transport, as far as the transport itself does not show it."""
+    """The socket of a stream transport, for state that the transport does not expose."""
 
     def has_unread(self) -> bool:
-        """Return whether the socket holds bytes, or the peer's end, that the event loop has not read."""
+        """Return whether the socket holds bytes or an end of stream that the event loop has not read."""
 
     def has_ended(self) -> bool:
         """Return whether the peer closed its side or the stream broke, even if bytes are unread."""
@@ -84,17 +84,17 @@
         """Return how long ago the last bytes arrived in the socket, in seconds; 0 if unknown."""
 
     def shutdown_write(self) -> None:
-        """Close the writing side before the call returns; all that was written must have been sent.
+        """Close the writing side synchronously; all written data must have been sent.
 
         The reading side stays open.
         """
 
     def shutdown(self, *, discard_unsent: bool) -> None:
-        """Close both sides before the call returns; a stream that has ended is left alone.
+        """Close both sides synchronously; no effect on a stream that has ended.
 
         Args:
-            discard_unsent: Whether data that is not acknowledged when the transport closes its socket is
-                dropped rather than sent; the peer may see a reset.
+            discard_unsent: Whether to drop data that is unacknowledged when the transport closes its socket;
+                the peer may see a reset.
         """
 
 
@@ -107,21 +107,21 @@
 
     @property
     def is_accepting(self) -> bool:
-        """Whether an accepted stream has not reached its protocol yet."""
+        """Whether an accepted stream is not connected to its protocol yet."""
 
     def close(self) -> None:
-        """Accept what has connected by now, and nothing after."""
+        """Accept the connections in the backlog, then close."""
 
 
 class ThreadNetwork(Protocol):
-    """A thread that has a network of its own."""
+    """A thread with its own network."""
 
     @property
     def network(self) -> Network:
-        """The network of the thread, to be used on that thread only."""
+        """The thread's network, to be used only on that thread."""
 
     def run(self, work: Callable[[], T]) -> T:
-        """Call this on the thread and return its result; raise what it raises."""
+        """Call `work` on the thread and return its result, or raise its exception."""
 
     def stop(self) -> None:
         """End the thread."""
@@ -134,34 +134,34 @@
     """
 
     def now(self) -> int:
-        """Return microseconds of Unix time that never step back."""
+        """Return microseconds of Unix time that never steps back."""
 
     def wall(self) -> int:
-        """Return the system's clock in microseconds of Unix time; it may step."""
+        """Return the system clock in microseconds of Unix time; it may step."""
 
     def time(self) -> float:
-        """Return seconds on a monotonic clock with an arbitrary origin."""
+        """Return seconds of a monotonic clock with an arbitrary origin."""
 
     def call_later(self, delay_s: float, callback: Callable[..., object], *args: Any) -> Timer:
-        """Call this after so many seconds."""
+        """Call `callback` after the delay."""
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> object:
-        """Call this in the next iteration of the event loop."""
+        """Call `callback` in the next iteration of the event loop."""
 
     def call_soon_threadsafe(self, callback: Callable[..., object]) -> object:
-        """Do as `call_soon`, from any thread; calls are made in the order in which they were scheduled."""
+        """Like `call_soon`, but from any thread; calls run in the order in which they were scheduled."""
 
     def start_thread(self, name: str) -> ThreadNetwork:
-        """Start a thread of this name, for work that must not wait for its turn on this one."""
+        """Start a thread of this name, for work that must not be delayed by this one."""
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
         """Run a coroutine as a task."""
 
     async def sleep(self, seconds: float) -> None:
-        """Return after so much time."""
+        """Wait for the given time."""
 
     def timeout(self, seconds: float) -> AbstractAsyncContextManager[object]:
-        """Raise TimeoutError in the body once so much time has passed."""
+        """Raise TimeoutError in the body after the given time."""
 
     async def dial(self, make: Callable[[], P], address: Address) -> P:
         """Open a stream; raise OSError if that fails."""
@@ -177,10 +177,10 @@
         """Accept streams.
 
         Args:
-            make: Makes the protocol of each stream.
-            address: Where to listen.
-            max_accepts: How many streams are accepted before others get their turn.
-            shared: Whether other processes that share the address may listen on it too.
+            make: Creates the protocol of a stream.
+            address: The address to listen on.
+            max_accepts: How many streams may be accepted and not yet connected to their protocols.
+            shared: Whether other processes may listen on the address too.
 
         Raises:
             OSError: It can't listen.
@@ -190,4 +190,4 @@
         """Receive datagrams at an address that other processes may share."""
 
     def stream(self, transport: asyncio.BaseTransport) -> Stream:
-        """Return the socket under a transport; raise OSError if the system does not report it."""
+        """Return the socket of a transport; raise OSError if it is not available."""
--- a/micadeck/network/loop.py
+++ b/micadeck/network/loop.py
@@ -1,4 +1,4 @@
-"""`Network` on the running asyncio event loop, by the system's clocks and sockets."""
+"""`Network` on the running asyncio event loop, with system clocks and sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LoopScheduler:
-    """The timers and tasks of a `Network` on an event loop, whatever its clock and its sockets are."""
+    """The timers and tasks of a `Network` on an event loop, with any kind of clock and sockets."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         """Use the timers of this event loop."""
@@ -33,11 +33,11 @@
         return self._loop.create_task(work)
 
     async def sleep(self, seconds: float) -> None:
-        """Return after so much time."""
+        """Wait for the given time."""
         await asyncio.sleep(seconds)
 
     def timeout(self, seconds: float) -> AbstractAsyncContextManager[object]:
-        """Raise TimeoutError in the body once so much time has passed."""
+        """Raise TimeoutError in the body after the given time."""
         return asyncio.timeout(seconds)
 
 
@@ -52,7 +52,7 @@
         self.stream = open_stream_socket
 
     def start_thread(self, name: str) -> ThreadNetwork:
-        """Start a thread with an event loop and a network of its own."""
+        """Start a thread with its own event loop and network."""
         return ThreadLoop(name, LoopNetwork)
 
     async def dial(self, make: Callable[[], P], address: Address) -> P:
--- a/micadeck/network/scheduling_delay.py
+++ b/micadeck/network/scheduling_delay.py
@@ -1,7 +1,7 @@
-"""Timeouts for another machine's work in which this process's own scheduling delay does not count.
+"""Timeouts for remote work that exclude the scheduling delay of this process.
 
-A dial with a login takes several iterations of the event loop.  Where the process is short of CPU, an
-iteration takes tens of milliseconds, which a plain timeout would attribute to the other side.
+A dial with a login takes several iterations of the event loop.  When the process is short of CPU, an
+iteration takes tens of milliseconds, which a plain timeout would attribute to the remote side.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 from micadeck.network.interfaces import Network
 
-_STEPS = 25  # in which the time is measured; each is one iteration of an event loop that is on time
-_MAX_COUNTED_STEPS = 1.5  # counted for a step, however long it took
+_STEPS = 25  # per timeout; a step takes one iteration of an event loop that is not delayed
+_MAX_COUNTED_STEPS = 1.5  # a step counts at most as long as this many undelayed steps
 
 T = TypeVar("T")
 
 
 async def wait_excluding_lag(network: Network, seconds: float, work: Coroutine[Any, Any, T]) -> T:
-    """Return the result of the work, with a timeout that pauses while the event loop is late.
+    """Return the result of the work, with a timeout that pauses while the event loop is delayed.
 
-    The elapsed time has no bound of its own; the caller has one.
+    The elapsed time is not bounded here, but by the caller.
 
     Args:
         network: The network on which the work runs.
-        seconds: The timeout, measured on an event loop that is on time.
-        work: What to run.
+        seconds: The timeout, excluding delays of the event loop.
+        work: The coroutine to run.
 
     Raises:
-        TimeoutError: The time is up; the work was cancelled.
+        TimeoutError: The timeout has expired; the work was cancelled.
     """
     task = network.spawn(work)
     step_s = seconds / _STEPS
@@ -47,10 +47,10 @@
 
 
 async def _cancel(task: asyncio.Task[T]) -> None:
-    """Cancel a task that has not ended, and wait for its end."""
+    """Cancel a task unless it has ended, and wait for its end."""
     if task.done():
         return
     task.cancel()
     await asyncio.wait((task,))
     if not task.cancelled():
-        task.exception()  # marks it as retrieved: nobody waits for it any more
+        task.exception()  # marks the exception as retrieved, since nothing awaits the task
--- a/micadeck/network/socket_listener.py
+++ b/micadeck/network/socket_listener.py
@@ -10,8 +10,8 @@
 from micadeck.network.interfaces import Address
 
 _BACKLOG = 1_024
-# Errors of accept(2) for lack of a resource of this machine; the connections stay in the backlog.
-_OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+# Errors of accept(2) when this machine lacks a resource; the connections stay in the backlog.
+_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 _FIRST_RETRY_S = 0.001
 _MAX_RETRY_S = 0.02
 _MAX_CONNECT_RETRY_S = 0.5
@@ -20,10 +20,10 @@
 
 
 class SocketListener:
-    """`Listener` that accepts a few connections at a time; the others wait in the kernel.
+    """`Listener` that accepts a few connections at a time; the others stay in the kernel's backlog.
 
-    Event loops accept all that is there before any of it is counted, so hundreds of simultaneous connections
-    would exceed a limit on descriptors.
+    Event loops accept the whole backlog before any connection is counted, so hundreds at once would exceed a
+    limit on descriptors.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
 
         Args:
             loop: The event loop that serves the connections.
-            make: Makes the protocol of each connection.
-            address: Where to listen.
-            max_accepts: How many connections are accepted before others get their turn.
+            make: Creates the protocol of a connection.
+            address: The address to listen on.
+            max_accepts: How many connections may be accepted and not yet connected to their protocols.
             shared: Whether other processes may listen on the address too.
 
         Raises:
-            OSError: The address is in use, or not this machine's, or a resource is short.
+            OSError: The address is in use or not local, or a resource is lacking.
         """
         self._loop = loop
         self._make = make
@@ -73,7 +73,7 @@
 
     @property
     def is_accepting(self) -> bool:
-        """Whether an accepted connection has not reached its protocol yet, or the backlog is drained."""
+        """Whether the backlog is being drained, or an accepted connection has no protocol yet."""
         return bool(self._accepting) or self._is_closing
 
     def close(self) -> None:
@@ -93,7 +93,7 @@
 
     def _accept(self) -> None:
         if not self._accept_up_to(self._max_accepts - len(self._accepting)):
-            # The socket stays readable while resources are short: without a pause, the loop would spin.
+            # The socket stays readable while a resource is lacking: without a pause, the loop would spin.
             self._loop.remove_reader(self._socket.fileno())
             self._loop.call_later(self._retry_s, self._resume_accepting)
             self._retry_s = min(self._retry_s * 2.0, _MAX_RETRY_S)
@@ -103,16 +103,16 @@
             self._loop.add_reader(self._socket.fileno(), self._accept)
 
     def _accept_up_to(self, count: int) -> bool:
-        """Accept up to so many connections; return False if this machine lacks a resource for it."""
+        """Accept up to `count` connections; return False if this machine lacks a resource."""
         for _ in range(count):
             try:
                 accepted, _ = self._socket.accept()
             except BlockingIOError:
                 return True
             except OSError as error:
-                if error.errno in _OUT_OF_RESOURCES:
+                if error.errno in _RESOURCE_ERRORS:
                     return False
-                continue  # an error of that connection, which Linux reports by accept
+                continue  # a network error of that connection, which Linux reports through accept
             self._retry_s = _FIRST_RETRY_S
             accepted.setblocking(False)
             task = self._loop.create_task(self._connect(accepted))
@@ -121,14 +121,14 @@
         return True
 
     async def _connect(self, accepted: socket.socket) -> None:
-        """Hand an accepted connection to its protocol; retry while this machine lacks a resource for it."""
+        """Connect an accepted socket to its protocol; retry while this machine lacks a resource."""
         retry_s = _FIRST_RETRY_S
         while True:
             try:
                 await self._loop.connect_accepted_socket(self._make, accepted)
             except OSError as error:
-                if error.errno not in _OUT_OF_RESOURCES or retry_s > _MAX_CONNECT_RETRY_S:
-                    accepted.close()  # the client was quicker, or it has waited for long
+                if error.errno not in _RESOURCE_ERRORS or retry_s > _MAX_CONNECT_RETRY_S:
+                    accepted.close()  # the client has disconnected, or the retries took too long
                     return
                 await asyncio.sleep(retry_s)
                 retry_s *= 2.0
--- a/micadeck/network/thread_loop.py
+++ b/micadeck/network/thread_loop.py
@@ -1,4 +1,4 @@
-"""A second event loop on a thread of its own, for work that must not wait for the first."""
+"""An event loop on a separate thread, for work that must not wait for the main one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from micadeck.network.interfaces import Network
 
-_RESULT_TIMEOUT_S = 5.0  # the thread has little to do; one that takes longer hangs
+_RESULT_TIMEOUT_S = 5.0  # the thread has little to do; if it takes longer, it hangs
 
 T = TypeVar("T")
 
@@ -27,7 +27,7 @@
 
         Args:
             name: The name of the thread.
-            make_network: Makes the thread's network; it is called on its running event loop.
+            make_network: Creates the thread's network; called on its running event loop.
         """
         self._make_network = make_network
         self._started: Future[None] = Future()
@@ -38,14 +38,14 @@
         self._started.result(_RESULT_TIMEOUT_S)
 
     def run(self, work: Callable[[], T]) -> T:
-        """Call this on the thread and return its result; raise what it raises."""
+        """Call `work` on the thread and return its result, or raise its exception."""
         assert self._loop is not None
         result: Future[T] = Future()
 
         def call() -> None:
             try:
                 result.set_result(work())
-            except BaseException as error:  # it is raised in the caller
+            except BaseException as error:  # re-raised in the caller
                 result.set_exception(error)
 
         self._loop.call_soon_threadsafe(call)
@@ -66,4 +66,4 @@
         self._loop, self._stopping = asyncio.get_running_loop(), asyncio.Event()
         self._started.set_result(None)
         await self._stopping.wait()
-        await asyncio.sleep(0)  # connections that were just closed need one more iteration
+        await asyncio.sleep(0)  # connections closed just now need one more iteration
