--- a/micadeck/engine/ports.py
+++ b/micadeck/engine/ports.py
@@ -131,7 +131,7 @@
 class EndpointEntry:
     """One server of an endpoint list, with the address at which this process reaches it."""
 
-    listed: ListedServer
+    endpoint: ListedServer
     address: Address | None  # None: it was removed
 
 
@@ -146,7 +146,7 @@
     def event(self, kind: ListKind | None = None) -> ServersListed:
         """The event for the decisions; `kind` defaults to the one that `full` implies."""
         default_kind = ListKind.COMPLETE if self.full else ListKind.CHANGES
-        return ServersListed(kind or default_kind, [entry.listed for entry in self.entries], self.version)
+        return ServersListed(kind or default_kind, [entry.endpoint for entry in self.entries], self.version)
 
 
 class EndpointSource(Protocol):
--- a/micadeck/fleet/host.py
+++ b/micadeck/fleet/host.py
@@ -77,9 +77,9 @@
         if update.full or len(update.entries) > _MAX_HINTS_PER_UPDATE:
             return
         for entry in update.entries:
-            change = _HINTED_CHANGES.get(entry.listed.state)
+            change = _HINTED_CHANGES.get(entry.endpoint.state)
             if change is not None:
-                self.member.broadcast_hint(now, EndpointHint(entry.listed.server, change, update.version))
+                self.member.broadcast_hint(now, EndpointHint(entry.endpoint.server, change, update.version))
 
     def close(self) -> None:
         """Leave the fleet."""
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -144,21 +144,21 @@
     def update_endpoints(self, listing: EndpointUpdate) -> None:
         """Take over a list or its changes, before any action that follows from it."""
         if listing.full:
-            for name in self._servers.keys() - {each.listed.server for each in listing.entries}:
+            for name in self._servers.keys() - {each.endpoint.server for each in listing.entries}:
                 self._forget(name)
         for entry in listing.entries:
-            name, address = entry.listed.server, entry.address
+            name, address = entry.endpoint.server, entry.address
             if address is None:
                 self._forget(name)
                 continue
             server = self._servers.get(name)
-            identity = (address, entry.listed.started_at, entry.listed.zone, entry.listed.cell)
+            identity = (address, entry.endpoint.started_at, entry.endpoint.zone, entry.endpoint.cell)
             if server is None or server.identity != identity:
                 # Guards against writing to what was there before under the same id, and rule 2: a repeat that
                 # waits for its dial was decided on for the group that the server was in.
                 self._forget(name)
                 server = self._servers[name] = _Server(address, identity)
-            server.is_leaving = entry.listed.state is not ServerState.READY
+            server.is_leaving = entry.endpoint.state is not ServerState.READY
             if server.is_leaving:
                 self._close_idle(server)
 
--- a/micadeck/membership/endpoint_merge.py
+++ b/micadeck/membership/endpoint_merge.py
@@ -97,14 +97,14 @@
                 continue
             if entry.address in self._published:
                 # Two ids at one address are one endpoint here.
-                removed = replace(entry.listed, state=ServerState.REMOVED)
+                removed = replace(entry.endpoint, state=ServerState.REMOVED)
                 self._unpublished.append(EndpointEntry(removed, None))
                 continue
-            is_ready = entry.listed.state is ServerState.READY
+            is_ready = entry.endpoint.state is ServerState.READY
             precedence = Precedence.READY if is_ready else Precedence.DRAINING
             self._observe(endpoints, 0.0, 0.0, Observation.from_entry(entry, precedence))
             self._published[entry.address] = entry
-            self._address_by_name[entry.listed.server] = entry.address
+            self._address_by_name[entry.endpoint.server] = entry.address
 
     def listed_addresses(self, source: str) -> set[Address]:
         """Return the addresses that a source lists."""
@@ -240,7 +240,7 @@
         for address in addresses:
             observations = self._observations(address, now)
             if observations is not None:
-                listed = self._merged(address, observations).listed
+                listed = self._merged(address, observations).endpoint
                 merged.append(MergedEndpoint(listed.server, address, listed.state, tuple(observations)))
         return merged
 
@@ -273,17 +273,17 @@
             self._forget(address)
             if published is not None:
                 del self._published[address]
-                del self._address_by_name[published.listed.server]
-                removed = replace(published.listed, state=ServerState.REMOVED)
+                del self._address_by_name[published.endpoint.server]
+                removed = replace(published.endpoint, state=ServerState.REMOVED)
                 entries.append(EndpointEntry(removed, None))
             return
         entry = self._merged(address, observations)
         if entry != published:
-            before = self._address_by_name.get(entry.listed.server, address)
+            before = self._address_by_name.get(entry.endpoint.server, address)
             if before != address:
                 del self._published[before]
             self._published[address] = entry
-            self._address_by_name[entry.listed.server] = address
+            self._address_by_name[entry.endpoint.server] = address
             entries.append(entry)
 
     def _forget(self, address: Address) -> None:
@@ -313,7 +313,7 @@
             state=ServerState.READY if precedence is Precedence.READY else ServerState.DRAINING,
             nominal=min(each.weight for _, each in observations),
             # The latest start is the most cautious; one that is no longer reported has not changed.
-            started_at=max(starts, default=published.listed.started_at if published is not None else None),
+            started_at=max(starts, default=published.endpoint.started_at if published is not None else None),
         )
         return EndpointEntry(listed, address)
 
@@ -325,7 +325,7 @@
         """
         published = self._published.get(address)
         if published is not None:
-            return published.listed.server
+            return published.endpoint.server
         name = next((each.name for _, each in observations if each.name), "")
         owner = self._address_by_name.get(name)
         if not name or (owner is not None and owner != address and self._is_listed(owner)):
--- a/micadeck/membership/endpoint_observation.py
+++ b/micadeck/membership/endpoint_observation.py
@@ -49,7 +49,7 @@
     def from_entry(cls, entry: EndpointEntry, precedence: Precedence, reason: str = "") -> Observation:
         """Return an entry of the engine's list as an observation; the entry must have an address."""
         assert entry.address is not None
-        listed = entry.listed
+        listed = entry.endpoint
         return cls(
             address=entry.address,
             precedence=precedence,
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -61,7 +61,7 @@
         observations: dict[Address, Observation] = {}
         removed: dict[Address, None] = {}
         for entry in entries:
-            name, address = entry.listed.server, entry.address
+            name, address = entry.endpoint.server, entry.address
             before = self._addresses.pop(name, None)
             if before is not None and before != address and self._ids.get(before) == name:
                 del self._ids[before]
@@ -70,7 +70,7 @@
                 continue
             # A new id takes an address over: later entries of the old id say nothing about it.
             self._addresses[name], self._ids[address] = address, name
-            state = entry.listed.state
+            state = entry.endpoint.state
             observations[address] = Observation.from_entry(entry, _PRECEDENCES[state], state.value)
         return list(observations.values()), [each for each in removed if each not in observations]
 
--- a/micadeck/mysql/config.py
+++ b/micadeck/mysql/config.py
@@ -320,6 +320,6 @@
         )
         for number, each in enumerate(static)
     )
-    if len({each.listed.server for each in entries}) < len(entries):
+    if len({each.endpoint.server for each in entries}) < len(entries):
         _wrong("servers.static", "a name stands twice")
     return EndpointUpdate(0, True, entries)
--- a/micadeck/mysql/transport.py
+++ b/micadeck/mysql/transport.py
@@ -200,18 +200,18 @@
 
     def update_endpoints(self, listing: EndpointUpdate) -> None:
         if listing.full:
-            for name in self._servers.keys() - {each.listed.server for each in listing.entries}:
+            for name in self._servers.keys() - {each.endpoint.server for each in listing.entries}:
                 self._drop(name)
         for entry in listing.entries:
-            name, address = entry.listed.server, entry.address
+            name, address = entry.endpoint.server, entry.address
             if address is None:
                 self._drop(name)
                 continue
             server = self._servers.get(name)
-            if server is None or (server.address, server.started_at) != (address, entry.listed.started_at):
+            if server is None or (server.address, server.started_at) != (address, entry.endpoint.started_at):
                 self._drop(name)
-                server = self._servers[name] = _Server(address, entry.listed.started_at)
-            self._state_heard(name, server, entry.listed.state is not ServerState.READY)
+                server = self._servers[name] = _Server(address, entry.endpoint.started_at)
+            self._state_heard(name, server, entry.endpoint.state is not ServerState.READY)
 
     def _state_heard(self, name: str, server: _Server, is_leaving: bool) -> None:
         if is_leaving == server.is_leaving:
--- a/tests/discovery_stage.py
+++ b/tests/discovery_stage.py
@@ -230,8 +230,8 @@
     def _listed(self, listing: EndpointUpdate) -> None:
         self.lists += 1
         for each in listing.entries:
-            if each.listed.state.value != "ready":
-                self.noticed_at.setdefault(each.listed.server, self.loop.time())
+            if each.endpoint.state.value != "ready":
+                self.noticed_at.setdefault(each.endpoint.server, self.loop.time())
 
 
 def run(
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -288,7 +288,7 @@
             ):  # its word is told anew to the decisions, each time with another weight
                 scene.change(lambda state, weight=weight: register(state, 2, hung.address, weight))  # type: ignore[misc]
                 await until(
-                    lambda weight=weight: weight in [e.listed.nominal for e in merge.snapshot().entries]  # type: ignore[misc]
+                    lambda weight=weight: weight in [e.endpoint.nominal for e in merge.snapshot().entries]  # type: ignore[misc]
                 )
                 assert set(await scene.statuses(5)) == {200}
             assert len(hung.heard) <= heard + 1  # a trial, if one fell due
@@ -325,7 +325,7 @@
             await scene.uses(0, 1, 2, 3)
             entries = scene.sidecar._runtime.sources.merge.snapshot().entries  # type: ignore[union-attr]
             last = scene.servers[3].address
-            assert sorted(each.listed.server for each in entries) == sorted(["s-0", "s-1", "s-2", last])
+            assert sorted(each.endpoint.server for each in entries) == sorted(["s-0", "s-1", "s-2", last])
 
     played(work)
 
@@ -496,12 +496,12 @@
         # A service may have any name, also that of a roster.
         config = replace(config, services=(tariff, replace(tariff, name="roster")))
         known = [EndpointEntry(ListedServer(f"{HOST}:{port}"), (HOST, port)) for port in (1, 2, 3)]
-        states: dict[str, ServerState] = {each.listed.server: each.listed.state for each in known}
+        states: dict[str, ServerState] = {each.endpoint.server: each.endpoint.state for each in known}
         lists: list[EndpointUpdate] = []
 
         def heard(listing: EndpointUpdate) -> None:
             lists.append(listing)
-            states.update({each.listed.server: each.listed.state for each in listing.entries})
+            states.update({each.endpoint.server: each.endpoint.state for each in listing.entries})
 
         sources = EndpointSources(
             LoopNetwork(),
--- a/tests/test_consul_source.py
+++ b/tests/test_consul_source.py
@@ -66,8 +66,8 @@
         )
         changes = self.merge.take_changes(now)
         for entry in changes.entries if changes is not None else ():
-            self.states[entry.listed.server] = (entry.listed.state, time.monotonic())
-            self.starts[entry.listed.server] = entry.listed.started_at
+            self.states[entry.endpoint.server] = (entry.endpoint.state, time.monotonic())
+            self.starts[entry.endpoint.server] = entry.endpoint.started_at
 
     def used(self) -> set[str]:
         return {name for name, (state, _) in self.states.items() if state is ServerState.READY}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -260,7 +260,7 @@
     listing = parse_endpoint_update(
         {"version": 3, "full": False, "servers": [line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)]}
     )
-    listed = listing.entries[0].listed
+    listed = listing.entries[0].endpoint
     assert listed.started_at == 1_700_000_000_123_000
     left = parse_endpoint_update({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
     assert left.entries[0].address is None
--- a/tests/test_endpoint_merge.py
+++ b/tests/test_endpoint_merge.py
@@ -31,7 +31,7 @@
 def states(made: EndpointMerge, now: float) -> dict[str, ServerState]:
     """What is published by now, from changes alone."""
     made.take_changes(now)
-    return {each.listed.server: each.listed.state for each in made.snapshot().entries}
+    return {each.endpoint.server: each.endpoint.state for each in made.snapshot().entries}
 
 
 def used(made: EndpointMerge, now: float) -> set[str]:
@@ -66,8 +66,8 @@
     assert list(states(made, 1.0)) == ["10.0.0.1:80"]
     made.observe(2.0, "roster", [report(name="s-1", zone="a", weight=3.0, started_at=9)])
     (entry,) = made.take_changes(2.0).entries  # type: ignore[union-attr]
-    assert entry.listed.server == "10.0.0.1:80" and entry.listed.zone == "a"
-    assert (entry.listed.nominal, entry.listed.started_at) == (2.0, 9)  # the more cautious of each
+    assert entry.endpoint.server == "10.0.0.1:80" and entry.endpoint.zone == "a"
+    assert (entry.endpoint.nominal, entry.endpoint.started_at) == (2.0, 9)  # the more cautious of each
     other = merge()
     other.observe(1.0, "roster", [report(name="s-1")])
     other.observe(1.0, "consul", [report()])
@@ -84,10 +84,10 @@
     made.observe(3.0, "consul", [report(DRAINING), report(address=B)])
     second = made.take_changes(3.0)
     assert second is not None and second.version == 2
-    assert [each.listed.state for each in second.entries] == [ServerState.DRAINING]
+    assert [each.endpoint.state for each in second.entries] == [ServerState.DRAINING]
     made.observe(4.0, "consul", [report(address=B)])
     removed = made.take_changes(4.0)
-    assert removed is not None and [(e.listed.state, e.address) for e in removed.entries] == [
+    assert removed is not None and [(e.endpoint.state, e.address) for e in removed.entries] == [
         (ServerState.REMOVED, None)
     ]
 
@@ -299,7 +299,7 @@
     made.observe_changes(2.0, "roster", [report(address=B, name="s-1")], [A])
     update = made.take_changes(2.0)
     assert update is not None
-    last = {each.listed.server: each for each in update.entries}
+    last = {each.endpoint.server: each for each in update.entries}
     assert list(last) == ["s-1"] and last["s-1"].address == B
     made.observe(
         3.0, "roster", [report(address=B, name="s-1"), report(name="s-1")]
@@ -314,7 +314,7 @@
     made.restore("roster", EndpointUpdate(4, True, (*lines, twin)))
     update = made.take_changes(1.0)
     assert update is not None  # of two ids at one address, one is published as removed
-    assert [(each.listed.server, each.listed.state) for each in update.entries] == [
+    assert [(each.endpoint.server, each.endpoint.state) for each in update.entries] == [
         ("s-9", ServerState.REMOVED)
     ]
     made.observe(2.0, "consul", [report(address=B)])
@@ -335,7 +335,7 @@
     made.observe_changes(2.0, "consul", [report(address=each, weight=2.0) for each in many])
     made.observe_changes(2.0, "consul", [report(DRAINING, many[200])], [many[201]])
     first = made.take_changes(2.0, 2)
-    assert first is not None and {each.listed.state for each in first.entries} == {
+    assert first is not None and {each.endpoint.state for each in first.entries} == {
         ServerState.DRAINING,
         ServerState.REMOVED,
     }
@@ -378,9 +378,9 @@
         while True:
             update = made.take_changes(now, chance.choice((1, 3, None)))
             for entry in update.entries if update is not None else ():
-                held[entry.listed.server] = entry.listed.state
-                if entry.listed.state is ServerState.REMOVED:
-                    del held[entry.listed.server]
+                held[entry.endpoint.server] = entry.endpoint.state
+                if entry.endpoint.state is ServerState.REMOVED:
+                    del held[entry.endpoint.server]
             if not made.has_pending:
                 break
         assert held == {row.name: row.state for row in made.endpoints(now)}
--- a/tests/test_watch_health.py
+++ b/tests/test_watch_health.py
@@ -144,7 +144,7 @@
     agent, updates = watch(moment, at_s, pushed, then, allowed_s=allowed_s, lost=lost)
     assert agent.silent_at is not None
     drained_at = [
-        at for at, listing in updates for each in listing.entries if each.listed.state.value == "draining"
+        at for at, listing in updates for each in listing.entries if each.endpoint.state.value == "draining"
     ]
     assert drained_at and drained_at[0] - agent.silent_at < NOTIFICATION_DEADLINE_S
     # And it polls little more often than its calls wait.
@@ -159,7 +159,7 @@
 
     agent, updates = watch("while a call waits", 1.0, True, then)
     drained_at = [
-        at for at, listing in updates for each in listing.entries if each.listed.state.value == "draining"
+        at for at, listing in updates for each in listing.entries if each.endpoint.state.value == "draining"
     ]
     assert 8.0 < drained_at[0] < 8.3
     assert agent.silent_at is not None and len(agent.calls) < 45
