--- a/micadeck/config.py
+++ b/micadeck/config.py
@@ -159,7 +159,7 @@
         memory_mb=_limit(limits, "memory_mb", _MIN_MEMORY_MB, _DEFAULT_MEMORY_MB),
         known=known,
         peer_listen=_optional_address("peer_listen", document.get("peer_listen")),
-        peers=tuple(_address(f"peers[{index}]", each) for index, each in enumerate(peers)),
+        peers=tuple(_address(f"peers[{index}]", address) for index, address in enumerate(peers)),
         peers_all=_optional_address("peers_all", document.get("peers_all")),
         consul=_load_part("consul", document.get("consul"), "micadeck.membership.consul.config"),
         mysql=_load_part("mysql", document.get("mysql"), "micadeck.mysql.config"),
@@ -223,8 +223,8 @@
         for key, inner in value.items():
             yield f"{path}.{key}"
             yield from _paths_within(inner, f"{path}.{key}")
-    elif isinstance(value, list) and value and all(isinstance(each, Mapping) for each in value):
-        shared_keys = set.intersection(*(set(each) for each in value))
+    elif isinstance(value, list) and value and all(isinstance(item, Mapping) for item in value):
+        shared_keys = set.intersection(*(set(item) for item in value))
         yield from (f"{path}[].{key}" for key in shared_keys if key not in _OPTIONAL_CLASS_KEYS)
 
 
--- a/micadeck/engine/send_guard.py
+++ b/micadeck/engine/send_guard.py
@@ -57,7 +57,7 @@
         now: The time.
         attempt: The attempt.
         is_server_leaving: Whether its server gets no new requests.
-        is_connection_usable: Whether its connection can carry it.
+        is_connection_usable: Whether its connection can be used.
 
     Returns:
         Why it may not be written now; None if it may.
--- a/micadeck/errors.py
+++ b/micadeck/errors.py
@@ -18,10 +18,10 @@
 class MicadeckError(OperatorError):
     """An error whose text ends with its advice."""
 
-    def __init__(self, what: str) -> None:
+    def __init__(self, problem: str) -> None:
         """Describe the error in one sentence."""
-        super().__init__(what)
+        super().__init__(problem)
 
     def __str__(self) -> str:
-        """What happened, and what to do."""
+        """The problem, then the advice."""
         return f"{self.args[0]} {self.advice}"
--- a/micadeck/memory_relief.py
+++ b/micadeck/memory_relief.py
@@ -10,7 +10,7 @@
 from micadeck.network import Network
 
 _RETRY_S = 0.1
-_DROPPED_FRACTION = 4  # a step drops one in so many of the partly received requests
+_DROP_DIVISOR = 4  # a step drops this part of the partly received requests, and one more
 
 
 class MemoryRelief:
@@ -47,7 +47,7 @@
 
     def _run_step(self) -> None:
         connections = self._listener.connections
-        for _ in range(connections.partial_requests // _DROPPED_FRACTION + 1):
+        for _ in range(connections.partial_requests // _DROP_DIVISOR + 1):
             if self._budget.level < PressureLevel.GIVE_UP or not connections.reject_oldest_partial():
                 break
         if self._budget.level >= PressureLevel.CLOSE_IDLE:
--- a/micadeck/runtime.py
+++ b/micadeck/runtime.py
@@ -227,11 +227,11 @@
         sources = [format_address(config.discovery)] if config.discovery else []
         if config.consul is not None:
             sources += [f"consul ({', '.join(service.name for service in config.consul.services)})"]
-        restart = f"; only a restart takes up {', '.join(restart_keys)}" if restart_keys else ""
+        restart = f"; a restart is needed for {', '.join(restart_keys)}" if restart_keys else ""
         self._log(f"reloaded: discovery at {' and '.join(sources)}{restart}")
 
     def share_limits(self, sibling_count: int) -> None:
-        """Divide the limits between this and so many other processes of this sidecar."""
+        """Divide the limits among this and `sibling_count` other processes of this sidecar."""
         self._sibling_count = sibling_count
         self._divide_limits()
         self.upstream.trim()
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -242,7 +242,7 @@
             descriptors=open_descriptors(),
         )
         classes = self._runtime.config.settings.classes
-        return format_report(engine.outcomes, (each.name for each in classes), statistics)
+        return format_report(engine.outcomes, (service_class.name for service_class in classes), statistics)
 
     def drain(self) -> bool:
         """Drain clients while the process runs on; return false if it is stopping."""
@@ -277,7 +277,8 @@
         """
         shutdown = GracefulShutdown(self._network, self._engine, self.listener, self.mysql)
         classes = self._runtime.config.settings.classes
-        await shutdown.run(requested_at, [each.deadline_us / 1e6 for each in classes], self._enter_stopping)
+        deadlines_s = [service_class.deadline_us / 1e6 for service_class in classes]
+        await shutdown.run(requested_at, deadlines_s, self._enter_stopping)
         self.close()
 
     def _enter_stopping(self, requested_at: float) -> None:
