--- a/micadeck/http/request_validation.py
+++ b/micadeck/http/request_validation.py
@@ -52,7 +52,7 @@
         if self.check_client_disconnect is not None:
             self.check_client_disconnect()
 
-    def can_go_again(self) -> bool:
+    def can_retry(self) -> bool:
         """Whether a retry is possible; see `ports.Request`."""
         return self.stream is None or not self.stream.was_opened
 
--- a/micadeck/http/upstream.py
+++ b/micadeck/http/upstream.py
@@ -142,21 +142,21 @@
     def update_endpoints(self, update: EndpointUpdate) -> None:
         """Apply a list or its changes, before any action that follows from it."""
         if update.full:
-            for name in self._servers.keys() - {entry.listed.server for entry in update.entries}:
+            for name in self._servers.keys() - {entry.endpoint.server for entry in update.entries}:
                 self._forget(name)
         for entry in update.entries:
-            name, address = entry.listed.server, entry.address
+            name, address = entry.endpoint.server, entry.address
             if address is None:
                 self._forget(name)
                 continue
             server = self._servers.get(name)
-            identity = (address, entry.listed.started_at, entry.listed.zone, entry.listed.cell)
+            identity = (address, entry.endpoint.started_at, entry.endpoint.zone, entry.endpoint.cell)
             if server is None or server.identity != identity:
                 # Connections to the previous process under this id must not be used.  Also guards rule 2: a
                 # retry waiting for its dial was decided for the group that the server was in.
                 self._forget(name)
                 server = self._servers[name] = _Server(address, identity)
-            server.is_leaving = entry.listed.state is not ServerState.READY
+            server.is_leaving = entry.endpoint.state is not ServerState.READY
             if server.is_leaving:
                 self._close_idle(server)
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -210,7 +210,7 @@
             running.config.write_text(json.dumps({**given, "discovery": discovery.address, "seed": "1"}))
             running.process.send_signal(signal.SIGHUP)
             told = await running.says()
-            assert told == f"reloaded: discovery at {discovery.address}; only a restart takes up seed\n"
+            assert told == f"reloaded: discovery at {discovery.address}; a restart is needed for seed\n"
             await until(lambda: len(discovery.heard) >= 2)  # the list, then the watch
             assert (await (await running.client()).ask("lodge")).status == 200
             assert len(other.heard) == 1
@@ -230,7 +230,7 @@
         _, told = await soon(second.communicate())
         assert second.returncode == 1
         waited, ended = told.decode().splitlines()  # it may be that of a process that is ending
-        assert waited.startswith(f"waits to listen: {key}: {other.address}")
+        assert waited.startswith(f"startup: can't listen yet, retrying: {key}: {other.address}")
         assert ended.startswith(f"micadeck: can't listen: {key}: {other.address}")
         other.stop()
 
