--- a/micadeck/membership/discovery_client.py
+++ b/micadeck/membership/discovery_client.py
@@ -1,11 +1,11 @@
 """HTTP client for discovery, with hedged calls.
 
 A silent connection looks like one without changes until its answer is late.  Then a hedged call goes out on
-another connection, and the first answer wins; `watch_health` has the limits.
+another connection, and the first answer is used; `watch_health` has the limits.
 
 A late call that starts a watch may still be queued at discovery.  A second one for the same watch would take
-a second place in the queue, and both are refused where it is full.  Such a call is hedged by one for the
-complete list, which is not queued; its result is delivered while the watch call stays out.
+a second place in the queue, and both are refused if it is full.  Such a call is hedged by one for the
+complete list, which is not queued; its result is delivered while the watch call stays open.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     """Makes one call at a time, over one connection for as long as it answers in time.
 
     Every call ends by its `give_up_s`, and leaves at most one connection open.  Owns the connection in use
-    and the tasks of all calls that are out.
+    and the tasks of all open calls.
     """
 
     def __init__(self, network: Network, address: Address, parse: Callable[[bytes], Result]) -> None:
@@ -61,7 +61,7 @@
         Args:
             after: The version whose changes to wait for; None requests the complete list.
             timeout: The limits of the call and its hedges.
-            on_early_result: Receives a complete list that arrives while a watch call stays out.
+            on_early_result: Receives a complete list that arrives while a watch call is open.
 
         Returns:
             The result, and whether it answers a watch call.
@@ -170,11 +170,11 @@
         return await result
 
     async def _dial(self, stall_s: float) -> ClientConnection:
-        def make() -> ClientConnection:
+        def make_connection() -> ClientConnection:
             return ClientConnection(self._network, _MAX_BODY_BYTES, _ignore, _ignore, stall_s)
 
         async with self._network.timeout(DIAL_TIMEOUT_S):
-            return await self._network.dial(make, self._address)
+            return await self._network.dial(make_connection, self._address)
 
 
 def _ignore(_: object) -> None:
--- a/micadeck/membership/discovery_watcher.py
+++ b/micadeck/membership/discovery_watcher.py
@@ -38,8 +38,8 @@
 class DiscoveryWatcher:
     """The endpoint source that reads discovery.
 
-    Every `follow` and `fetch` ends in one call of `on_list` or `on_failed`.  Owns the known version, the
-    tasks of the watch and of the fetches, and the timer of a renewal.
+    Every `fetch` and every started `watch` leads to a call of `on_list` or `on_failed`.  Owns the known
+    version, the tasks of all calls and the timer of a renewal.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self._on_list: Callable[[EndpointUpdate], None] = _ignore
         self._on_failed: Callable[[], None] = _ignore_failure
         self._is_wanted = options.is_pushed
-        self._generation = 0  # counts the changes of what is known
+        self._generation = 0  # incremented when an update is accepted or the address changes
         self._watch: asyncio.Task[None] | None = None
         self._watch_answered = False
         self._fetches: set[asyncio.Task[None]] = set()
@@ -97,8 +97,8 @@
     def watch(self, wanted: bool) -> None:
         """Start the watch, or stop it.
 
-        A watch that waits for its first answer stays as it is: a new call would give up its place in
-        discovery's queue, and calls restarted over and over would never be answered.
+        A watch that waits for its first answer is kept: a new call would lose its place in discovery's
+        queue, and calls that are restarted again and again would never be answered.
         """
         if self._is_pushed:
             return
@@ -110,21 +110,21 @@
             self._watch = None
         if wanted:
             self._watch_answered = False
-            self._watch = self._spawn(self._follow())
+            self._watch = self._spawn(self._run_watch())
 
     def update_limits(self, max_poll_interval_us: int, grace_us: int) -> None:
         """Apply other settings; see `WatchOptions`."""
         self._health.update_limits(max_poll_interval_us, grace_us)
 
     def suspect_stale(self) -> None:
-        """Plan to restart the watch, unless an answer confirms the list before."""
+        """Schedule a restart of the watch, unless an answer confirms the list before."""
         now = self._network.now()
         due = self._health.suspect(now)
         if due is not None:
             self._renewal = self._network.call_later((due - now) / 1e6, self._renew)
 
     def _renew(self) -> None:
-        """Restart the watch with the complete list: changes since a suspect version prove nothing.
+        """Restart the watch with the complete list, as the known version itself may be wrong.
 
         A watch that waits for its first answer, or has failed and is retried by the engine, is left alone, so
         that a slow discovery is not flooded.
@@ -136,7 +136,7 @@
         self._watch.cancel()
         self._watch_answered = False
         self._wants_complete_list = True
-        self._watch = self._spawn(self._receive_pushed() if self._is_pushed else self._follow())
+        self._watch = self._spawn(self._receive_pushed() if self._is_pushed else self._run_watch())
 
     def fetch(self) -> None:
         """Request the complete list once."""
@@ -151,7 +151,7 @@
         """Leave the current discovery at once and use another one.
 
         Open calls are repeated there, without a failure.  Versions of the other discovery are not comparable,
-        so its first answer is accepted whatever is known.
+        so its first answer is always accepted.
         """
         self._address = address
         self._version = None
@@ -164,7 +164,7 @@
         self._watch, self._watch_answered = None, False
         self._health.reset()
         if self._is_wanted:
-            self._watch = self._spawn(self._receive_pushed() if self._is_pushed else self._follow())
+            self._watch = self._spawn(self._receive_pushed() if self._is_pushed else self._run_watch())
         for _ in range(fetches):
             self.fetch()
 
@@ -188,16 +188,16 @@
         except DiscoveryCallError:
             self._on_failed()
         except Exception as error:
-            self._log_defect(error)
+            self._log_internal_error(error)
             self._on_failed()
         else:
             if self._version is not None and update.version > self._version:
-                self.suspect_stale()  # the watch should have brought this version
+                self.suspect_stale()  # the watch should have delivered this version
             self._accept(update, generation)
         finally:
             client.close()
 
-    async def _follow(self) -> None:
+    async def _run_watch(self) -> None:
         try:
             await self._watch_until_failure()
         except DiscoveryCallError:
@@ -213,10 +213,10 @@
                 await self._network.sleep(self._health.blocking_call.hedge_interval_s)
 
     async def _watch_until_failure(self) -> None:
-        """Call after call; the first one does not block, so that it is answered soon.
+        """Make calls one by one; the first does not block, so that it is answered soon.
 
         Raises:
-            DiscoveryCallError: A call failed, or what was made of its answer.
+            DiscoveryCallError: A call failed, or the handling of its answer.
         """
         client, timeout = self._client(), self._health.first_call
         try:
@@ -238,14 +238,14 @@
         except DiscoveryCallError:
             raise
         except Exception as error:
-            # Whatever it was: a watch that ended would leave its last list in force for ever.
+            # Catches everything: if the watch ended, its last list would stay in use for ever.
             self._wants_complete_list = True
-            self._log_defect(error)
+            self._log_internal_error(error)
             raise DiscoveryCallError(str(error)) from error
         finally:
             client.close()
 
-    def _log_defect(self, error: Exception) -> None:
+    def _log_internal_error(self, error: Exception) -> None:
         if self._log is not None:
             self._log(f"internal error: discovery: {error!r}")
 
@@ -258,7 +258,7 @@
             update = decode_endpoint_update(body)
         except (ValueError, RecursionError) as error:
             if self._log is not None and not self._has_logged_malformed:
-                self._log(f"discovery: {error}; its last list holds")
+                self._log(f"discovery: {error}; its last list stays in use")
             self._has_logged_malformed = True
             raise EndpointListError(str(error)) from None
         self._has_logged_malformed = False
@@ -268,8 +268,8 @@
         """Deliver the answer to a call that started at this generation.
 
         A fetch and a watch run concurrently, and the older call may end last: its list is then outdated, and
-        delivered as one without changes.  A lower version that no other call overtook is accepted: discovery
-        has restarted.
+        delivered as an update without changes.  Otherwise, a lower version is accepted: discovery has
+        restarted.
         """
         known = self._version
         if generation != self._generation and known is not None and update.version < known:
--- a/micadeck/membership/endpoint_list.py
+++ b/micadeck/membership/endpoint_list.py
@@ -10,7 +10,7 @@
 from micadeck.network import parse_address
 from micadeck.policy.events import ListedServer, ServerState
 
-MAX_JSON_VALUES = 160_000  # a list of 3,200 servers has 55,000
+MAX_JSON_VALUES = 160_000  # a list of 3,200 servers has 55,000 values
 _MAX_NUMBER = 2**53  # exclusive; larger numbers are not exact in JSON
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
 
@@ -26,47 +26,47 @@
     return parse_endpoint_update(json.loads(body))
 
 
-def parse_endpoint_update(given: object) -> EndpointUpdate:
+def parse_endpoint_update(document: object) -> EndpointUpdate:
     """Read a decoded list.
 
     Raises:
         EndpointListError: A field is missing, unknown or of the wrong type.
         ValueError: An address cannot be parsed.
     """
-    if not isinstance(given, dict):
+    if not isinstance(document, dict):
         message = "an object is needed"
         raise EndpointListError(message)
-    version, full, servers = given.get("version"), given.get("full"), given.get("servers")
+    version, full, servers = document.get("version"), document.get("full"), document.get("servers")
     if type(version) is not int or version < 0:
-        raise FieldError("version", "a whole number", version)
+        raise FieldError("version", "a non-negative integer", version)
     if not isinstance(full, bool):
         raise FieldError("full", "true or false", full)
     if not isinstance(servers, list):
         raise FieldError("servers", "a list", servers)
-    return EndpointUpdate(version, full, tuple(_entry(each) for each in servers))
+    return EndpointUpdate(version, full, tuple(_parse_server(server) for server in servers))
 
 
-def _entry(given: object) -> EndpointEntry:
-    if not isinstance(given, dict):
-        message = "servers: an object is needed for each"
+def _parse_server(server: object) -> EndpointEntry:
+    if not isinstance(server, dict):
+        message = "servers: each must be an object"
         raise EndpointListError(message)
-    name = given.get("id")
+    name = server.get("id")
     if not isinstance(name, str) or not name:
         raise FieldError("servers", "an id", name)
     try:
-        state = _STATES[given["state"]]
+        state = _STATES[server["state"]]
     except (KeyError, TypeError):
-        message = f"servers: unknown state {given.get('state')!r:.60} of {name:.60}"
+        message = f"servers: unknown state {server.get('state')!r:.60} of {name:.60}"
         raise EndpointListError(message) from None
-    address = None if state is ServerState.REMOVED else parse_address(given.get("addr"))
-    started_ms = _number(given, "started_ms", 0)
+    address = None if state is ServerState.REMOVED else parse_address(server.get("addr"))
+    started_ms = _number(server, "started_ms", 0)
     listed = ListedServer(
         server=name,
-        zone=_text(given, "zone"),
-        kind=_text(given, "kind"),
-        cell=int(_number(given, "cell", 0)),
+        zone=_text(server, "zone"),
+        kind=_text(server, "kind"),
+        cell=int(_number(server, "cell", 0)),
         state=state,
-        nominal=_number(given, "weight", 1.0),
+        nominal=_number(server, "weight", 1.0),
         started_at=int(started_ms * 1_000) or None,
     )
     return EndpointEntry(listed, address)
@@ -75,25 +75,25 @@
 def _check_value_count(body: bytes) -> None:
     """Reject a list that would cost far more memory than its bytes.
 
-    A value costs up to 100 bytes as an object, even if it takes only three bytes of JSON.
+    A value takes up to 100 bytes as an object, and may take only three bytes of JSON.
     """
-    values = sum(body.count(each) for each in (b",", b":", b"{", b"["))
+    values = sum(body.count(delimiter) for delimiter in (b",", b":", b"{", b"["))
     if values > MAX_JSON_VALUES:
-        message = f"servers: {values} values are more than the {MAX_JSON_VALUES} that are read"
+        message = f"servers: {values} values are more than the limit of {MAX_JSON_VALUES}"
         raise EndpointListError(message)
 
 
-def _text(given: dict[str, Any], key: str) -> str:
-    value = given.get(key)
+def _text(server: dict[str, Any], key: str) -> str:
+    value = server.get(key)
     if value is None:
         return ""
     if not isinstance(value, str):
-        raise FieldError("servers", "a text", value, key)
+        raise FieldError("servers", "a string", value, key)
     return value
 
 
-def _number(given: dict[str, Any], key: str, default: float) -> float:
-    value = given.get(key)
+def _number(server: dict[str, Any], key: str, default: float) -> float:
+    value = server.get(key)
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < _MAX_NUMBER:
--- a/micadeck/membership/endpoint_merge.py
+++ b/micadeck/membership/endpoint_merge.py
@@ -13,7 +13,7 @@
 | one sends an empty list after a non-empty one | the latter, until the empty one is confirmed |
 | more than `1 - panic_threshold` of one's endpoints are unhealthy | enough of them are used to reach it |
 | one reports `flap_threshold` transitions in `flap_window_s` | unhealthy for the rest of the window |
-| one whose nodes are on loan, outside its hours | draining |
+| one whose nodes are lent, outside the lent hours | draining |
 
 No rule delays a drain: each reduces new requests to an endpoint, or overrides unhealthy, never draining.
 
@@ -63,11 +63,11 @@
         self._salt = salt
         self._sources: dict[str, SourceEndpoints] = {}
         self._published: dict[Address, EndpointEntry] = {}
-        self._address_by_name: dict[str, Address] = {}  # of what is published
-        self._unpublished: list[EndpointEntry] = []  # removals of names without an address of their own
-        self._urgent: dict[Address, None] = {}  # may have become worse; evaluated first
-        self._pending: dict[Address, None] = {}  # may have changed
-        self._deadlines: list[tuple[float, str, Address]] = []  # when time alone changes an endpoint; a heap
+        self._address_by_name: dict[str, Address] = {}  # published endpoints only
+        self._pending_removals: list[EndpointEntry] = []  # of ids that share another id's address
+        self._urgent: dict[Address, None] = {}  # state may have become worse; evaluated first
+        self._pending: dict[Address, None] = {}  # may have changed otherwise
+        self._deadlines: list[tuple[float, str, Address]] = []  # heap: end of a removal hold or of flapping
         self.version = 0
 
     def add(self, source: str, trust: SourceTrust | None = None) -> None:
@@ -90,15 +90,15 @@
         self._pending |= dict.fromkeys(self._sources.pop(source).endpoints)
 
     def restore(self, source: str, update: EndpointUpdate) -> None:
-        """Take over a list from before a restart as published, and as the source's until it answers."""
+        """Restore a list from before a restart as published, and as the source's until it answers."""
         endpoints = self._sources[source]
         for entry in update.entries:
             if entry.address is None:
                 continue
             if entry.address in self._published:
-                # Two ids at one address are one endpoint here.
+                # An endpoint is identified by its address, so only the first id is published.
                 removed = replace(entry.listed, state=ServerState.REMOVED)
-                self._unpublished.append(EndpointEntry(removed, None))
+                self._pending_removals.append(EndpointEntry(removed, None))
                 continue
             is_ready = entry.listed.state is ServerState.READY
             precedence = Precedence.READY if is_ready else Precedence.DRAINING
@@ -134,7 +134,7 @@
         Returns:
             False if the list is empty and not accepted yet: read it again.
         """
-        current = {each.address: each for each in observations}
+        current = {observation.address: observation for observation in observations}
         if not current and not self.accepts_empty(now, source, agent):
             return False
         removed = self.listed_addresses(source) - current.keys()
@@ -206,10 +206,10 @@
             now: The current time.
             limit: How many endpoints to evaluate, the urgent ones first; call again while `has_pending`.
         """
-        self._apply_time(now)
+        self._apply_deadlines(now)
         for endpoints in self._sources.values():
             self._pending |= dict.fromkeys(endpoints.apply_panic_threshold())
-        entries, self._unpublished = self._unpublished, []
+        entries, self._pending_removals = self._pending_removals, []
         remaining = len(self._urgent) + len(self._pending) if limit is None else limit
         while remaining > 0 and self.has_pending:
             remaining -= 1
@@ -234,18 +234,20 @@
 
     def endpoints(self, now: float) -> list[MergedEndpoint]:
         """Return every listed endpoint with what each source reports."""
-        self._apply_time(now)
-        addresses = dict.fromkeys(address for each in self._sources.values() for address in each.endpoints)
+        self._apply_deadlines(now)
+        addresses = dict.fromkeys(
+            address for source in self._sources.values() for address in source.endpoints
+        )
         merged = []
         for address in addresses:
             observations = self._observations(address, now)
             if observations is not None:
-                listed = self._merged(address, observations).listed
+                listed = self._merge(address, observations).listed
                 merged.append(MergedEndpoint(listed.server, address, listed.state, tuple(observations)))
         return merged
 
-    def _apply_time(self, now: float) -> None:
-        """Apply the changes that time alone brings."""
+    def _apply_deadlines(self, now: float) -> None:
+        """Apply expiry, schedules and deadlines."""
         for endpoints in self._sources.values():
             trust, answered_at = endpoints.trust, endpoints.answered_at
             is_expired = answered_at is not None and now - answered_at > trust.max_silence_s
@@ -255,14 +257,14 @@
                 self._pending |= dict.fromkeys(endpoints.endpoints)
         while self._deadlines and self._deadlines[0][0] < now:
             _, source, address = heapq.heappop(self._deadlines)
-            due = self._sources.get(source)
-            observed = due.endpoints.get(address) if due is not None else None
-            if due is None or observed is None:
+            owner = self._sources.get(source)
+            observed = owner.endpoints.get(address) if owner is not None else None
+            if owner is None or observed is None:
                 continue
             if observed.removal_hold_until is not None and observed.removal_hold_until < now:
-                due.forget(address)
+                owner.forget(address)
             else:
-                due.update_count(observed, now)
+                owner.update_count(observed, now)
             self._pending[address] = None
 
     def _evaluate(self, address: Address, now: float, entries: list[EndpointEntry]) -> None:
@@ -277,7 +279,7 @@
                 removed = replace(published.listed, state=ServerState.REMOVED)
                 entries.append(EndpointEntry(removed, None))
             return
-        entry = self._merged(address, observations)
+        entry = self._merge(address, observations)
         if entry != published:
             before = self._address_by_name.get(entry.listed.server, address)
             if before != address:
@@ -297,27 +299,30 @@
         for source, endpoints in self._sources.items():
             observed = endpoints.endpoints.get(address)
             if observed is not None:
-                observations.append((source, endpoints.effective(observed, now)))
+                observations.append((source, endpoints.effective_observation(observed, now)))
                 is_listed = is_listed or observed.is_listed
         return observations if is_listed else None
 
-    def _merged(self, address: Address, observations: list[SourceObservation]) -> EndpointEntry:
-        precedence = max(each.precedence for _, each in observations)
+    def _merge(self, address: Address, observations: list[SourceObservation]) -> EndpointEntry:
+        reports = [observation for _, observation in observations]
+        precedence = max(report.precedence for report in reports)
         published = self._published.get(address)
-        starts = [each.started_at for _, each in observations if each.started_at is not None]
+        start_times = [report.started_at for report in reports if report.started_at is not None]
         listed = ListedServer(
-            server=self._name(address, observations),
-            zone=next((each.zone for _, each in observations if each.zone), ""),
-            kind=next((each.kind for _, each in observations if each.kind), ""),
-            cell=next((each.cell for _, each in observations if each.cell), 0),
+            server=self._published_name(address, observations),
+            zone=next((report.zone for report in reports if report.zone), ""),
+            kind=next((report.kind for report in reports if report.kind), ""),
+            cell=next((report.cell for report in reports if report.cell), 0),
             state=ServerState.READY if precedence is Precedence.READY else ServerState.DRAINING,
-            nominal=min(each.weight for _, each in observations),
-            # The latest start is the most cautious; one that is no longer reported has not changed.
-            started_at=max(starts, default=published.listed.started_at if published is not None else None),
+            nominal=min(report.weight for report in reports),
+            # The latest start gives the longest slow start; without one, the start is unchanged.
+            started_at=max(
+                start_times, default=published.listed.started_at if published is not None else None
+            ),
         )
         return EndpointEntry(listed, address)
 
-    def _name(self, address: Address, observations: list[SourceObservation]) -> str:
+    def _published_name(self, address: Address, observations: list[SourceObservation]) -> str:
         """Return the name under which to publish an endpoint.
 
         A name is kept once published: another name is another server to the balancer, with cold connections.
@@ -326,7 +331,7 @@
         published = self._published.get(address)
         if published is not None:
             return published.listed.server
-        name = next((each.name for _, each in observations if each.name), "")
+        name = next((observation.name for _, observation in observations if observation.name), "")
         owner = self._address_by_name.get(name)
         if not name or (owner is not None and owner != address and self._is_listed(owner)):
             return format_address(address)
@@ -339,6 +344,6 @@
         )
 
     def _selection_key(self, address: Address) -> SelectionKey:
-        # Not a checksum: those are linear, and all salts would select one of two sets.
+        # Not a checksum: checksums are linear, so all salts would select one of only two sets.
         salted = f"{self._salt} {address[0]} {address[1]}".encode()
         return int.from_bytes(hashlib.blake2b(salted, digest_size=8).digest(), "big"), address
--- a/micadeck/membership/endpoint_observation.py
+++ b/micadeck/membership/endpoint_observation.py
@@ -26,7 +26,7 @@
     Attributes:
         address: Identifies the endpoint.
         precedence: The reported state.
-        reason: Why the source reports it, for people.
+        reason: Why the source reports it, as text.
         name: The source's id of the endpoint; empty if it is named by its address.
         zone: The locality.
         kind: The type of the server.
@@ -68,13 +68,13 @@
     """How far a source is trusted; times in seconds.
 
     Attributes:
-        max_silence_s: Its list holds for this long without an answer.
+        max_silence_s: Its list is used this long without an answer.
         empty_confirm_s: An empty list is accepted when it is repeated this much later.
         panic_threshold: The fraction of its endpoints that stays in use when too many are unhealthy.
         flap_threshold: The number of transitions within the window that count as flapping.
         flap_window_s: The window of flap detection.
-        removal_hold_s: How long an endpoint that it removed stays out of use, whoever else lists it.
-        is_available_at: Whether its nodes are on loan at this Unix time; None if they always are.
+        removal_hold_s: How long an endpoint that it removed stays out of use if others list it.
+        is_available_at: Whether its nodes are available at this Unix time; None if they always are.
     """
 
     max_silence_s: float = 3_600.0
--- a/micadeck/membership/errors.py
+++ b/micadeck/membership/errors.py
@@ -15,7 +15,7 @@
     """Discovery did not answer a call, or answered without a usable list."""
 
     def __init__(self, what: str = "no list") -> None:
-        """Say what was wrong with the call; without it, the response was no list."""
+        """Describe the error; by default, that the response was no list."""
         super().__init__(what)
 
 
--- a/micadeck/membership/source_endpoints.py
+++ b/micadeck/membership/source_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that one source has reported, and what its trust makes of them.  No input or output."""
+"""The endpoints that one source has reported, under the rules of its trust.  No input or output."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 SelectionKey = tuple[int, Address]
 """The position of an unhealthy endpoint in the order in which the panic threshold takes them into use."""
 
-_ROUND_UP = 0.999
+_CEILING_OFFSET = 0.999  # rounds up with `int`, and ignores floating-point error
 
 
 @dataclass(slots=True)
@@ -41,16 +41,16 @@
     deferred: Observation | None = None
     counted_as: Precedence | None = None
 
-    def damped(self, trust: SourceTrust, now: float) -> Observation:
+    def damped_observation(self, trust: SourceTrust, now: float) -> Observation:
         """Return the report, subject to removal and flap detection."""
         observation = self.observation
         if not self.is_listed:
-            reason = f"no more listed ({observation.reason or 'ready'})"
+            reason = f"no longer listed ({observation.reason or 'ready'})"
             return replace(observation, precedence=Precedence.DRAINING, reason=reason)
         while self.transitions and now - self.transitions[0] > trust.flap_window_s:
             self.transitions.popleft()
         if observation.precedence is Precedence.READY and len(self.transitions) >= trust.flap_threshold:
-            reason = f"flapping: {len(self.transitions)} turns"
+            reason = f"flapping: {len(self.transitions)} transitions"
             return replace(observation, precedence=Precedence.UNHEALTHY, reason=reason)
         return observation
 
@@ -67,15 +67,15 @@
         self.endpoints: dict[Address, ObservedEndpoint] = {}
         self.listed_count = 0
         self.answered_at: float | None = None
-        self.is_expired = False  # no answer for too long
-        self.is_available = True  # its nodes are on loan now
+        self.is_expired = False  # no answer for `max_silence_s`
+        self.is_available = True  # now is within the hours of its schedule, if it has one
         self.deferred: set[Address] = set()  # endpoints with a deferred report
         self._selection_key = selection_key
         self._empty_since: float | None = None
         self._empty_agent = ""
         self._ready_count = 0
         self._unhealthy: list[SelectionKey] = []  # sorted
-        self._last_selected: SelectionKey | None = None  # unhealthy ones up to this one are in use
+        self._last_selected: SelectionKey | None = None  # the unhealthy ones up to it are in use
 
     def record_answer(self, now: float) -> None:
         """Record an answer that lists endpoints."""
@@ -85,7 +85,7 @@
     def accepts_empty(self, now: float, agent: str) -> bool:
         """Record an empty list; return whether to accept it.
 
-        It may be that of an agent that has restarted, so it must be repeated, later or by another agent.
+        A restarted agent may send one, so it must be repeated, later or by another agent.
         """
         self.answered_at = now
         if not self.listed_count:
@@ -114,7 +114,7 @@
             if as_of < now and as_of <= observed.draining_since:
                 observed.deferred = observation
                 self.deferred.add(address)
-                reason = f"{observation.reason}, but told to drain since"
+                reason = f"{observation.reason}, but a report as recent says draining"
                 observation = replace(observation, precedence=Precedence.DRAINING, reason=reason)
             else:
                 observed.draining_since = None
@@ -145,7 +145,7 @@
 
     def update_count(self, observed: ObservedEndpoint, now: float) -> None:
         """Count an endpoint under its current state."""
-        self._count_as(observed, observed.damped(self.trust, now).precedence)
+        self._count_as(observed, observed.damped_observation(self.trust, now).precedence)
 
     def _count_as(self, observed: ObservedEndpoint, state: Precedence | None) -> None:
         before, observed.counted_as = observed.counted_as, state
@@ -160,39 +160,39 @@
     def apply_panic_threshold(self) -> list[Address]:
         """Take unhealthy endpoints into use if too many are; return those for which that changed.
 
-        The health check is then more likely at fault than the endpoints.  Draining ones want no requests in
-        either case, and are not counted.
+        The health check is then more likely at fault than the endpoints.  Draining ones must not get requests
+        in any case, and are not counted.
         """
         total = self._ready_count + len(self._unhealthy)
-        needed = int(total * self.trust.panic_threshold + _ROUND_UP) - self._ready_count
-        missing = min(needed, len(self._unhealthy))
+        needed_count = int(total * self.trust.panic_threshold + _CEILING_OFFSET) - self._ready_count
+        selected_count = min(needed_count, len(self._unhealthy))
         before, self._last_selected = (
             self._last_selected,
-            self._unhealthy[missing - 1] if missing > 0 else None,
+            self._unhealthy[selected_count - 1] if selected_count > 0 else None,
         )
         if before == self._last_selected:
             return []
         ends = [
-            bisect_right(self._unhealthy, each) if each is not None else 0
-            for each in (before, self._last_selected)
+            bisect_right(self._unhealthy, key) if key is not None else 0
+            for key in (before, self._last_selected)
         ]
         return [address for _, address in self._unhealthy[min(ends) : max(ends)]]
 
-    def effective(self, observed: ObservedEndpoint, now: float) -> Observation:
+    def effective_observation(self, observed: ObservedEndpoint, now: float) -> Observation:
         """Return the report about an endpoint, subject to all rules of the source's trust."""
-        observation = observed.damped(self.trust, now)
+        observation = observed.damped_observation(self.trust, now)
         if not observed.is_listed:
             return observation
         if self.is_expired:
-            reason = "its source is silent for too long"
+            reason = "its source has not answered for too long"
             return replace(observation, precedence=Precedence.DRAINING, reason=reason)
         if not self.is_available:
-            return replace(observation, precedence=Precedence.DRAINING, reason="not lent at this hour")
+            return replace(observation, precedence=Precedence.DRAINING, reason="outside its lent hours")
         if (
             observation.precedence is Precedence.UNHEALTHY
             and self._last_selected is not None
             and observed.selection_key <= self._last_selected
         ):
-            reason = f"in use though {observation.reason}: too many are"
+            reason = f"in use despite {observation.reason}: too many are unhealthy"
             return replace(observation, precedence=Precedence.READY, reason=reason)
         return observation
--- a/micadeck/membership/sources.py
+++ b/micadeck/membership/sources.py
@@ -1,8 +1,8 @@
 """Discovery and any number of Consul services as one endpoint source for the engine.
 
-`endpoint_merge` merges what they report; this module receives it, and hands changes on in slices that block
-the event loop for a few milliseconds at most.  Failed calls of discovery are retried from here: the engine
-takes any update for a sign that discovery works, also one from Consul.
+`endpoint_merge` merges what they report; this module delivers the changes in slices that block the event
+loop for a few milliseconds at most.  Failed calls of discovery are retried here: to the engine any update,
+even one from Consul, shows that discovery works.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 from micadeck.network import Address, Network, Timer
 from micadeck.policy.events import ServerState
 
-# Sources beyond the services; no service's name has a space.
+# Names of the other sources; a service's name cannot contain a space.
 DISCOVERY = "the roster"
 BEFORE_RESTART = "the list before the restart"
 _SLICE_SIZE = 64  # endpoints
-_TICK_S = 1.0  # for changes that time alone brings
+_PUBLISH_INTERVAL_S = 1.0  # for expiry, schedules and deadlines, which come without an answer
 _RETRY_S = 0.2  # before the first retry of discovery; doubled each time, up to MAX_RETRY_WAIT_S
 _MAX_BACKOFF_EXPONENT = 8
 
@@ -46,7 +46,7 @@
 
 
 class EndpointObservations:
-    """Maps discovery's lists, which are by id, to observations, which are by address.
+    """Maps discovery's lists, keyed by id, to observations, keyed by address.
 
     No input or output.  Owns the address of each id.
     """
@@ -68,11 +68,11 @@
                 removed[before] = None
             if address is None:
                 continue
-            # A new id takes an address over: later entries of the old id say nothing about it.
+            # A new id takes over the address: later entries of the old id do not concern it.
             self._addresses[name], self._ids[address] = address, name
             state = entry.listed.state
             observations[address] = Observation.from_entry(entry, _PRECEDENCES[state], state.value)
-        return list(observations.values()), [each for each in removed if each not in observations]
+        return list(observations.values()), [address for address in removed if address not in observations]
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
         failures: The services whose last call failed, and why.
         unanswered: The services that have not answered yet.
         logs_agent: Whether to log once, after the start, which agent is used.
-        on_partial_list: Called between the steps of a first list, of which all so far is kept.
+        on_partial_list: Called between the steps of reading a first list; what was read is kept.
     """
 
     def __init__(
@@ -117,17 +117,17 @@
         self._discovery = discovery.watcher
         self._config = config
         self._log = log
-        self._chance = random.Random(hashlib.blake2b(seed.encode(), digest_size=8).digest())
-        self.merge = EndpointMerge(self._chance.getrandbits(32))
+        self._rng = random.Random(hashlib.blake2b(seed.encode(), digest_size=8).digest())
+        self.merge = EndpointMerge(self._rng.getrandbits(32))
         self._watches: dict[str, ServiceWatch] = {}
         self.failures: dict[str, str] = {}
         self.unanswered: set[str] = set()
-        self._as_of: dict[str, float] = {}  # the time that a service's last answer reflects
+        self._as_of: dict[str, float] = {}  # the time at which a service's last answer was current
         self._warnings: dict[str, tuple[str, ...]] = {}
         self._discovery_observations = EndpointObservations()
         self._discovery_failures = 0
         self._retry: Timer | None = None
-        self._tick_timer: Timer | None = None
+        self._publish_timer: Timer | None = None
         self.logs_agent = True
         self._agent_task: asyncio.Task[None] | None = None
         self._is_publish_planned = False
@@ -148,7 +148,7 @@
             self.merge.add(BEFORE_RESTART, FULL_TRUST)  # until all services have answered
         self.merge.restore(DISCOVERY if has_discovery else BEFORE_RESTART, known)
 
-    # Calls of the engine
+    # Called by the engine
 
     def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None:
         """Set the callbacks, and start to watch the services."""
@@ -159,13 +159,13 @@
             self._watch(service)
         if self.logs_agent:
             self._agent_task = self._network.spawn(self._log_agent())
-        self._tick()
+        self._publish_periodically()
 
     async def _log_agent(self) -> None:
-        """Log which agent is used; if it cannot be called, the watches log the reason."""
-        agents = Agents(self._config.agents, self._chance)
+        """Log which agent is used; the watches log why one cannot be called."""
+        agents = Agents(self._config.agents, self._rng)
         client = ConsulClient(self._network, agents, self._config.services[0].request_options)
-        await self._network.sleep(self._chance.random() * self._config.spread_s)
+        await self._network.sleep(self._rng.random() * self._config.spread_s)
         try:
             self._log(f"consul: agent {await client.describe_agent()}")
         except ConsulError:
@@ -178,14 +178,14 @@
         if self._discovery is not None:
             self._discovery.watch(wanted)
         elif wanted:
-            self._network.call_soon(self._answer)
+            self._network.call_soon(self._deliver_from_consul)
 
     def fetch(self) -> None:
         """Request the complete list once."""
         if self._discovery is not None:
             self._discovery.fetch()
         else:
-            self._network.call_soon(self._answer)
+            self._network.call_soon(self._deliver_from_consul)
 
     def suspect_stale(self) -> None:
         """Plan to restart the watch of discovery."""
@@ -197,18 +197,18 @@
         self._is_closed = True
         if self._discovery is not None:
             self._discovery.close()
-        for each in self._watches.values():
-            each.close()
+        for watch in self._watches.values():
+            watch.close()
         if self._agent_task is not None:
             self._agent_task.cancel()
-        for timer in (self._retry, self._tick_timer):
+        for timer in (self._retry, self._publish_timer):
             if timer is not None:
                 timer.cancel()
 
     def reload(self, config: ConsulConfig) -> None:
         """Apply another configuration; a service's endpoints stay until its next answer."""
-        before = {each.name: each for each in self._config.services}
-        after = {each.name: each for each in config.services}
+        before = {service.name: service for service in self._config.services}
+        after = {service.name: service for service in config.services}
         is_same_call = (config.agents, config.wait_s) == (self._config.agents, self._config.wait_s)
         self._config = config
         for name in before.keys() - after.keys():
@@ -221,7 +221,7 @@
                 self.merge.add(name, service.trust)
             elif before[name].trust != service.trust:
                 self.merge.set_trust(name, service.trust)
-            if name not in before or not is_same_call or _differ_in_calls(before[name], service):
+            if name not in before or not is_same_call or _needs_new_watch(before[name], service):
                 if name in self._watches:
                     self._watches.pop(name).close()
                 self._watch(service)
@@ -232,8 +232,8 @@
         """Return the age of each service's last answer, in seconds."""
         return {name: self._now() - as_of for name, as_of in self._as_of.items()}
 
-    def _answer(self) -> None:
-        """Answer the engine without discovery, from what Consul has reported."""
+    def _deliver_from_consul(self) -> None:
+        """Deliver what Consul has reported, or the failure of all services."""
         if self._is_closed:
             return
         answered = [name for name in self._watches if name not in self.unanswered]
@@ -261,12 +261,12 @@
         if self._retry is None:
             wait_s = min(_RETRY_S * 2**self._discovery_failures, MAX_RETRY_WAIT_S)
             self._discovery_failures = min(self._discovery_failures + 1, _MAX_BACKOFF_EXPONENT)
-            wait_s *= 0.5 + 0.5 * self._chance.random()
+            wait_s *= 0.5 + 0.5 * self._rng.random()
             self._retry = self._network.call_later(wait_s, self._retry_discovery)
 
     def _retry_discovery(self) -> None:
         self._retry = None
-        # If the engine has retried meanwhile, its watch must not be given up.
+        # If the engine has retried meanwhile, its watch must not be replaced.
         if self._discovery is not None and not self._discovery.is_watching:
             self._discovery.watch(True)
 
@@ -279,12 +279,12 @@
         async def on_update(update: ServiceUpdate) -> None:
             await self._service_updated(name, update)
 
-        agents = Agents(self._config.agents, self._chance)
+        agents = Agents(self._config.agents, self._rng)
         watch = ServiceWatch(
             self._network,
             ConsulClient(self._network, agents, service.request_options),
             WatchTarget(name, service.mapping, service.is_catalog),
-            BlockingQuery(random.Random(self._chance.getrandbits(32)), self._config.wait_s),
+            BlockingQuery(random.Random(self._rng.getrandbits(32)), self._config.wait_s),
             WatchCallbacks(
                 accepts_empty=lambda agent: self.merge.accepts_empty(self._now(), name, agent),
                 on_update=on_update,
@@ -302,8 +302,8 @@
             self._log(f"consul: {name}: {update.agent} answers")
         if change.warnings != self._warnings.get(name, ()):
             self._warnings[name] = change.warnings
-            for each in change.warnings:
-                self._log(f"consul: {name}: {each}")
+            for warning in change.warnings:
+                self._log(f"consul: {name}: {warning}")
         await self._observe_in_slices(name, change, update.lag_s)
         self.unanswered.discard(name)
         self._remove_restored()
@@ -315,13 +315,13 @@
         remaining = iter(removed)
         while True:
             # Removals come first: they must not wait behind thousands of listed endpoints.
-            some_removed = list(islice(remaining, _SLICE_SIZE))
-            some = list(islice(change.observations, _SLICE_SIZE - len(some_removed)))
-            if some_removed or any(each.precedence is not Precedence.READY for each in some):
-                self.suspect_stale()  # discovery may still list what ends here
-            self.merge.observe_changes(self._now(), name, some, some_removed, lag_s=lag_s)
+            removed_slice = list(islice(remaining, _SLICE_SIZE))
+            observed_slice = list(islice(change.observations, _SLICE_SIZE - len(removed_slice)))
+            if removed_slice or any(each.precedence is not Precedence.READY for each in observed_slice):
+                self.suspect_stale()  # discovery may still list these endpoints as ready
+            self.merge.observe_changes(self._now(), name, observed_slice, removed_slice, lag_s=lag_s)
             self._publish()
-            if len(some) + len(some_removed) < _SLICE_SIZE:
+            if len(removed_slice) + len(observed_slice) < _SLICE_SIZE:
                 break
             if change.is_complete:
                 self.on_partial_list()
@@ -334,17 +334,18 @@
 
     def _service_failed(self, name: str, text: str) -> None:
         if name not in self.failures:
-            self._log(f"consul: {name}: {text}; its last list holds")
+            self._log(f"consul: {name}: {text}; its last list stays in use")
         self.failures[name] = text
 
     # Publishing to the engine
 
-    def _tick(self) -> None:
-        self._tick_timer = self._network.call_later(_TICK_S, self._tick)  # whatever comes of this one
+    def _publish_periodically(self) -> None:
+        # Scheduled first: an exception while publishing must not end the repetition.
+        self._publish_timer = self._network.call_later(_PUBLISH_INTERVAL_S, self._publish_periodically)
         self._publish()
 
     def _publish(self, *, always: bool = False) -> None:
-        """Deliver a slice of the changes now and the rest soon; `always` delivers even without changes."""
+        """Deliver a slice of the changes now and the rest soon; if `always`, even without changes."""
         if self._is_closed:
             return
         update = self.merge.take_changes(self._now(), _SLICE_SIZE)
@@ -362,8 +363,8 @@
         return self._network.now() / 1e6
 
 
-def _differ_in_calls(before: Service, after: Service) -> bool:
-    """Return whether two configurations of a service need different calls."""
+def _needs_new_watch(before: Service, after: Service) -> bool:
+    """Return whether a service's calls differ between two configurations."""
     return (before.request_options, before.mapping, before.is_catalog) != (
         after.request_options,
         after.mapping,
--- a/micadeck/membership/watch_health.py
+++ b/micadeck/membership/watch_health.py
@@ -13,9 +13,9 @@
     no call yet, or address changed by SIGHUP    0
     failed, in backoff                           MAX_RETRY_WAIT_S
     dialling an absent host                      DIAL_TIMEOUT_S + MAX_RETRY_WAIT_S
-    first call out, silent                       _FIRST_HEDGE_AFTER_S
+    first call open, silent                      _FIRST_HEDGE_AFTER_S
     watch established, silent                    its wait and _HEDGE_AFTER_S
-    hedged calls out, all silent                 _HEDGE_INTERVAL_S, or their end and MAX_RETRY_WAIT_S
+    hedged calls open, all silent                _HEDGE_INTERVAL_S, or their end and MAX_RETRY_WAIT_S
 
 `MAX_CALL_GAP_S`, one further call that is lost (`_HEDGE_INTERVAL_S`) and an answer of `RESPONSE_TIME_S` end
 within `NOTIFICATION_DEADLINE_S`.  Where lists are pushed by a local agent, a new call starts within a part
@@ -46,7 +46,7 @@
 _MAX_PUSHED_WAIT_S = 1.0  # a local agent answers at no cost
 
 _HEDGE_AFTER_S, _PUSHED_HEDGE_AFTER_S = 0.5, 0.3  # beyond the wait of a call
-_FIRST_HEDGE_AFTER_S = MAX_CALL_GAP_S  # many watches may start at once and queue at discovery
+_FIRST_HEDGE_AFTER_S = MAX_CALL_GAP_S  # many watches may start at once and be queued by discovery
 _HEDGE_INTERVAL_S = 1.2
 _PUSHED_HEDGE_GRACE_FRACTION = 0.4  # of the drain grace period
 _MIN_PUSHED_HEDGE_INTERVAL_S, _MAX_PUSHED_HEDGE_INTERVAL_S = 0.1, 0.25
@@ -69,7 +69,7 @@
         give_up_s: When all calls are abandoned and the answer counts as failed.
         max_calls: The number of concurrent calls.
         replaces_newest: Whether a call beyond `max_calls` replaces the newest one, or is not made.
-        may_queue: Whether the call may wait for its turn at discovery, as one that starts a watch.
+        may_queue: Whether discovery may queue the call, as it does those that start a watch.
     """
 
     wait_ms: int
@@ -101,7 +101,7 @@
 class WatchHealth:
     """Limits and staleness of one watch.  Times are microseconds of any one clock.
 
-    Owns the time of the last confirmation and the plan of the next renewal.
+    Owns the time of the last confirmation and of the next renewal.
 
     Attributes:
         first_call: Limits of the call that starts a watch.
@@ -116,7 +116,7 @@
     def __init__(
         self,
         max_poll_interval_us: int,
-        chance: random.Random,
+        rng: random.Random,
         *,
         is_pushed: bool = False,
         grace_us: int = 1_000_000,
@@ -125,17 +125,17 @@
 
         Args:
             max_poll_interval_us: How long a sidecar may go without a call.
-            chance: The source of jitter.
+            rng: The source of jitter.
             is_pushed: Whether a local agent pushes the lists.
             grace_us: How long requests may be sent after the notification of a drain.
         """
-        self._chance = chance
+        self._rng = rng
         self._is_pushed = is_pushed
         self.update_limits(max_poll_interval_us, grace_us)
         self._confirmed_at: int | None = None
-        self._suspected_at: int | None = None  # set while a renewal is planned
+        self._suspected_at: int | None = None  # set while a renewal is scheduled
         self._renewed_at: int | None = None
-        self._futile_renewals = 0  # in a row, without a change
+        self._unchanged_renewals = 0  # consecutive renewals that brought no change
 
     def update_limits(self, max_poll_interval_us: int, grace_us: int) -> None:
         """Apply other settings from the next call on; see `__init__`."""
@@ -147,43 +147,43 @@
             self.second_call = replace(self.first_call, wait_ms=self.blocking_call.wait_ms)
 
     def confirm(self, now: int, *, has_changes: bool) -> None:
-        """Record an answer of the watch: the list was discovery's own until now."""
+        """Record an answer of the watch, which confirms the list as of now."""
         self._confirmed_at = now
         if has_changes:
-            self._futile_renewals = 0
+            self._unchanged_renewals = 0
 
     def suspect(self, now: int) -> int | None:
-        """Record evidence against the list.
+        """Record evidence that the list is stale.
 
         Returns:
-            When to check `take_due_renewal`; None if nothing is to be planned.  Nothing is where discovery is
-            polled: all sidecars would give up their watches at once and queue again, and a silent watch is
+            When to check `take_due_renewal`; None if none was scheduled, as always where discovery is
+            polled: all sidecars would drop their watches at once and queue again, and a silent watch is
             hedged soon anyway.
         """
         if self._suspected_at is not None or not self._is_pushed:
             return None
         self._suspected_at = now
         wait_us = self.blocking_call.wait_ms * 1_000
-        due = now + int(_RENEWAL_JITTER_FRACTION * wait_us * self._chance.random())
+        due = now + int(_RENEWAL_JITTER_FRACTION * wait_us * self._rng.random())
         if self._renewed_at is not None:
-            interval = min(_MIN_RENEWAL_INTERVAL_FRACTION * 2**self._futile_renewals, 1.0) * wait_us
-            jitter = 1.0 + _RENEWAL_JITTER_FRACTION * self._chance.random()
+            interval = min(_MIN_RENEWAL_INTERVAL_FRACTION * 2**self._unchanged_renewals, 1.0) * wait_us
+            jitter = 1.0 + _RENEWAL_JITTER_FRACTION * self._rng.random()
             due = max(due, self._renewed_at + int(interval * jitter))
         return due
 
     def take_due_renewal(self, now: int) -> bool:
-        """End the plan of a renewal; return whether no answer confirmed the list meanwhile."""
+        """Clear the scheduled renewal; return whether no answer confirmed the list since."""
         suspected_at, self._suspected_at = self._suspected_at, None
         if suspected_at is None or (self._confirmed_at is not None and self._confirmed_at > suspected_at):
             return False
         self._renewed_at = now
-        self._futile_renewals = min(self._futile_renewals + 1, _MAX_BACKOFF_EXPONENT)
+        self._unchanged_renewals = min(self._unchanged_renewals + 1, _MAX_BACKOFF_EXPONENT)
         return True
 
     def reset(self) -> None:
         """Forget all evidence: the watch moves to another discovery."""
         self._confirmed_at = self._suspected_at = self._renewed_at = None
-        self._futile_renewals = 0
+        self._unchanged_renewals = 0
 
 
 def _polled_call(wait_s: float) -> ResponseTimeout:
@@ -193,7 +193,7 @@
         timeout_s=NOTIFICATION_DEADLINE_S,
         hedge_after_s=hedge_after_s,
         hedge_interval_s=_HEDGE_INTERVAL_S,
-        give_up_s=_give_up_after(hedge_after_s),  # lost calls must not block the one that would be answered
+        give_up_s=_give_up_after(hedge_after_s),  # lost calls must not delay one that would be answered
         max_calls=_MAX_CONCURRENT_CALLS,
         replaces_newest=False,  # the oldest queued call is answered first; more would lengthen the queue
     )
@@ -209,5 +209,5 @@
         hedge_interval_s=min(max(interval_s, _MIN_PUSHED_HEDGE_INTERVAL_S), _MAX_PUSHED_HEDGE_INTERVAL_S),
         give_up_s=math.inf,
         max_calls=_MAX_CONCURRENT_CALLS,
-        replaces_newest=True,  # an agent that was silent must be reached soon after it is back
+        replaces_newest=True,  # a silent agent must be reached soon after it recovers
     )
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -243,7 +243,7 @@
             port = int(consul.address.rpartition(":")[2])
             consul.faults.append(Fault("hang", 1_000))
             consul.stop()
-            await until(lambda: any("its last list holds" in each for each in scene.log))
+            await until(lambda: any("its last list stays in use" in each for each in scene.log))
             assert set(await scene.statuses(20)) == {200}
             again = scene.consuls[0] = await StandInConsul().start(port)
             scene.register(0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -161,7 +161,7 @@
             assert (heard is None) == (told == "failed")
         assert len(ears.log) == 2  # the first of a row, and the first after a list that could be read
         assert all(each.startswith("discovery: ") and names in each for each in ears.log)
-        assert all(each.endswith("; its last list holds") for each in ears.log)
+        assert all(each.endswith("; its last list stays in use") for each in ears.log)
         ears.discovery.close()
         server.stop()
 
