--- a/micadeck/membership/__main__.py
+++ b/micadeck/membership/__main__.py
@@ -1,7 +1,7 @@
 """Shows what a sidecar would read from a live Consul: `micadeck membership show CONFIG [--watch]`.
 
-Prints each endpoint with what each service reports about it, its merged state, the age of that report and
-the reason.  Exit codes: 0; 1 if a service could not be read within a few seconds; 2 if the configuration is
+Prints each endpoint with each service's report about it, its merged state, the age of the report and the
+reason.  Exit codes: 0; 1 if a service could not be read within a few seconds; 2 if the configuration is
 invalid.
 """
 
@@ -22,16 +22,16 @@
 from micadeck.network import LoopNetwork, format_address
 
 _FIRST_LISTS_TIMEOUT_S = 5.0
-_PIPE_WIDTH = 1_000  # columns, where no terminal sets a width
+_PIPE_WIDTH = 1_000  # columns, if the output is not a terminal
 _STATES = {
     Precedence.READY: "ready",
-    Precedence.UNHEALTHY: "doubtful",
-    Precedence.DRAINING: "drains",
+    Precedence.UNHEALTHY: "unhealthy",
+    Precedence.DRAINING: "draining",
 }
 
 
 class MembershipReport:
-    """Prints what a sidecar's sources report, with itself as their listener.  Owns the sources."""
+    """Prints what a sidecar's sources report.  Owns the sources."""
 
     def __init__(self, config: ConsulConfig) -> None:
         """Create the sources that a sidecar would have."""
@@ -40,22 +40,22 @@
         self._console = Console(width=None if sys.stdout.isatty() else _PIPE_WIDTH, highlight=False)
         self._changed = asyncio.Event()
         discovery = DiscoveryState(None, EndpointUpdate(0, True, ()))
-        self.sources = EndpointSources(self._network, discovery, config, "0 show", self._print_note)
+        self.sources = EndpointSources(self._network, discovery, config, "0 show", self._print_comment)
         self.sources.logs_agent = False
 
-    def _print_note(self, line: str) -> None:
+    def _print_comment(self, line: str) -> None:
         self._console.print(f"# {line}", markup=False)
         self._changed.set()
 
     async def print_agents(self) -> None:
-        """Print who each agent is, and its leader."""
+        """Print each agent's name and its leader."""
         for address in self._config.agents:
             options = self._config.services[0].request_options
             client = ConsulClient(self._network, Agents((address,)), options)
             try:
-                self._print_note(f"agent {format_address(address)}: {await client.describe_agent()}")
+                self._print_comment(f"agent {format_address(address)}: {await client.describe_agent()}")
             except ConsulError as error:
-                self._print_note(f"agent {error}")
+                self._print_comment(f"agent {error}")
             client.close()
 
     async def wait_for_first_lists(self) -> bool:
@@ -81,7 +81,7 @@
             table.add_column(title, no_wrap=True)
         ages = self.sources.ages()
         endpoints = self.sources.merge.endpoints(self._network.now() / 1e6)
-        for endpoint in sorted(endpoints, key=lambda each: each.name):
+        for endpoint in sorted(endpoints, key=lambda endpoint: endpoint.name):
             for source, observation in endpoint.observations:
                 age = f"{ages.get(source, 0.0):.1f} s"
                 reported = f"{source}: {_STATES[observation.precedence]}"
@@ -110,14 +110,14 @@
 
 @click.group("membership")
 def command() -> None:
-    """Who the servers are, and who says so."""
+    """Inspect the sources of the endpoint list."""
 
 
 @command.command("show")
 @click.argument("config", type=click.Path())
-@click.option("--watch", "watches", is_flag=True, help="Go on, and print again at each change.")
+@click.option("--watch", "watches", is_flag=True, help="Keep running, and print again at each change.")
 def show_command(config: str, watches: bool) -> None:
-    """What a sidecar would make of the live Consul that the file CONFIG names."""
+    """Show what a sidecar reads from the Consul that the file CONFIG names."""
     try:
         loaded = load(config)
     except ConsulConfigError as error:
--- a/micadeck/membership/consul/__init__.py
+++ b/micadeck/membership/consul/__init__.py
@@ -7,7 +7,7 @@
 from micadeck.membership.consul.client import Agents, ConsulClient
 from micadeck.membership.consul.entries import Check, Instance, parse_catalog, parse_health
 from micadeck.membership.consul.protocol import ConsulError, RequestOptions, ResponseMeta
-from micadeck.membership.consul.query import BlockingQuery, NextPoll, ReplyCheck
+from micadeck.membership.consul.query import BlockingQuery, IndexChange, NextPoll
 from micadeck.membership.consul.source import ServiceUpdate, ServiceWatch, WatchCallbacks, WatchTarget
 from micadeck.membership.consul.states import InstanceMapping, InstanceStatus, RestartTracker
 from micadeck.membership.consul.view import EntriesChange, ServiceView
@@ -19,11 +19,11 @@
     "ConsulClient",
     "ConsulError",
     "EntriesChange",
+    "IndexChange",
     "Instance",
     "InstanceMapping",
     "InstanceStatus",
     "NextPoll",
-    "ReplyCheck",
     "RequestOptions",
     "ResponseMeta",
     "RestartTracker",
--- a/micadeck/membership/consul/client.py
+++ b/micadeck/membership/consul/client.py
@@ -33,7 +33,7 @@
 class Agents:
     """The addresses of the agents, used in rotation."""
 
-    def __init__(self, addresses: tuple[Address, ...], chance: random.Random | None = None) -> None:
+    def __init__(self, addresses: tuple[Address, ...], rng: random.Random | None = None) -> None:
         """Start with the first address, or with a random one.
 
         Raises:
@@ -43,7 +43,7 @@
             message = "agents: at least one address is needed"
             raise ValueError(message)
         self._addresses = addresses
-        self._current = chance.randrange(len(addresses)) if chance is not None else 0
+        self._current = rng.randrange(len(addresses)) if rng is not None else 0
 
     @property
     def current(self) -> Address:
@@ -114,7 +114,7 @@
             return b"".join(pieces), read_meta(response)
 
     async def describe_agent(self) -> str:
-        """Return the agent in use and the leader of its servers, for people; raise ConsulError."""
+        """Describe the agent in use and the leader of its servers; raise ConsulError."""
         agent, _ = await self.get("/v1/agent/self")
         leader, _ = await self.get("/v1/status/leader")
         config = require_object(require_object(agent, "the body").get("Config"), "Config")
@@ -156,14 +156,14 @@
             if redirect is None:
                 return response
             address, target = redirect
-            # The token is for the configured agents only, whatever a redirect names.
+            # A redirect must not send the token to any address but that of a configured agent.
             kept = [
-                each
-                for each in request.headers
-                if each[0] != b"host" and (each[0] != b"x-consul-token" or address in self.agents)
+                (name, value)
+                for name, value in request.headers
+                if name != b"host" and (name != b"x-consul-token" or address in self.agents)
             ]
             request = Request(request.method, target, [(b"host", format_address(address).encode()), *kept])
-        message = "sent on from place to place"
+        message = f"more than {_MAX_REDIRECTS} redirects"
         raise ConsulError(message)
 
     async def _exchange(self, address: Address, request: Request) -> Response:
@@ -183,17 +183,17 @@
         if isinstance(outcome, Response):
             return outcome
         if outcome is Failure.MALFORMED:
-            message = "the answer is no HTTP, breaks off, or is over 4 MiB"
+            message = "the response is not HTTP, is truncated or is over 4 MiB"
         else:
-            message = "the connection broke before the answer was whole"
+            message = "the connection was lost before the end of the response"
         raise ConsulError(message)
 
     async def _dial(self, address: Address) -> ClientConnection:
-        def make() -> ClientConnection:
+        def make_connection() -> ClientConnection:
             return ClientConnection(self._network, MAX_BODY_BYTES, _ignore, _ignore, _BODY_TIMEOUT_S)
 
         async with self._network.timeout(_DIAL_TIMEOUT_S):
-            return await self._network.dial(make, address)
+            return await self._network.dial(make_connection, address)
 
 
 def _ignore(_: ClientConnection) -> None:
--- a/micadeck/membership/consul/config.py
+++ b/micadeck/membership/consul/config.py
@@ -28,7 +28,7 @@
 
 
 class ConsulConfigError(MembershipError, ValueError):
-    """The file cannot be used; the text begins with the key at fault."""
+    """The file is invalid; the text begins with the key at fault."""
 
     advice = "Correct that key of Consul's file."
 
@@ -40,7 +40,7 @@
     Attributes:
         name: Its name in Consul.
         request_options: What all calls for it have in common.
-        mapping: Where an instance's properties stand.
+        mapping: Where to read an instance's properties.
         trust: How far it is trusted.
         is_catalog: Whether to read the catalogue, which has no checks.
     """
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsulConfig:
-    """A configuration that was checked.
+    """A valid configuration.
 
     Attributes:
         agents: The addresses of the agents.
@@ -69,7 +69,7 @@
     spread_s: float
 
 
-# The keys of the file
+# The structure of the file; the names of keys are part of its format
 
 
 class _MetaKeys(Struct, forbid_unknown_fields=True):
@@ -112,30 +112,31 @@
     """Read and check a file; raise ConsulConfigError, naming the key at fault."""
     try:
         raw = Path(path).read_bytes()
-        given = msgspec.toml.decode(raw) if str(path).endswith(".toml") else msgspec.json.decode(raw)
+        is_toml = str(path).endswith(".toml")
+        document = msgspec.toml.decode(raw) if is_toml else msgspec.json.decode(raw)
     except (OSError, ValueError, RecursionError) as error:
-        message = f"{path}: it can't be read: {error}"
+        message = f"{path}: cannot be read: {error}"
         raise ConsulConfigError(message) from None
-    return parse(given)
+    return parse(document)
 
 
-def parse(given: Any) -> ConsulConfig:
+def parse(document: Any) -> ConsulConfig:
     """Check a decoded file; raise ConsulConfigError, naming the key at fault."""
-    file = _convert(given)
+    file = _convert(document)
     agents = tuple(
-        _parse_value(f"agents[{number}]", parse_address, each) for number, each in enumerate(file.agents)
+        _parse_value(f"agents[{number}]", parse_address, agent) for number, agent in enumerate(file.agents)
     )
     token = _parse_value("token_file", _read_token, file.token_file)
-    services = tuple(_service(each, number, token) for number, each in enumerate(file.services))
-    if len({each.name for each in services}) < len(services):
-        message = "services: a name stands twice"
+    services = tuple(_service(entry, number, token) for number, entry in enumerate(file.services))
+    if len({service.name for service in services}) < len(services):
+        message = "services: duplicate name"
         raise ConsulConfigError(message)
     return ConsulConfig(agents, services, file.wait_s, file.spread_s)
 
 
-def _convert(given: Any) -> _File:
+def _convert(document: Any) -> _File:
     try:
-        return msgspec.convert(given, _File)
+        return msgspec.convert(document, _File)
     except msgspec.ValidationError as error:
         path, text, is_named = key_and_text(str(error))
         if path in ("agents", "services") and (is_named or "length" in text):
@@ -159,48 +160,48 @@
     try:
         return Path(path).read_text(encoding="ascii").strip()
     except (OSError, ValueError) as error:
-        message = f"{path} can't be read: {type(error).__name__}"
+        message = f"{path} cannot be read: {type(error).__name__}"
         raise ValueError(message) from None
 
 
-def _service(given: _Service, number: int, token: str) -> Service:
+def _service(entry: _Service, number: int, token: str) -> Service:
     schedule = None
-    if given.schedule != _ALWAYS:
-        schedule = _parse_value(f"services[{number}].lent", DailySchedule, given.schedule)
+    if entry.schedule != _ALWAYS:
+        schedule = _parse_value(f"services[{number}].lent", DailySchedule, entry.schedule)
     return Service(
-        name=given.name,
+        name=entry.name,
         request_options=RequestOptions(
             token=token,
-            datacenter=given.datacenter,
-            namespace=given.namespace,
-            partition=given.partition,
-            mode=given.mode,
-            tags=given.tags,
-            filter=given.filter,
+            datacenter=entry.datacenter,
+            namespace=entry.namespace,
+            partition=entry.partition,
+            mode=entry.mode,
+            tags=entry.tags,
+            filter=entry.filter,
         ),
         mapping=InstanceMapping(
-            zone_key=given.meta.zone,
-            kind_key=given.meta.kind,
-            cell_key=given.meta.cell,
-            started_key=given.meta.started,
-            tagged_address=given.tagged_address,
-            default_zone=given.zone,
+            zone_key=entry.meta.zone,
+            kind_key=entry.meta.kind,
+            cell_key=entry.meta.cell,
+            started_key=entry.meta.started,
+            tagged_address=entry.tagged_address,
+            default_zone=entry.zone,
         ),
         trust=SourceTrust(
-            max_silence_s=given.max_silence_s,
-            empty_confirm_s=given.empty_confirm_s,
-            panic_threshold=given.panic_threshold,
-            flap_threshold=given.flap_threshold,
-            flap_window_s=given.flap_window_s,
-            removal_hold_s=given.removal_hold_s,
+            max_silence_s=entry.max_silence_s,
+            empty_confirm_s=entry.empty_confirm_s,
+            panic_threshold=entry.panic_threshold,
+            flap_threshold=entry.flap_threshold,
+            flap_window_s=entry.flap_window_s,
+            removal_hold_s=entry.removal_hold_s,
             is_available_at=schedule,
         ),
-        is_catalog=given.from_ == "catalog",
+        is_catalog=entry.from_ == "catalog",
     )
 
 
 class DailySchedule:
-    """Daily hours of UTC, `HH:MM-HH:MM`; over midnight if the second is the earlier one."""
+    """Daily hours in UTC, `HH:MM-HH:MM`; across midnight if the end is the earlier one."""
 
     def __init__(self, text: str) -> None:
         """Parse the hours; raise ValueError if they are malformed."""
@@ -208,7 +209,7 @@
         if match is None:
             message = f"'{_ALWAYS}' or HH:MM-HH:MM (UTC) is needed, not {text!r:.40}"
             raise ValueError(message)
-        begin_h, begin_m, end_h, end_m = (int(each) for each in match.groups())
+        begin_h, begin_m, end_h, end_m = (int(digits) for digits in match.groups())
         self._span = begin_h * 60 + begin_m, end_h * 60 + end_m  # minutes of the day
 
     def __eq__(self, other: object) -> bool:
--- a/micadeck/membership/consul/entries.py
+++ b/micadeck/membership/consul/entries.py
@@ -63,44 +63,44 @@
     checks: tuple[Check, ...] | None = None
 
 
-def parse_health(given: Any, first_number: int = 0) -> tuple[list[Instance], list[str]]:
+def parse_health(entries: Any, first_number: int = 0) -> tuple[list[Instance], list[str]]:
     """Read entries of the health API.
 
     Args:
-        given: The list of entries.
+        entries: The decoded list.
         first_number: The number of the first entry, for error messages.
 
     Returns:
         The instances with their checks, and a message about each malformed entry, which is left out.
 
     Raises:
-        ConsulError: `given` is not a list.
+        ConsulError: `entries` is no list.
     """
-    return _parse_entries(given, _health, first_number)
+    return _parse_entries(entries, _parse_health_entry, first_number)
 
 
-def parse_catalog(given: Any, first_number: int = 0) -> tuple[list[Instance], list[str]]:
+def parse_catalog(entries: Any, first_number: int = 0) -> tuple[list[Instance], list[str]]:
     """Read entries of the catalogue, which have no checks; see `parse_health`."""
-    return _parse_entries(given, _catalog, first_number)
+    return _parse_entries(entries, _parse_catalog_entry, first_number)
 
 
 def _parse_entries(
-    given: Any, read: Callable[[Mapping[str, Any], str], Instance], first_number: int
+    entries: Any, parse: Callable[[Mapping[str, Any], str], Instance], first_number: int
 ) -> tuple[list[Instance], list[str]]:
-    if not isinstance(given, list):
-        message = f"a list of entries is needed, not {given!r:.40}"
+    if not isinstance(entries, list):
+        message = f"a list of entries is needed, not {entries!r:.40}"
         raise ConsulError(message)
     instances: list[Instance] = []
     errors: list[str] = []
-    for number, each in enumerate(given, first_number):
+    for number, entry in enumerate(entries, first_number):
         try:
-            instances.append(read(require_object(each, f"[{number}]"), f"[{number}]"))
+            instances.append(parse(require_object(entry, f"[{number}]"), f"[{number}]"))
         except ConsulError as error:
             errors.append(str(error))
     return instances, errors
 
 
-def _health(entry: Mapping[str, Any], path: str) -> Instance:
+def _parse_health_entry(entry: Mapping[str, Any], path: str) -> Instance:
     node = require_object(entry.get("Node"), f"{path}.Node")
     service = require_object(entry.get("Service"), f"{path}.Service")
     checks = entry.get("Checks")
@@ -122,13 +122,13 @@
         passing_weight=_weight(weights, "Passing", f"{path}.Service.Weights"),
         warning_weight=_weight(weights, "Warning", f"{path}.Service.Weights"),
         checks=tuple(
-            _check(require_object(each, f"{path}.Checks[{number}]"), f"{path}.Checks[{number}]")
-            for number, each in enumerate(checks)
+            _parse_check(require_object(check, f"{path}.Checks[{number}]"), f"{path}.Checks[{number}]")
+            for number, check in enumerate(checks)
         ),
     )
 
 
-def _catalog(entry: Mapping[str, Any], path: str) -> Instance:
+def _parse_catalog_entry(entry: Mapping[str, Any], path: str) -> Instance:
     weights = entry.get("ServiceWeights")
     weights = require_object(weights, f"{path}.ServiceWeights") if weights is not None else {}
     return Instance(
@@ -149,19 +149,19 @@
     )
 
 
-def _check(given: Mapping[str, Any], path: str) -> Check:
-    status = given.get("Status")
+def _parse_check(check: Mapping[str, Any], path: str) -> Check:
+    status = check.get("Status")
     if status not in _STATUSES:
         raise ConsulFieldError(f"{path}.Status", f"one of {', '.join(_STATUSES)}", status)
-    return Check(_text(given, "CheckID", path), str(status), _text(given, "ServiceID", path, optional=True))
+    return Check(_text(check, "CheckID", path), str(status), _text(check, "ServiceID", path, optional=True))
 
 
-def _text(given: Mapping[str, Any], key: str, path: str, *, optional: bool = False) -> str:
-    value = given.get(key)
+def _text(container: Mapping[str, Any], key: str, path: str, *, optional: bool = False) -> str:
+    value = container.get(key)
     if optional and value is None:
         return ""
     if not isinstance(value, str) or not (value or optional):
-        raise ConsulFieldError(f"{path}.{key}", "a text", value)
+        raise ConsulFieldError(f"{path}.{key}", "a string", value)
     return value
 
 
@@ -178,25 +178,25 @@
     return value
 
 
-def _weight(given: Mapping[str, Any], key: str, path: str) -> int:
-    value = given.get(key, 1)
+def _weight(weights: Mapping[str, Any], key: str, path: str) -> int:
+    value = weights.get(key, 1)
     if type(value) is not int or not 0 <= value <= _MAX_WEIGHT:
-        raise ConsulFieldError(f"{path}.{key}", f"a whole number up to {_MAX_WEIGHT}", value)
+        raise ConsulFieldError(f"{path}.{key}", f"an integer from 0 to {_MAX_WEIGHT}", value)
     return value
 
 
-def _tagged_addresses(given: Any, path: str) -> dict[str, Address]:
-    if given is None:
+def _tagged_addresses(value: Any, path: str) -> dict[str, Address]:
+    if value is None:
         return {}
     tagged = {}
-    for name, each in require_object(given, path).items():
-        entry = require_object(each, f"{path}.{name}")
+    for name, tagged_value in require_object(value, path).items():
+        entry = require_object(tagged_value, f"{path}.{name}")
         address = _address(entry.get("Address"), f"{path}.{name}.Address")
         tagged[str(name)] = (address, _port(entry.get("Port"), f"{path}.{name}.Port"))
     return tagged
 
 
-def _meta(given: Any, path: str) -> dict[str, str]:
-    if given is None:
+def _meta(meta: Any, path: str) -> dict[str, str]:
+    if meta is None:
         return {}
-    return {str(key): str(value) for key, value in require_object(given, path).items()}
+    return {str(key): str(value) for key, value in require_object(meta, path).items()}
--- a/micadeck/membership/consul/protocol.py
+++ b/micadeck/membership/consul/protocol.py
@@ -26,10 +26,10 @@
 
 
 class ConsulError(MembershipError):
-    """Consul did not answer a call, or answered with something else than requested.
+    """Consul did not answer a call, or sent an unexpected response.
 
     Attributes:
-        retry_after_s: How long Consul asks to wait before the next call; 0 if it does not.
+        retry_after_s: The delay before the next call that Consul requested; 0 if none.
         is_forbidden: Whether the token lacks a permission, at this and at any other agent.
     """
 
@@ -55,7 +55,7 @@
 
     def __init__(self, reason: str) -> None:
         """Say what is wrong with the location."""
-        super().__init__(f"sent on to a place that can't be called: {reason}")
+        super().__init__(f"redirect to a location that cannot be called: {reason}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,10 +89,10 @@
             )
             if value
         ]
-        query += [("tag", each) for each in self.tags]
+        query += [("tag", tag) for tag in self.tags]
         if index:
             query += [("index", str(index)), ("wait", f"{max(int(wait_s * 1_000), 1)}ms")]
-        target = "?".join(each for each in (quote(path), urlencode(query, quote_via=quote)) if each)
+        target = "?".join(part for part in (quote(path), urlencode(query, quote_via=quote)) if part)
         if self.mode != "default":
             target += ("&" if "?" in target else "?") + self.mode
         headers: Headers = [(b"host", host.encode()), (b"accept-encoding", b"gzip")]
@@ -101,7 +101,7 @@
         return Request(b"GET", target.encode(), headers)
 
     def __repr__(self) -> str:
-        """Return a text without the token, fit for logs."""
+        """Return a text without the token, safe to log."""
         token = "set" if self.token else "none"
         return f"RequestOptions({self.mode}, dc={self.datacenter!r}, token={token})"
 
@@ -134,28 +134,28 @@
     if value is None:
         return 0
     if not value.isdigit() or len(value) > _MAX_HEADER_DIGITS:
-        message = f"{name.decode()}: {value!r:.40} is no number"
+        message = f"{name.decode()}: {value!r:.40} is not a number"
         raise ConsulError(message)
     return int(value)
 
 
 def read_body(response: Response) -> Any:
-    """Return the JSON of a response; raise ConsulError if it has another status or no JSON."""
+    """Return the JSON of a response; raise ConsulError if it is not 200 or not JSON."""
     check_status(response)
     try:
         return json.loads(b"".join(decompressed(response)))
     except (ValueError, RecursionError) as error:
-        message = f"the body is no JSON: {error}"
+        message = f"the body is not JSON: {error}"
         raise ConsulError(message) from None
 
 
 def check_status(response: Response) -> None:
     """Raise ConsulError if the status is not 200."""
     if response.status == 403:
-        message = "403: the token may not read this"
+        message = "403: the token lacks the permission to read this"
         raise ConsulError(message, is_forbidden=True)
     if response.status == 429:
-        message = "429: too many calls"
+        message = "429: Consul limits the rate of calls"
         raise ConsulError(message, retry_after_s=_retry_after(response))
     if response.status != 200:
         text = b"".join(decompressed(response))[:80].decode("utf-8", "replace").strip()
@@ -174,7 +174,7 @@
         yield response.body
         return
     if coding != b"gzip":
-        message = f"content-encoding {coding!r:.40} was not asked for"
+        message = f"content-encoding {coding!r:.40} was not requested"
         raise ConsulError(message)
     decompressor = zlib.decompressobj(wbits=31)
     compressed, size = response.body, 0
@@ -182,15 +182,15 @@
         try:
             piece = decompressor.decompress(compressed, _PIECE_BYTES)
         except zlib.error as error:
-            message = f"the body can't be unpacked: {error}"
+            message = f"the body cannot be decompressed: {error}"
             raise ConsulError(message) from None
         compressed = decompressor.unconsumed_tail
         if not piece and not compressed and not decompressor.eof:
-            message = "the packed body breaks off"
+            message = "the compressed body is truncated"
             raise ConsulError(message)
         size += len(piece)
-        if size > MAX_BODY_BYTES:  # a small body may decompress to more than the memory
-            message = "the body is over 4 MiB once unpacked"
+        if size > MAX_BODY_BYTES:  # a small body may decompress to more than fits into memory
+            message = "the body is over 4 MiB once decompressed"
             raise ConsulError(message)
         yield piece
 
@@ -201,7 +201,7 @@
 
 
 def redirect_target(response: Response) -> tuple[Address, bytes] | None:
-    """Return the address and target of a redirect; None if the response is none.
+    """Return the address and target of a redirect; None if the response is not one.
 
     Raises:
         RedirectError: The location cannot be called.
@@ -213,7 +213,7 @@
     except ValueError as error:
         raise RedirectError(str(error)) from None
     if location.scheme != "http":
-        reason = "http is needed"
+        reason = "only http is supported"
         raise RedirectError(reason)
     try:
         address = parse_address(location.netloc)
@@ -222,8 +222,8 @@
     return address, f"{location.path}?{location.query}".rstrip("?").encode("latin-1")
 
 
-def require_object(given: Any, path: str) -> Mapping[str, Any]:
-    """Return a JSON object; raise ConsulFieldError, naming its path, if it is none."""
-    if not isinstance(given, Mapping):
-        raise ConsulFieldError(path, "an object", given)
-    return given
+def require_object(value: Any, path: str) -> Mapping[str, Any]:
+    """Return a JSON object; raise ConsulFieldError with its path if it is not one."""
+    if not isinstance(value, Mapping):
+        raise ConsulFieldError(path, "an object", value)
+    return value
--- a/micadeck/membership/consul/source.py
+++ b/micadeck/membership/consul/source.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceUpdate:
-    """What an answer changes in a service's list, how old it may be and which agent sent it."""
+    """What an answer changes in a service's list, its maximum age and the agent that sent it."""
 
     change: EntriesChange
     lag_s: float
@@ -29,7 +29,7 @@
 
     Attributes:
         service: The name of the service.
-        mapping: Where an instance's properties stand.
+        mapping: Where to read an instance's properties.
         is_catalog: Whether to read the catalogue, which has no checks.
     """
 
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchCallbacks:
-    """Where a watch delivers.
+    """Callbacks of a watch.
 
     Attributes:
-        accepts_empty: Gets the agent of a list without entries; returns whether to accept it.  If not, it is
-            read again from the next agent.
-        on_update: Gets what every other answer changes.
-        on_failed: Gets what went wrong with a call, without the token.
-        on_partial_list: Called between the steps of a first list, of which all so far is kept.
+        accepts_empty: Receives the agent that sent an empty list; returns whether to accept it.  If not,
+            the next agent is called.
+        on_update: Receives the changes of every other answer.
+        on_failed: Receives the error of a failed call, without the token.
+        on_partial_list: Called between the steps of reading a first list; what was read is kept.
     """
 
     accepts_empty: Callable[[str], bool]
@@ -105,8 +105,8 @@
             try:
                 await self._poll_and_deliver()
             except Exception as error:
-                # Whatever it was: a watch that ended would leave its last list in force for ever.
-                self._start_over(error)
+                # Catches everything: if the watch ended, its last list would stay in use for ever.
+                self._restart(error)
 
     async def _poll_and_deliver(self) -> None:
         update = await self._poll()
@@ -114,12 +114,12 @@
             await self._network.sleep(0)
             await self._callbacks.on_update(update)
 
-    def _start_over(self, defect: Exception) -> None:
-        """Read the whole list anew with the next call: what was read may have been delivered in part."""
+    def _restart(self, error: Exception) -> None:
+        """Read the complete list with the next call: this one may be delivered in part."""
         self._view = self._new_view()
         self._query.discard_answer()
         self._query.record_failure()
-        self._callbacks.on_failed(f"internal error: {defect!r}")
+        self._callbacks.on_failed(f"internal error: {error!r}")
 
     async def _poll(self) -> ServiceUpdate | None:
         """Make the next call; return None if it failed, or its list is not accepted."""
@@ -150,4 +150,4 @@
         for _ in self._view.read(body):
             if not self._view.has_list:
                 self._callbacks.on_partial_list()
-            await self._network.sleep(0)  # a list of thousands must not delay requests
+            await self._network.sleep(0)  # a list of thousands of entries must not delay requests
--- a/micadeck/membership/consul/states.py
+++ b/micadeck/membership/consul/states.py
@@ -6,12 +6,12 @@
 | any other check of it or of its node critical | unhealthy | |
 | a check warning, none critical | ready | Weights.Warning |
 | all checks passing, or no check at all | ready | Weights.Passing |
-| the weight that holds is 0 | draining | |
+| the weight that applies is 0 | draining | |
 | not in the answer | removed, see `endpoint_merge` | |
 | from the catalogue, which has no checks | ready | Weights.Passing |
 
-Maintenance is a decision of an operator; a critical check is an automatic guess, which may be wrong.  Both
-keep new requests away; `endpoint_merge` treats many of them differently.
+Maintenance is an operator's decision; a critical check is automatic and may be wrong.  Both keep new requests
+away, but `endpoint_merge` uses some endpoints if too many are critical.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceMapping:
-    """Where an instance's properties stand.
+    """Where to read an instance's properties.
 
     Attributes:
         zone_key: The metadata key of its zone.
@@ -57,7 +57,7 @@
         server: Its name, which is its address.
         address: Its address.
         precedence: Its state.
-        reason: Why it has that state, for people.
+        reason: Why it has that state, as text.
         weight: Its load balancing weight.
         zone: Its locality.
         kind: Its type.
@@ -79,7 +79,7 @@
 
 
 def merge_registrations(registrations: Iterable[InstanceStatus]) -> InstanceStatus:
-    """Return the one of several registrations at an address that holds: the highest precedence."""
+    """Return that of several registrations at an address with the highest precedence."""
     statuses = list(registrations)
     if len(statuses) == 1:
         return statuses[0]
@@ -90,7 +90,7 @@
     """Map one registration."""
     own_address = (instance.address, instance.port)
     address = instance.tagged_addresses.get(mapping.tagged_address, own_address)
-    precedence, reason, weight = _health(instance)
+    precedence, reason, weight = _instance_health(instance)
     return InstanceStatus(
         server=format_address(address),
         address=address,
@@ -105,24 +105,24 @@
     )
 
 
-def _health(instance: Instance) -> tuple[Precedence, str, int]:
+def _instance_health(instance: Instance) -> tuple[Precedence, str, int]:
     """Return the state of an instance, the reason and the weight."""
     passing = instance.passing_weight
     if instance.checks is None:
-        return _weighted("in the catalogue", passing)
-    critical = [each for each in instance.checks if each.status == "critical"]
+        return _state_by_weight("in the catalogue", passing)
+    critical = [check for check in instance.checks if check.status == "critical"]
     for check in critical:
         if _is_maintenance(check, instance.service_id):
             return Precedence.DRAINING, f"maintenance: {check.check_id}", passing
     if critical:
         return Precedence.UNHEALTHY, f"critical: {critical[0].check_id}", passing
-    warning = next((each for each in instance.checks if each.status == "warning"), None)
+    warning = next((check for check in instance.checks if check.status == "warning"), None)
     if warning is not None:
-        return _weighted(f"warning: {warning.check_id}", instance.warning_weight)
-    return _weighted("passing", passing)
+        return _state_by_weight(f"warning: {warning.check_id}", instance.warning_weight)
+    return _state_by_weight("passing", passing)
 
 
-def _weighted(reason: str, weight: int) -> tuple[Precedence, str, int]:
+def _state_by_weight(reason: str, weight: int) -> tuple[Precedence, str, int]:
     if weight:
         return Precedence.READY, reason, weight
     return Precedence.DRAINING, "its weight is 0", weight
@@ -146,8 +146,8 @@
     """Detects restarted servers, which need a slow start.
 
     A server has restarted if it is registered under another node or service id at the same address, returns
-    after an absence, or its checks change from critical to passing; unless its metadata has its start.  One
-    in the first complete list has not.  Owns the last status and the detected start of each server.
+    after an absence, or its checks change from critical to passing; unless its metadata has its start.  Those
+    in the first complete list have not.  Owns the last status and detected start of each server.
     """
 
     def __init__(self) -> None:
@@ -164,13 +164,13 @@
         """
         name, before = status.server, self._last.get(status.server)
         is_new = before is None and self._has_complete_list
-        is_other = before is not None and before.registration != status.registration
+        is_reregistered = before is not None and before.registration != status.registration
         has_recovered = (
             before is not None
             and before.precedence is Precedence.UNHEALTHY
             and status.precedence is Precedence.READY
         )
-        if is_new or is_other or has_recovered:
+        if is_new or is_reregistered or has_recovered:
             self._detected_at[name] = now
         self._last[name] = status
         return status.started_at if status.started_at is not None else self._detected_at.get(name)
--- a/micadeck/membership/consul/view.py
+++ b/micadeck/membership/consul/view.py
@@ -37,7 +37,7 @@
     Attributes:
         is_complete: Whether nothing was known before.
         count: The number of entries in the answer.
-        observations: The new and changed endpoints; computed lazily, exhaust it before the next answer.
+        observations: The new and changed endpoints, computed lazily: consume it before the next answer.
         removed: The addresses that are no longer listed.
         addresses: All addresses that the answer lists.
         warnings: Messages about malformed and contradictory entries.
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class _Answer:
-    """An answer that is being read; entries are by digest, a malformed one is its error message."""
+    """An answer that is being read: its entries, or error messages, by digest."""
 
     entries: dict[bytes, InstanceStatus | str] = field(default_factory=dict)
     new: list[bytes] = field(default_factory=list)
@@ -66,8 +66,8 @@
         """Start without entries.
 
         Args:
-            mapping: Where an instance's properties stand.
-            is_catalog: Whether answers are the catalogue's, without checks.
+            mapping: Where to read an instance's properties.
+            is_catalog: Whether answers are of the catalogue, without checks.
         """
         self._mapping = mapping or InstanceMapping()
         self._parse = parse_catalog if is_catalog else parse_health
@@ -78,11 +78,11 @@
         self.has_list = False
 
     def read(self, body: bytes) -> Iterator[None]:
-        """Read an answer, `ENTRIES_PER_STEP` entries a step; raise ConsulError if it is no list."""
+        """Read an answer, `ENTRIES_PER_STEP` entries a step; raise ConsulError if it is not a list."""
         try:
             raw_entries = _LIST.decode(body)
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
-            message = f"the body is no list of entries in JSON: {error}"
+            message = f"the body is not a JSON list: {error}"
             raise ConsulError(message) from None
         answer = self._answer = _Answer()
         yield
@@ -125,7 +125,7 @@
         removed = [address for address in touched if not self._registrations[address]]
         for address in removed:
             del self._registrations[address]
-        changed = [each for each in touched if each in self._registrations]
+        changed = [address for address in touched if address in self._registrations]
         is_complete, self.has_list = not self.has_list, True
         self._restarts.forget(removed)
         return EntriesChange(
@@ -144,14 +144,14 @@
         self._restarts.complete_list()
 
     def _warnings(self) -> tuple[str, ...]:
-        warnings = [each for each in self._entries.values() if isinstance(each, str)]
+        warnings = [entry for entry in self._entries.values() if isinstance(entry, str)]
         warnings += [
             f"{next(iter(registrations.values())).server} is registered {len(registrations)} times"
             for registrations in self._registrations.values()
             if len(registrations) > 1
         ]
-        more = len(warnings) - _MAX_WARNINGS
-        return (*warnings[:_MAX_WARNINGS], *([f"and {more} more"] if more > 0 else []))
+        omitted = len(warnings) - _MAX_WARNINGS
+        return (*warnings[:_MAX_WARNINGS], *([f"and {omitted} more"] if omitted > 0 else []))
 
 
 def _observation(status: InstanceStatus, started_at: int | None) -> Observation:
--- a/tests/test_consul_choices.py
+++ b/tests/test_consul_choices.py
@@ -15,10 +15,10 @@
 from micadeck.membership.consul import (
     BlockingQuery,
     ConsulError,
+    IndexChange,
     Instance,
     InstanceMapping,
     InstanceStatus,
-    ReplyCheck,
     RequestOptions,
     ResponseMeta,
     RestartTracker,
@@ -60,13 +60,13 @@
 @pytest.mark.parametrize(
     ("response", "text"),
     [
-        (_answer(b"[", 200), "no JSON"),
+        (_answer(b"[", 200), "not JSON"),
         (_answer(b"No cluster leader", 500), "500: No cluster leader"),
         (_answer(b"", 403), "token"),
         (_answer(b"", 429), "429"),
         (_answer(b"x", 200, content_encoding="br"), "'br'"),
-        (_answer(b"x" * 40, 200, content_encoding="gzip"), "unpacked"),
-        (_answer(gzip.compress(b"[1, 2, 3]")[:-6], 200, content_encoding="gzip"), "breaks off"),
+        (_answer(b"x" * 40, 200, content_encoding="gzip"), "cannot be decompressed"),
+        (_answer(gzip.compress(b"[1, 2, 3]")[:-6], 200, content_encoding="gzip"), "truncated"),
         (_answer(gzip.compress(b" " * (5 << 20)), 200, content_encoding="gzip"), "4 MiB"),
     ],
 )
@@ -89,7 +89,7 @@
     assert sent == (("10.0.0.2", 8500), b"/v1/x?index=3")
     assert redirect_target(_answer()) is None
     for place in ("https://10.0.0.2:8501/", "http://consul.local:8500/", "", "http://10.0.0.2/"):
-        with pytest.raises(ConsulError, match="sent on"):
+        with pytest.raises(ConsulError, match="redirect to a location that cannot be called"):
             redirect_target(_answer(status=307, location=place))
 
 
@@ -104,11 +104,11 @@
 def test_the_first_call_reads_everything_and_the_next_waits_on_its_index() -> None:
     query = _query()
     assert (query.next_poll(0.0).index, query.next_poll(0.0).wait_s) == (0, 0.0)
-    assert query.record_answer(0.1, ResponseMeta(42)) is ReplyCheck.CHANGED
+    assert query.record_answer(0.1, ResponseMeta(42)) is IndexChange.CHANGED
     plan = query.next_poll(0.1)
     assert plan.index == 42 and plan.delay_s == 0.0
     assert 10.0 * 15 / 16 <= plan.wait_s <= 10.0 and plan.timeout_s > plan.wait_s * 17 / 16
-    assert query.record_answer(10.0, ResponseMeta(42)) is ReplyCheck.UNCHANGED
+    assert query.record_answer(10.0, ResponseMeta(42)) is IndexChange.UNCHANGED
     assert query.next_poll(10.0).delay_s == 0.0
 
 
@@ -118,7 +118,7 @@
     query.next_poll(0.0)
     query.record_answer(0.1, ResponseMeta(42))
     query.next_poll(0.1)
-    assert query.record_answer(0.2, ResponseMeta(index)) is ReplyCheck.INDEX_RESET
+    assert query.record_answer(0.2, ResponseMeta(index)) is IndexChange.INDEX_RESET
     assert query.next_poll(0.2).index == 0
 
 
--- a/tests/test_consul_client.py
+++ b/tests/test_consul_client.py
@@ -87,13 +87,14 @@
     [
         (Fault("status", status=500), "500: No cluster leader"),
         (Fault("status", status=429, text="slow down"), "429"),
-        (Fault("reset"), "broke|breaks off"),
-        (Fault("truncated"), "no JSON"),
+        (Fault("reset"), "lost|truncated"),
+        (Fault("truncated"), "not JSON"),
         (Fault("huge"), "4 MiB"),
         (Fault("hang"), "no answer in time"),
-        (Fault("trickle"), "no answer in time|breaks off"),
-        (Fault("redirect", to="consul.local:8500"), "sent on"),
-        (Fault("redirect", to="[::1"), "sent on"),  # against a location that no URL parser takes
+        (Fault("trickle"), "no answer in time|truncated"),
+        (Fault("redirect", to="consul.local:8500"), "redirect to a location that cannot be called"),
+        # against a location that no URL parser takes
+        (Fault("redirect", to="[::1"), "redirect to a location that cannot be called"),
     ],
     ids=lambda each: each.kind if isinstance(each, Fault) else "",
 )
--- a/tests/test_consul_show.py
+++ b/tests/test_consul_show.py
@@ -71,7 +71,7 @@
         ({**GOOD, "services": []}, "services"),
         ({**GOOD, "services": [{}]}, "services[0].name"),
         ({**GOOD, "services": [{"name": "a b"}]}, "services[0].name"),
-        ({**GOOD, "services": [{"name": "a"}, {"name": "a"}]}, "services: a name"),
+        ({**GOOD, "services": [{"name": "a"}, {"name": "a"}]}, "services: duplicate name"),
         ({**GOOD, "services": [{"name": "a", "mode": "fast"}]}, "services[0].mode"),
         ({**GOOD, "services": [{"name": "a", "in_use": 2}]}, "services[0].in_use"),
         ({**GOOD, "services": [{"name": "a", "lent": "9-5"}]}, "services[0].lent"),
@@ -121,8 +121,8 @@
         assert head.split() == ["NODE", "SOURCE", "STATE", "AGE", "WHY"]
         assert [each.split()[0:4] for each in lines] == [
             ["10.0.0.1:80", "tariff:", "ready", "ready"],
-            ["10.0.0.1:81", "tariff:", "doubtful", "draining"],
-            ["10.0.0.1:82", "tariff:", "drains", "draining"],
+            ["10.0.0.1:81", "tariff:", "unhealthy", "draining"],
+            ["10.0.0.1:82", "tariff:", "draining", "draining"],
         ]
         assert "critical: service:t-81" in lines[1] and "maintenance" in lines[2]
         agent.stop()
--- a/tests/test_consul_source.py
+++ b/tests/test_consul_source.py
@@ -208,7 +208,7 @@
         agent.faults.append(Fault("redirect", to="[::1"))
         await until(lambda: bool(listener.failures))
         await until(lambda: listener.lists > 0)
-        assert "can't be called" in listener.failures[0]
+        assert "cannot be called" in listener.failures[0]
         listener.watch.close()
         agent.stop()
 
