--- a/benchmarks/mysql_wire.py
+++ b/benchmarks/mysql_wire.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from micadeck.mysql.auth import Verifier, native_stored
-from micadeck.mysql.protocol.answers import Kind, Part, Row
+from micadeck.mysql.protocol.answers import Part, ResponseKind, Row
 from micadeck.mysql.server_connection import Credentials, ServerConnection
 from micadeck.network import LoopNetwork
 
@@ -96,14 +96,14 @@
     def make() -> ServerConnection:
         credentials = Credentials("sidecar", b"server-secret")
         return ServerConnection(
-            network, "", credentials, found_rows=False, most_in_packet=1 << 25, on_closed=lambda _: None
+            network, "", credentials, found_rows=False, max_packet_bytes=1 << 25, on_closed=lambda _: None
         )
 
     return await ServerConnection.open(make, network, (rig.HOST, port))
 
 
 async def ask(link: ServerConnection, part: Any, text: bytes = SELECT) -> None:
-    reader = await link.exchange(text, Kind.RESULT, part)
+    reader = await link.exchange(text, ResponseKind.RESULT, part)
     if reader.error is not None:
         raise RuntimeError(reader.error.text)
 
--- a/micadeck/mysql/__main__.py
+++ b/micadeck/mysql/__main__.py
@@ -19,7 +19,7 @@
 from micadeck.mysql.config import MysqlConfig, MysqlConfigError, load
 from micadeck.mysql.routes import Routes
 from micadeck.mysql.service import MysqlService
-from micadeck.mysql.statements import Reader
+from micadeck.mysql.statements import StatementReader
 from micadeck.network import LoopNetwork, format_address
 
 _DRAIN_S = 4.0
@@ -118,7 +118,7 @@
 def explain(path: str, statement: str, user: str, schema: str) -> None:
     """Say what STATEMENT is taken for, and by which class it would go."""
     config = _load(path)
-    read = Reader().read(statement.encode())
+    read = StatementReader().read(statement.encode())
     classes = {each.name: each for each in config.settings.classes}
     routes = Routes(config.rules, classes, [each.name for each in config.settings.tenants])
     route = routes.route(read, user, schema, is_bound=False)
--- a/micadeck/mysql/auth.py
+++ b/micadeck/mysql/auth.py
@@ -1,8 +1,8 @@
-"""Logging in, at both ends: scrambles, salted verifiers and the two dialogues, without input or output.
+"""Authentication: scrambles, salted verifiers and both sides of the log-in, without I/O.
 
-Towards clients `Gate` plays the server, towards servers `Login` plays the client.  Both are fed payloads and
-give payloads; what takes time (a salted hash) is asked of the caller as a `Check`, who may run it elsewhere.
-A password is held no longer than its check, a `repr` shows none, and no error quotes one.
+`ServerAuthentication` is the server's side, towards clients; `Login` is the client's side, towards servers.
+Both map payloads to payloads.  A slow salted hash is returned as a `PasswordCheck`, which the caller may run
+off the event loop.  Passwords are kept only until they are checked, and appear in no `repr` or error.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from micadeck.mysql.protocol.messages import Err
 from micadeck.mysql.protocol.wire import ProtocolError
 
-_SALT = 20
-_ASK_KEY = b"\x02"
-_FAST_OK = b"\x03"
-_FULL = b"\x04"
+_SALT_BYTES = 20
+_REQUEST_PUBLIC_KEY = b"\x02"
+_FAST_AUTH_SUCCESS = b"\x03"
+_FULL_AUTHENTICATION = b"\x04"
 _KEY_BITS = 2_048
 _SCRYPT_N, _SCRYPT_R, _SCRYPT_P = 1 << 14, 8, 1  # 16 MiB and about 40 ms a check
-_MOST_PASSWORD = 256
+_MAX_PASSWORD_BYTES = 256
 
 
 def new_salt() -> bytes:
-    """Twenty bytes without zero and `$`, which end texts and begin names in some clients."""
-    return bytes(secrets.choice(range(0x25, 0x7F)) for _ in range(_SALT))
+    """20 bytes without zero and `$`: some clients take these for delimiters."""
+    return bytes(secrets.choice(range(0x25, 0x7F)) for _ in range(_SALT_BYTES))
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -44,7 +44,7 @@
     return bytes(a ^ b for a, b in zip(one, other, strict=True))
 
 
-def native_answer(password: bytes, salt: bytes) -> bytes:
+def native_scramble(password: bytes, salt: bytes) -> bytes:
     """SHA1(password) XOR SHA1(salt + SHA1(SHA1(password)))."""
     if not password:
         return b""
@@ -52,15 +52,15 @@
     return _xor(first, hashlib.sha1(salt + hashlib.sha1(first).digest()).digest())
 
 
-def native_fits(answer: bytes, salt: bytes, stored: bytes) -> bool:
-    """Whether the answer comes from one who knows the password of which SHA1(SHA1(password)) is stored."""
-    if len(answer) != 20:
+def native_matches(response: bytes, salt: bytes, stored: bytes) -> bool:
+    """Check a response against the stored SHA1(SHA1(password))."""
+    if len(response) != 20:
         return False
-    first = _xor(answer, hashlib.sha1(salt + stored).digest())
+    first = _xor(response, hashlib.sha1(salt + stored).digest())
     return hmac.compare_digest(hashlib.sha1(first).digest(), stored)
 
 
-def sha2_answer(password: bytes, salt: bytes) -> bytes:
+def sha2_scramble(password: bytes, salt: bytes) -> bytes:
     """SHA256(password) XOR SHA256(SHA256(SHA256(password)) + salt)."""
     if not password:
         return b""
@@ -68,29 +68,29 @@
     return _xor(first, hashlib.sha256(hashlib.sha256(first).digest() + salt).digest())
 
 
-def sha2_fits(answer: bytes, salt: bytes, cached: bytes) -> bool:
-    """Whether the answer comes from one who knows the password of which SHA256(SHA256(..)) is cached."""
-    if len(answer) != 32:
+def sha2_matches(response: bytes, salt: bytes, cached_digest: bytes) -> bool:
+    """Check a response against the cached SHA256(SHA256(password))."""
+    if len(response) != 32:
         return False
-    first = _xor(answer, hashlib.sha256(cached + salt).digest())
-    return hmac.compare_digest(hashlib.sha256(first).digest(), cached)
+    first = _xor(response, hashlib.sha256(cached_digest + salt).digest())
+    return hmac.compare_digest(hashlib.sha256(first).digest(), cached_digest)
 
 
-def sha2_cached(password: bytes) -> bytes:
+def sha2_digest(password: bytes) -> bytes:
     return hashlib.sha256(hashlib.sha256(password).digest()).digest()
 
 
-def _masked(password: bytes, salt: bytes) -> bytes:
-    """A password and its zero byte, XORed with the salt over and over, as RSA carries it."""
-    clear = password + b"\0"
-    return bytes(each ^ salt[number % _SALT] for number, each in enumerate(clear))
+def _mask(password: bytes, salt: bytes) -> bytes:
+    """XOR a zero-terminated password with the repeated salt, as RSA encryption needs it."""
+    plaintext = password + b"\0"
+    return bytes(each ^ salt[number % _SALT_BYTES] for number, each in enumerate(plaintext))
 
 
 _PADDING = padding.OAEP(padding.MGF1(hashes.SHA1()), hashes.SHA1(), None)
 
 
 class KeyPair:
-    """The RSA key by which a password is sent over a connection without TLS."""
+    """The RSA key that encrypts passwords on connections without TLS."""
 
     def __init__(self) -> None:
         self._key = rsa.generate_private_key(65_537, _KEY_BITS)
@@ -98,27 +98,27 @@
             serialization.Encoding.PEM, serialization.PublicFormat.SubjectPublicKeyInfo
         )
 
-    def password(self, sealed: bytes, salt: bytes) -> bytes:
-        """Raise ProtocolError if it was not sealed for this key."""
+    def decrypt_password(self, ciphertext: bytes, salt: bytes) -> bytes:
+        """Decrypt a password; raise ProtocolError if this fails."""
         try:
-            masked = self._key.decrypt(sealed, _PADDING)
+            masked = self._key.decrypt(ciphertext, _PADDING)
         except ValueError:
             raise ProtocolError("password: it was not sealed for this key") from None
-        clear = bytes(each ^ salt[number % _SALT] for number, each in enumerate(masked))
-        if not clear.endswith(b"\0"):
+        plaintext = bytes(each ^ salt[number % _SALT_BYTES] for number, each in enumerate(masked))
+        if not plaintext.endswith(b"\0"):
             raise ProtocolError("password: no zero byte ends it")
-        return clear[:-1]
+        return plaintext[:-1]
 
 
-def seal(password: bytes, salt: bytes, public: bytes) -> bytes:
-    """A password for the owner of a public key in PEM; raise ProtocolError if it is none."""
+def encrypt_password(password: bytes, salt: bytes, public: bytes) -> bytes:
+    """Encrypt a password with a public key in PEM; raise ProtocolError if it is invalid."""
     try:
         key = serialization.load_pem_public_key(public)
     except ValueError:
-        raise ProtocolError("AuthMoreData: public key: it is no PEM") from None
+        raise ProtocolError("AuthMoreData: public key: not in PEM format") from None
     if not isinstance(key, rsa.RSAPublicKey):
-        raise ProtocolError("AuthMoreData: public key: it is no RSA key")
-    return key.encrypt(_masked(password, salt), _PADDING)
+        raise ProtocolError("AuthMoreData: public key: not an RSA key")
+    return key.encrypt(_mask(password, salt), _PADDING)
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verifier:
-    """What is kept of a password: `scrypt$SALT$HASH` in hexadecimal digits."""
+    """A password hash: `scrypt$SALT$HASH` in hexadecimal."""
 
     salt: bytes = field(repr=False)
     stored: bytes = field(repr=False)
@@ -151,8 +151,8 @@
     def text(self) -> str:
         return f"scrypt${self.salt.hex()}${self.stored.hex()}"
 
-    def fits(self, password: bytes) -> bool:
-        """Takes tens of milliseconds, whatever the outcome."""
+    def matches(self, password: bytes) -> bool:
+        """Takes tens of milliseconds in any case."""
         return hmac.compare_digest(_scrypt(self.salt).derive(password), self.stored)
 
 
@@ -161,7 +161,7 @@
 
 
 def parse_native(text: str) -> bytes:
-    """`*` and forty hexadecimal digits, as `mysql_native_password` is stored everywhere."""
+    """Parse MySQL's storage format of `mysql_native_password`: `*` and 40 hexadecimal digits."""
     try:
         stored = bytes.fromhex(text.removeprefix("*"))
     except ValueError:
@@ -177,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class User:
-    """One who may log in; without `native`, only by caching_sha2_password."""
+    """An account; without `native`, only for caching_sha2_password."""
 
     name: str
     verifier: Verifier
@@ -186,86 +186,86 @@
 
 
 class Users:
-    """Who may log in, and what was learnt of their passwords since the start.
+    """The accounts, and a cache of password digests for fast authentication.
 
-    The key pair is made here, before anybody can connect: it takes 0.04 to 0.3 s on an idle core, and an
-    event loop that made it at the first log-in would hold up every statement and every dial for so long.
+    The key pair is generated here, before clients connect: it takes 0.04 to 0.3 s on an idle core, and would
+    block the event loop, with all statements and dials, at the first log-in.
     """
 
     def __init__(self, users: Mapping[str, User], key: KeyPair | None = None) -> None:
         self.key = KeyPair() if key is None else key
         self._users = dict(users)
-        self._cached: dict[str, bytes] = {}
+        self._cached_digests: dict[str, bytes] = {}
         verifier = Verifier.of(secrets.token_bytes(16))
-        self._nobody = (User("", verifier, secrets.token_bytes(20)), User("", verifier))
-        self._unknown = secrets.token_bytes(32)  # of the fast path, for names that have none
+        self._dummy_users = (User("", verifier, secrets.token_bytes(20)), User("", verifier))
+        self._dummy_digest = secrets.token_bytes(32)  # for names without a cached digest
 
     def replace(self, users: Mapping[str, User]) -> None:
-        """Take over others; who changed must show the password again."""
-        for name in list(self._cached):
+        """Replace the accounts; changed ones lose their cached digest."""
+        for name in list(self._cached_digests):
             if users.get(name) != self._users.get(name):
-                del self._cached[name]
+                del self._cached_digests[name]
         self._users = dict(users)
 
     def get(self, name: str) -> User | None:
         return self._users.get(name)
 
-    def for_check(self, name: str) -> User:
-        """The user, or for an unknown name somebody whose check costs as much and always fails.
+    def user_or_dummy(self, name: str) -> User:
+        """The user, or for an unknown name a dummy whose check takes as long and always fails.
 
-        Which plugins such a one has is settled by the name: asking again tells nothing.
+        The name determines the dummy's plugins, so that repeated attempts reveal nothing.
         """
         user = self._users.get(name)
         if user is not None:
             return user
-        return self._nobody[hmac.digest(self._unknown, name.encode(), "sha256")[0] & 1]
+        return self._dummy_users[hmac.digest(self._dummy_digest, name.encode(), "sha256")[0] & 1]
 
-    def cached(self, name: str) -> bytes:
-        return self._cached.get(name, self._unknown)
+    def cached_digest(self, name: str) -> bytes:
+        return self._cached_digests.get(name, self._dummy_digest)
 
     def remember(self, name: str, password: bytes) -> None:
         if name in self._users:
-            self._cached[name] = sha2_cached(password)
+            self._cached_digests[name] = sha2_digest(password)
 
 
 # ---------------------------------------------------------------------------------------------------
-# Towards clients
+# The server's side
 
 
 @dataclass(frozen=True, slots=True)
 class SendPacket:
-    """Write this, and read on."""
+    """Send this payload, then read on."""
 
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Check:
-    """Call `run`, anywhere, and bring what it gives to `Gate.checked`."""
+class PasswordCheck:
+    """Call `run`, on any thread, and pass its result to `password_checked`."""
 
     run: Callable[[], bool] = field(repr=False)
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
-    """The client is who it says."""
+class Authenticated:
+    """The client is authenticated."""
 
     user: User
-    first: bytes | None = None  # written before the OK
+    first: bytes | None = None  # sent before the OK packet
 
 
 @dataclass(frozen=True, slots=True)
-class Denied:
-    """It is not, or nobody knows."""
+class AccessDenied:
+    """The log-in is rejected."""
 
     error: Err
 
 
-Step = SendPacket | Check | Admitted | Denied
+AuthStep = SendPacket | PasswordCheck | Authenticated | AccessDenied
 
 
-class Gate:
-    """The server's side of one log-in, from the client's first answer on."""
+class ServerAuthentication:
+    """The server's side of one log-in, after its handshake packet."""
 
     def __init__(self, users: Users, salt: bytes, host: str) -> None:
         self._users = users
@@ -273,72 +273,72 @@
         self._host = host
         self._name = ""
         self._plugin = b""
-        self._has_switched = False
+        self._awaits_switch_response = False
         self._awaits_key_or_password = False
         self._password: bytes | None = None
 
-    def begin(self, user: bytes, plugin: bytes, answer: bytes, *, switch: bool = False) -> Step:
-        """`switch` where the client could not know the salt, as in COM_CHANGE_USER."""
+    def begin(self, user: bytes, plugin: bytes, response: bytes, *, switch: bool = False) -> AuthStep:
+        """`switch` if the client can't know the salt, as in COM_CHANGE_USER."""
         self._name = user.decode("utf-8", "replace")
-        who = self._users.for_check(self._name)
-        wanted = plugin if plugin in (NATIVE, CACHING_SHA2) else CACHING_SHA2
-        if wanted == NATIVE and who.native is None:
-            wanted = CACHING_SHA2
-        self._plugin = wanted
-        if wanted != plugin or switch:
-            self._has_switched = True
-            return SendPacket(AuthSwitch(wanted, self._salt).encode())
-        return self._answered(answer)
-
-    def read(self, payload: bytes) -> Step:
-        """What the client sent next; raise ProtocolError on nonsense."""
-        if self._has_switched:
-            self._has_switched = False
-            return self._answered(payload)
+        account = self._users.user_or_dummy(self._name)
+        selected_plugin = plugin if plugin in (NATIVE, CACHING_SHA2) else CACHING_SHA2
+        if selected_plugin == NATIVE and account.native is None:
+            selected_plugin = CACHING_SHA2
+        self._plugin = selected_plugin
+        if selected_plugin != plugin or switch:
+            self._awaits_switch_response = True
+            return SendPacket(AuthSwitch(selected_plugin, self._salt).encode())
+        return self._check_response(response)
+
+    def read(self, payload: bytes) -> AuthStep:
+        """Handle the client's next payload; raise ProtocolError if malformed."""
+        if self._awaits_switch_response:
+            self._awaits_switch_response = False
+            return self._check_response(payload)
         if not self._awaits_key_or_password:
             raise ProtocolError("authentication: nothing was asked for")
-        if payload == _ASK_KEY:
+        if payload == _REQUEST_PUBLIC_KEY:
             return SendPacket(more_data(self._users.key.public))
         self._awaits_key_or_password = False
-        password = self._password = self._users.key.password(payload, self._salt)
-        if len(password) > _MOST_PASSWORD:
-            raise ProtocolError(f"password: over {_MOST_PASSWORD} bytes")
-        verifier = self._users.for_check(self._name).verifier
-        return Check(lambda: verifier.fits(password))
+        password = self._password = self._users.key.decrypt_password(payload, self._salt)
+        if len(password) > _MAX_PASSWORD_BYTES:
+            raise ProtocolError(f"password: over {_MAX_PASSWORD_BYTES} bytes")
+        verifier = self._users.user_or_dummy(self._name).verifier
+        return PasswordCheck(lambda: verifier.matches(password))
 
-    def checked(self, fits: bool) -> Step:
+    def password_checked(self, matches: bool) -> AuthStep:
         password, self._password = self._password, None
         user = self._users.get(self._name)
-        if not fits or user is None or password is None:
+        if not matches or user is None or password is None:
             return self._denied("YES")
         self._users.remember(self._name, password)
-        return Admitted(user)
+        return Authenticated(user)
 
-    def _answered(self, answer: bytes) -> Step:
-        if answer in (b"", b"\0"):
-            return self._denied("NO")  # nobody here is without a password
+    def _check_response(self, response: bytes) -> AuthStep:
+        if response in (b"", b"\0"):
+            return self._denied("NO")  # empty passwords are not supported
         if self._plugin == NATIVE:
-            who = self._users.for_check(self._name)
-            if native_fits(answer, self._salt, who.native or b"") and self._users.get(self._name):
-                return Admitted(who)
+            account = self._users.user_or_dummy(self._name)
+            if native_matches(response, self._salt, account.native or b"") and self._users.get(self._name):
+                return Authenticated(account)
             return self._denied("YES")
         user = self._users.get(self._name)
-        if sha2_fits(answer, self._salt, self._users.cached(self._name)) and user is not None:
-            return Admitted(user, more_data(_FAST_OK))
+        if sha2_matches(response, self._salt, self._users.cached_digest(self._name)) and user is not None:
+            return Authenticated(user, more_data(_FAST_AUTH_SUCCESS))
         self._awaits_key_or_password = True
-        return SendPacket(more_data(_FULL))
+        return SendPacket(more_data(_FULL_AUTHENTICATION))
 
-    def _denied(self, used: str) -> Denied:
-        text = f"Access denied for user '{self._name}'@'{self._host}' (using password: {used})"
-        return Denied(Err(ErrorCode.ACCESS_DENIED, "28000", text))
+    def _denied(self, using_password: str) -> AccessDenied:
+        text = f"Access denied for user '{self._name}'@'{self._host}' (using password: {using_password})"
+        return AccessDenied(Err(ErrorCode.ACCESS_DENIED, "28000", text))
 
 
 # ---------------------------------------------------------------------------------------------------
-# Towards servers
+# The client's side
 
 
 class LoginFailed(Exception):
-    """A server did not let this program in; `error` is what it said, if it did."""
+    """A server rejected the log-in; `error` is its error packet, if any."""
 
     def __init__(self, text: str, error: Err | None = None) -> None:
         super().__init__(text)
@@ -346,39 +346,39 @@
 
 
 class Login:
-    """The client's side of one log-in, from the greeting on."""
+    """The client's side of one log-in, after the server's handshake packet."""
 
     def __init__(self, password: bytes, plugin: bytes, salt: bytes) -> None:
         self._password = password
         self._plugin = plugin if plugin in (NATIVE, CACHING_SHA2) else CACHING_SHA2
         self._salt = salt
-        self._asked_key = False
+        self._requested_key = False
 
     @property
     def plugin(self) -> bytes:
         return self._plugin
 
-    def answer(self) -> bytes:
-        scramble = native_answer if self._plugin == NATIVE else sha2_answer
+    def auth_response(self) -> bytes:
+        scramble = native_scramble if self._plugin == NATIVE else sha2_scramble
         return scramble(self._password, self._salt)
 
     def read(self, payload: bytes) -> bytes | None:
-        """The answer to a packet of the dialogue; None if there is none.  OK and ERR are not for here."""
+        """The reply to an authentication packet, if it needs one; the caller handles OK and ERR."""
         if payload[:1] == b"\xfe":
             switch = AuthSwitch.decode(payload)
             if switch.plugin not in (NATIVE, CACHING_SHA2):
-                raise LoginFailed(f"the plugin {switch.plugin.decode('latin-1')!r:.60} is not known here")
+                raise LoginFailed(f"the plugin {switch.plugin.decode('latin-1')!r:.60} is not supported")
             self._plugin, self._salt = switch.plugin, switch.salt
-            return self.answer()
+            return self.auth_response()
         if payload[:1] != b"\x01" or self._plugin != CACHING_SHA2:
-            raise ProtocolError("authentication: a packet that belongs to no dialogue")
+            raise ProtocolError("authentication: unexpected packet")
         data = payload[1:]
-        if data == _FAST_OK:
+        if data == _FAST_AUTH_SUCCESS:
             return None
-        if data == _FULL:
-            self._asked_key = True
-            return _ASK_KEY
-        if self._asked_key:
-            self._asked_key = False
-            return seal(self._password, self._salt, data)
-        raise ProtocolError("AuthMoreData: nothing was asked for")
+        if data == _FULL_AUTHENTICATION:
+            self._requested_key = True
+            return _REQUEST_PUBLIC_KEY
+        if self._requested_key:
+            self._requested_key = False
+            return encrypt_password(self._password, self._salt, data)
+        raise ProtocolError("AuthMoreData: no data was requested")
--- a/micadeck/mysql/charsets.py
+++ b/micadeck/mysql/charsets.py
@@ -1,4 +1,4 @@
-"""Collation numbers of the handshake, as SET NAMES takes them (INFORMATION_SCHEMA.COLLATIONS)."""
+"""Collation ids of the handshake as arguments of SET NAMES (from INFORMATION_SCHEMA.COLLATIONS)."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     int(number): name
     for number, name in (each.split() for each in _COLLATIONS.replace("\n", "|").split("|") if each)
 }
-_FROM_8_0 = range(255, 324)  # utf8mb4 collations that older servers do not know: their charset alone is put
+_FROM_8_0 = range(255, 324)  # utf8mb4 collations that older servers lack: only the character set is sent
 
 
 def names_of(collation: int) -> str | None:
-    """The argument of SET NAMES, or None if the number is unknown here."""
+    """The argument of SET NAMES, or None for an unknown id."""
     if collation in _FROM_8_0:
         return "utf8mb4"
     name = _BY_ID.get(collation)
--- a/micadeck/mysql/client_session.py
+++ b/micadeck/mysql/client_session.py
@@ -11,43 +11,39 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, cast
 
-from micadeck.mysql.auth import Admitted, Check, Denied, Gate, SendPacket, Step, User, new_salt
-from micadeck.mysql.charsets import names_of
-from micadeck.mysql.error_mapping import (
-    TABLE,
-    ClientError,
-    StatementFault,
-    Transaction,
-    was,
+from micadeck.mysql.auth import (
+    AccessDenied,
+    Authenticated,
+    AuthStep,
+    PasswordCheck,
+    SendPacket,
+    ServerAuthentication,
+    User,
+    new_salt,
 )
+from micadeck.mysql.charsets import names_of
+from micadeck.mysql.error_mapping import TABLE, ClientError, StatementFailure, Transaction, statement_context
 from micadeck.mysql.protocol.answers import (
     Definition,
     DefinitionsEnd,
-    Head,
-    Kind,
     Part,
-    ResultEnd,
+    ResponseKind,
+    ResultsetEnd,
+    ResultsetHeader,
     Row,
-    Words,
-)
-from micadeck.mysql.protocol.constants import (
-    Capability,
-    Command,
-    CursorType,
-    ErrorCode,
-    Status,
+    TextPacket,
 )
-from micadeck.mysql.protocol.handshake import ChangeUser, Greeting, Response
-from micadeck.mysql.protocol.messages import Column, Err, Ok, Prepared
-from micadeck.mysql.protocol.packets import PacketReader, TooLarge
+from micadeck.mysql.protocol.constants import Capability, Command, CursorType, ErrorCode, Status
+from micadeck.mysql.protocol.handshake import ChangeUser, Handshake, HandshakeResponse
+from micadeck.mysql.protocol.messages import Column, Err, Ok, PrepareOk
+from micadeck.mysql.protocol.packets import PacketReader, PacketTooLargeError
 from micadeck.mysql.protocol.wire import Cursor, ProtocolError, lenenc
 from micadeck.mysql.response_writer import ResponseWriter
 from micadeck.mysql.running_statement import RunningStatement
 from micadeck.mysql.server_connection import ServerConnection
 from micadeck.mysql.session import Handle, Session, TooMuch
-from micadeck.mysql.statements import Kind as Does
-from micadeck.mysql.statements import Pin, Refusal, Statement
-from micadeck.mysql.transport import Answer, StatementRequest
+from micadeck.mysql.statements import Kind, Pin, Refusal, Statement
+from micadeck.mysql.transport import Response, StatementRequest
 from micadeck.network import Timer
 
 if TYPE_CHECKING:
@@ -74,7 +70,7 @@
 VERSION = b"8.0.36-micadeck"
 _MOST_AT_LOGIN = 1 << 16
 _MOST_AHEAD = 1 << 16  # bytes that a client may send behind a statement that is not answered
-_READ = Statement(Does.READ, is_closed=True)
+_READ = Statement(Kind.READ, pure_calls=True)
 _TIME_SPARE_US = 5_000  # the decisions give up a few ticks before the time is over
 _DIAGNOSTICS_S = 0.5  # how long what a statement left is kept for a client to ask for
 
@@ -93,8 +89,8 @@
         self._writer = ResponseWriter()
         self._transport: asyncio.Transport | None = None
         self._salt = new_salt()
-        self._gate: Gate | None = None
-        self._pending: Response | ChangeUser | None = None
+        self._gate: ServerAuthentication | None = None
+        self._pending: HandshakeResponse | ChangeUser | None = None
         self.session: Session | None = None
         self._user: User | None = None
         self._running: RunningStatement | None = None
@@ -120,8 +116,8 @@
             self._close_soon()
             return
         front.clients.add(self)
-        greeting = Greeting(VERSION, self._number & 0xFFFFFFFF, self._salt, OFFERED)
-        self._writer.write(greeting.encode())
+        handshake = Handshake(VERSION, self._number & 0xFFFFFFFF, self._salt, OFFERED)
+        self._writer.write(handshake.encode())
         self._packets.sequence = 1
         self._set_timer(front.limits.login_s, self.close)
 
@@ -137,7 +133,7 @@
             self._fatal(Err(ErrorCode.PACKET_TOO_LARGE, "08S01", "too many bytes of unfinished packets"))
             return
         self._next()
-        if self._running is not None and self._packets.held > _MOST_AHEAD and self._transport is not None:
+        if self._running is not None and self._packets.size > _MOST_AHEAD and self._transport is not None:
             # Guards others: one client that sends on and on must not take the room of all.
             self._is_held = True
             self._transport.pause_reading()
@@ -146,10 +142,10 @@
         self._is_choked = True
         if (
             self._running is not None
-            and self._running.call is not None
-            and self._running.call.link is not None
+            and self._running.stream is not None
+            and self._running.stream.connection is not None
         ):
-            self._running.call.link.hold()
+            self._running.stream.connection.pause_reading()
         self._stall = self.front.network.call_later(self.front.limits.stall_s, self.close)
 
     def resume_writing(self) -> None:
@@ -158,16 +154,16 @@
             self._stall.cancel()
         if (
             self._running is not None
-            and self._running.call is not None
-            and self._running.call.link is not None
+            and self._running.stream is not None
+            and self._running.stream.connection is not None
         ):
-            self._running.call.link.go_on()
+            self._running.stream.connection.resume_reading()
         self._next()
 
     # Reading
 
     def _count(self) -> None:
-        now = self._packets.held
+        now = self._packets.size
         self.front.read += now - self._counted
         self._counted = now
 
@@ -186,7 +182,7 @@
                     self._command(payload)
                 else:
                     self._logging_in(payload)
-        except TooLarge as fault:
+        except PacketTooLargeError as fault:
             self._writer.sequence = (self._packets.sequence + 1) & 0xFF  # the packet was not read to its end
             self._fatal(Err(ErrorCode.PACKET_TOO_LARGE, "08S01", str(fault)))
         except ProtocolError as fault:
@@ -204,31 +200,31 @@
         if self._gate is not None:
             self._step(self._gate.read(payload))
             return
-        response = Response.decode(payload)
+        response = HandshakeResponse.decode(payload)
         self._writer.capabilities = response.capabilities & OFFERED
         self._pending = response
-        self._gate = Gate(self.front.users, self._salt, "client")
-        self._step(self._gate.begin(response.user, response.plugin, response.answer))
+        self._gate = ServerAuthentication(self.front.users, self._salt, "client")
+        self._step(self._gate.begin(response.user, response.plugin, response.auth_response))
 
-    def _step(self, step: Step) -> None:
+    def _step(self, step: AuthStep) -> None:
         match step:
             case SendPacket(payload):
                 self._writer.write(payload)
                 self._packets.sequence = self._writer.sequence
-            case Check():
+            case PasswordCheck():
                 self.front.spawn(step, self)
-            case Denied(error):
+            case AccessDenied(error):
                 user = self._pending.user.decode("utf-8", "replace") if self._pending else ""
                 self.front.log(f"mysql: log-in of {user!r:.60} denied")
                 self._fatal(error)
-            case Admitted(user, first):
+            case Authenticated(user, first):
                 if first is not None:
                     self._writer.write(first)
                 self._admitted(user)
 
     def checked(self, fits: bool) -> None:
         if self._gate is not None and not self._is_closing:
-            self._step(self._gate.checked(fits))
+            self._step(self._gate.password_checked(fits))
             self._next()
 
     def _admitted(self, user: User) -> None:
@@ -247,7 +243,7 @@
         self.session = Session(
             user.name, self._writer.capabilities, names, schema, limits.most_handles, limits.most_long_data
         )
-        self._packets.most = limits.most_in_packet
+        self._packets.max_payload_bytes = limits.most_in_packet
         self._answer(Ok())
 
     # Commands
@@ -308,9 +304,10 @@
                 if (error := _may_use(self._user, payload[1:])) is not None:
                     self._answer(error)
                 else:
-                    self._run(Statement(Does.USE, schema=payload[1:], is_closed=True), payload, Kind.RESULT)
+                    use = Statement(Kind.USE, schema=payload[1:], pure_calls=True)
+                    self._run(use, payload, ResponseKind.RESULT)
             case Command.STATISTICS:
-                self._answer(Words(self.front.statistics().encode()))
+                self._answer(TextPacket(self.front.statistics().encode()))
             case Command.SET_OPTION:
                 self._set_option(payload, session)
             case Command.RESET_CONNECTION:
@@ -332,19 +329,19 @@
             self._refuse(ErrorCode.NOT_SUPPORTED, "42000", statement.refusal.value)
         elif statement.count > 1 and not session.multi:
             self._refuse(ErrorCode.PARSE, "42000", "several statements, and CLIENT_MULTI_STATEMENTS is off")
-        elif statement.kind is Does.USE and (error := _may_use(self._user, statement.schema)) is not None:
+        elif statement.kind is Kind.USE and (error := _may_use(self._user, statement.schema)) is not None:
             self._answer(error)
-        elif statement.own is not None and not session.pins and not self._is_lost:
-            value = session.insert_id if statement.own == "last_insert_id" else session.row_count
+        elif statement.session_value is not None and not session.pins and not self._is_lost:
+            value = session.insert_id if statement.session_value == "last_insert_id" else session.row_count
             self._answer_value(_title(text), value)
         elif self._ends_nothing(statement, session):
             self._answer(Ok(status=session.status))
         else:
-            self._run(statement, bytes((Command.QUERY,)) + text, Kind.RESULT)
+            self._run(statement, bytes((Command.QUERY,)) + text, ResponseKind.RESULT)
 
     def _ends_nothing(self, statement: Statement, session: Session) -> bool:
         """COMMIT and ROLLBACK where no transaction is open: there is nothing that a server could do."""
-        is_end = statement.kind in (Does.COMMIT, Does.ROLLBACK)
+        is_end = statement.kind in (Kind.COMMIT, Kind.ROLLBACK)
         return is_end and not session.pins and not self._is_lost and self._link is None
 
     def _set_option(self, payload: bytes, session: Session) -> None:
@@ -353,16 +350,16 @@
             self._refuse(ErrorCode.UNKNOWN_COM, "08S01", f"COM_SET_OPTION: option: there is no {option}")
             return
         session.multi = option == 0
-        self._answer(ResultEnd(session.status, 0))
+        self._answer(ResultsetEnd(session.status, 0))
 
     def _change_user(self, payload: bytes, session: Session) -> None:
         change = ChangeUser.decode(payload)
         self._let_go()
         self._pending = change
         self._salt = new_salt()
-        self._gate = Gate(self.front.users, self._salt, "client")
+        self._gate = ServerAuthentication(self.front.users, self._salt, "client")
         self._set_timer(self.front.limits.login_s, self.close)
-        self._step(self._gate.begin(change.user, change.plugin, change.answer, switch=True))
+        self._step(self._gate.begin(change.user, change.plugin, change.auth_response, switch=True))
 
     # Prepared statements
 
@@ -376,7 +373,7 @@
             return
         if len(session.handles) >= self.front.limits.most_handles:
             raise TooMuch(f"over {self.front.limits.most_handles} prepared statements in one session")
-        running = self._run(_READ, bytes((Command.STMT_PREPARE,)) + text, Kind.PREPARED)
+        running = self._run(_READ, bytes((Command.STMT_PREPARE,)) + text, ResponseKind.PREPARED)
         if running is not None:
             running.handle = Handle(text, statement, 0, session.schema)
 
@@ -395,13 +392,13 @@
             if read.integer(1, "new-params-bound flag"):
                 handle.types = read.take(2 * handle.parameters, "types")
             elif not handle.types:
-                raise read.fault("new-params-bound flag", "types were never bound")
+                raise read.error("new-params-bound flag", "types were never bound")
             command += nulls + b"\x01" + handle.types + read.rest()
         statement = handle.statement
         if cursor:
             statement = _with_cursor(statement)
             session.cursors.add(number)
-        self._run(statement, command, Kind.RESULT, handle=handle)
+        self._run(statement, command, ResponseKind.RESULT, handle=handle)
 
     def _fetch(self, payload: bytes, session: Session) -> None:
         read = Cursor(payload, "COM_STMT_FETCH", 1)
@@ -411,7 +408,7 @@
         if handle is None or number not in session.cursors:
             self._no_such_statement(number, "FETCH")
             return
-        self._run(_FETCH, payload, Kind.FETCHED, handle=handle)
+        self._run(_FETCH, payload, ResponseKind.FETCHED, handle=handle)
 
     def _reset_statement(self, payload: bytes, session: Session) -> None:
         number = Cursor(payload, "COM_STMT_RESET", 1).integer(4, "statement id")
@@ -422,7 +419,7 @@
         session.clear_long_data(handle)
         if number in session.cursors and self._link is not None:
             session.end_cursor(number)
-            self._run(_FETCH, payload, Kind.RESULT, handle=handle)
+            self._run(_FETCH, payload, ResponseKind.RESULT, handle=handle)
         else:
             self._answer(Ok(status=session.status))
 
@@ -433,7 +430,7 @@
             key = (self._link.state.schema, handle.text)
             known = self._link.prepared.pop(key, None)
             if known is not None:
-                self._link.tell(bytes((Command.STMT_CLOSE,)) + known.statement.to_bytes(4, "little"))
+                self._link.send(bytes((Command.STMT_CLOSE,)) + known.statement_id.to_bytes(4, "little"))
         session.close(number)
         if self._link is not None and not session.pins:
             self._let_go()
@@ -446,7 +443,7 @@
     # Running
 
     def _run(
-        self, statement: Statement, command: bytes, kind: Kind, *, handle: Handle | None = None
+        self, statement: Statement, command: bytes, kind: ResponseKind, *, handle: Handle | None = None
     ) -> RunningStatement | None:
         session, front = self.session, self.front
         assert session is not None
@@ -455,24 +452,24 @@
         if had_diagnostics and self._link is not None and not session.pins:
             self._let_go(clean=True)
         if statement.needs_diagnostics and self._link is None and not self._is_lost:
-            if statement.kind is Does.WRITE and kind is Kind.RESULT and not statement.pins:
+            if statement.kind is Kind.WRITE and kind is ResponseKind.RESULT and not statement.pins:
                 self._nothing_left(statement)
                 return None
         is_bound = self._link is not None or self._is_lost
         route = front.routes.route(statement, session.user, _text(session.schema), is_bound=is_bound)
-        row = was(
+        row = statement_context(
             statement,
             in_transaction=session.in_transaction,
             has_state=session.has_state_there,
             is_safe=route.is_safe,
-            is_doubtful=session.is_doubtful,
+            transaction_may_be_over=session.is_doubtful,
         )
         running = RunningStatement(
             self, statement, row, front.network.now() + route.deadline_us - _TIME_SPARE_US
         )
         if self._is_lost:
             self._running = running
-            self.failed(running, StatementFault.REFUSED)
+            self.failed(running, StatementFailure.REFUSED)
             return None
         self._commands += 1
         running.request = request = StatementRequest(
@@ -490,7 +487,7 @@
             command=command,
             kind=kind,
             sink=running,
-            link=self._link,
+            connection=self._link,
             handle=handle,
         )
         self._running = running
@@ -503,8 +500,8 @@
         """SHOW WARNINGS and its like, with nothing to show: else the connection would have been kept."""
         if "show" in statement.shape.lower()[:8]:
             columns = [Column(name) for name in (b"Level", b"Code", b"Message")]
-            parts: list[Part] = [Head(3), *(Definition(each.encode()) for each in columns), DefinitionsEnd()]
-            self._writer.write_parts([*parts, ResultEnd(Status.AUTOCOMMIT, 0)])
+            parts: list[Part] = [ResultsetHeader(3), *(Definition(each.encode()) for each in columns)]
+            self._writer.write_parts([*parts, DefinitionsEnd(), ResultsetEnd(Status.AUTOCOMMIT, 0)])
             self._idle()
         else:
             self._refuse(
@@ -513,9 +510,9 @@
                 "what the last statement left is not kept; ask within a transaction",
             )
 
-    def served(self, running: RunningStatement, answer: Answer) -> None:
+    def served(self, running: RunningStatement, answer: Response) -> None:
         """The one final answer, from a server."""
-        session, link = self.session, answer.link
+        session, link = self.session, answer.connection
         assert session is not None and self._running is running
         self._running = None
         error = answer.reader.error
@@ -532,7 +529,7 @@
             session.failed()
         elif running.handle is None:
             oks = [each for each in answer.parts if isinstance(each, Ok)]
-            ends = [each for each in answer.parts if isinstance(each, (Ok, ResultEnd))]
+            ends = [each for each in answer.parts if isinstance(each, (Ok, ResultsetEnd))]
             warnings = ends[-1].warnings if ends else 0
             status = answer.reader.status
             session.answered(running.statement, status, oks[-1] if oks else None, warnings)
@@ -555,7 +552,7 @@
         self._is_lost = session.connection_lost()
         return False
 
-    def failed(self, running: RunningStatement, befell: StatementFault) -> None:
+    def failed(self, running: RunningStatement, befell: StatementFailure) -> None:
         """The one final answer, from here."""
         session = self.session
         assert session is not None and self._running is running
@@ -563,7 +560,7 @@
         fate = TABLE[running.row, befell]
         request = running.request
         if (
-            befell is StatementFault.REFUSED
+            befell is StatementFailure.REFUSED
             and request is not None
             and request.error is not None
             and not session.pins
@@ -610,20 +607,20 @@
 
     def _write_prepared(self, handle: Handle, parts: list[Part], session: Session) -> None:
         prepared = parts[0]
-        assert isinstance(prepared, Prepared)
-        handle.parameters = prepared.parameters
+        assert isinstance(prepared, PrepareOk)
+        handle.parameters = prepared.parameter_count
         number = session.prepare(handle)
-        told: list[Part] = [Prepared(number, prepared.columns, prepared.parameters, prepared.warnings)]
-        self._writer.write_parts(told + parts[1:])
+        ok = PrepareOk(number, prepared.column_count, prepared.parameter_count, prepared.warnings)
+        self._writer.write_parts([ok, *parts[1:]])
 
     def _answer(self, part: Part) -> None:
         self._writer.write_parts([part])
         self._idle()
 
     def _answer_value(self, title: bytes, value: int) -> None:
-        column = Column(title, kind=8, length=21, charset=63, flags=0x81)
-        parts: list[Part] = [Head(1), Definition(column.encode()), DefinitionsEnd()]
-        parts += [Row(lenenc(b"%d" % value)), ResultEnd(Status.AUTOCOMMIT, 0)]
+        column = Column(title, column_type=8, length=21, charset=63, flags=0x81)
+        parts: list[Part] = [ResultsetHeader(1), Definition(column.encode()), DefinitionsEnd()]
+        parts += [Row(lenenc(b"%d" % value)), ResultsetEnd(Status.AUTOCOMMIT, 0)]
         self._writer.write_parts(parts)
         self._idle()
 
@@ -701,8 +698,8 @@
         if running is not None:
             if running.number is not None:
                 self.front.engine.client_disconnected(running.number)
-            if running.call is not None:
-                running.call.abandon()
+            if running.stream is not None:
+                running.stream.abort()
             if link is not None:
                 link.close()
         elif link is not None:
@@ -712,11 +709,11 @@
 
 _WITHOUT_ANSWER = frozenset((Command.STMT_CLOSE, Command.STMT_SEND_LONG_DATA, Command.QUIT))
 _WITHOUT_SERVER = _WITHOUT_ANSWER | {Command.PING, Command.STMT_RESET, Command.RESET_CONNECTION}
-_FETCH = Statement(Does.OPAQUE, frozenset((Pin.CURSOR,)))
+_FETCH = Statement(Kind.OPAQUE, frozenset((Pin.CURSOR,)))
 
 
 def _with_cursor(statement: Statement) -> Statement:
-    return replace(statement, kind=Does.OPAQUE, pins=statement.pins | {Pin.CURSOR})
+    return replace(statement, kind=Kind.OPAQUE, pins=statement.pins | {Pin.CURSOR})
 
 
 def _may_use(user: User | None, schema: bytes | None) -> Err | None:
--- a/micadeck/mysql/config.py
+++ b/micadeck/mysql/config.py
@@ -16,7 +16,7 @@
 from micadeck.membership.consul.config import load as load_consul
 from micadeck.mysql.auth import User, Verifier, parse_native
 from micadeck.mysql.listener import ListenerLimits
-from micadeck.mysql.pool import Limits
+from micadeck.mysql.pool import PoolLimits
 from micadeck.mysql.routes import Rule
 from micadeck.mysql.server_connection import Credentials
 from micadeck.mysql.transport import TransportLimits
@@ -186,13 +186,13 @@
             idle_bound_s=limits.idle_bound_s,
         ),
         carrier=TransportLimits(
-            pool=Limits(
+            pool=PoolLimits(
                 limits.connections, limits.connections_per_server, int(limits.idle_connection_s * 1e6)
             ),
-            hold=limits.hold_bytes,
-            hold_all=limits.hold_all_bytes,
-            most_in_packet=limits.packet_bytes,
-            may_kill=file.kill,
+            max_held_bytes=limits.hold_bytes,
+            max_total_held_bytes=limits.hold_all_bytes,
+            max_packet_bytes=limits.packet_bytes,
+            can_kill=file.kill,
         ),
     )
 
--- a/micadeck/mysql/listener.py
+++ b/micadeck/mysql/listener.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 
 from micadeck.engine import Engine
-from micadeck.mysql.auth import Check, Step, Users
+from micadeck.mysql.auth import AuthStep, PasswordCheck, Users
 from micadeck.mysql.client_session import ClientSession
 from micadeck.mysql.routes import Routes
-from micadeck.mysql.statements import Reader
+from micadeck.mysql.statements import StatementReader
 from micadeck.mysql.transport import MysqlTransport
 from micadeck.network import Address, Listener, Network
 
@@ -54,7 +54,7 @@
         self.routes = routes
         self.limits = limits
         self.log = log
-        self.reader = Reader()
+        self.reader = StatementReader()
         self.checks = asyncio.Semaphore(_CHECKS_AT_ONCE)
         self.clients: set[ClientSession] = set()
         self.read = 0  # bytes of unfinished packets
@@ -94,8 +94,8 @@
         held = "; ".join(f"{reason}: {count}" for reason, count in reasons.most_common())
         return (
             f"Clients: {len(self.clients)}  Open: {self.engine.open_requests}"
-            f"  Connections: {self.carrier.pool.count}  Held bytes: {self.carrier.held}"
-            f"  Shapes read: {self.reader.read_anew}  Held for: {held or 'nothing'}"
+            f"  Connections: {self.carrier.pool.count}  Held bytes: {self.carrier.held_bytes}"
+            f"  Shapes read: {self.reader.cache_misses}  Held for: {held or 'nothing'}"
         )
 
     def close(self) -> None:
@@ -105,9 +105,9 @@
         for each in list(self.clients):
             each.close()
 
-    def spawn(self, work: Step, client: ClientSession) -> None:
+    def spawn(self, work: AuthStep, client: ClientSession) -> None:
         """Run a check off the event loop, a few at a time."""
-        assert isinstance(work, Check)
+        assert isinstance(work, PasswordCheck)
 
         async def check() -> None:
             async with self.checks:
--- a/micadeck/mysql/pool.py
+++ b/micadeck/mysql/pool.py
@@ -1,7 +1,7 @@
-"""Which connection carries an attempt: one pass over the pool's state says what to do.  No I/O.
+"""Connection pool: chooses the connection for an attempt.  No I/O.
 
-Connections are of a server and of a kind (what was agreed on at log-in can't be changed later).  Open ones
-are in use or at rest; those at rest are used again the latest first, so that the oldest can close.
+Connections belong to a server and a kind (what was negotiated at log-in can't change later).  The most
+recently used idle connection is reused first, so that the others can reach the idle timeout and close.
 """
 
 from __future__ import annotations
@@ -15,53 +15,53 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """How many connections there may be, and for how long one may rest."""
+class PoolLimits:
+    """Limits on the number of connections and on their idle time."""
 
-    most: int
-    most_per_server: int
+    max_connections: int
+    max_connections_per_server: int
     idle_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Use(Generic[C]):
-    """This one is at rest and fits."""
+    """Reuse this idle connection."""
 
     connection: C
 
 
 @dataclass(frozen=True, slots=True)
 class Dial(Generic[C]):
-    """Open one, and close these first."""
+    """Close these connections, then dial a new one."""
 
     close: tuple[C, ...] = ()
 
 
 @unique
 class Full(Enum):
-    """There is room for none."""
+    """Which connection limit is reached."""
 
     SERVER = "server"
     ALL = "all"
 
 
 class _Server(Generic[C]):
-    __slots__ = ("dialling", "in_use", "rest")
+    __slots__ = ("dialling", "idle", "in_use")
 
     def __init__(self) -> None:
-        self.rest: list[tuple[C, Hashable, int]] = []  # with its kind and since when, the latest last
+        self.idle: list[tuple[C, Hashable, int]] = []  # connection, kind, idle since; latest last
         self.in_use: set[C] = set()
         self.dialling = 0
 
     @property
     def count(self) -> int:
-        return len(self.rest) + len(self.in_use) + self.dialling
+        return len(self.idle) + len(self.in_use) + self.dialling
 
 
 class Pool(Generic[C]):
     """All connections to servers; times are microseconds."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: PoolLimits) -> None:
         self.limits = limits
         self._servers: dict[str, _Server[C]] = {}
         self._owners: dict[C, str] = {}
@@ -71,95 +71,95 @@
     def count(self) -> int:
         return len(self._owners) + self._dialling
 
-    def at_rest(self, server: str) -> int:
-        held = self._servers.get(server)
-        return len(held.rest) if held is not None else 0
+    def idle_count(self, server: str) -> int:
+        entry = self._servers.get(server)
+        return len(entry.idle) if entry is not None else 0
 
-    def in_use(self, server: str) -> int:
-        held = self._servers.get(server)
-        return len(held.in_use) if held is not None else 0
+    def in_use_count(self, server: str) -> int:
+        entry = self._servers.get(server)
+        return len(entry.in_use) if entry is not None else 0
 
     def assign(self, server: str, kinds: Sequence[Hashable], now: int) -> Use[C] | Dial[C] | Full:
-        """What carries an attempt now; of several kinds that will do, the first is wanted most.
+        """Choose a connection for an attempt; `kinds` are in order of preference.
 
-        After `Use` the connection is in use; `Dial` is followed by `opened` or `failed`.
+        After `Use` the connection is in use; after `Dial` call `opened` or `dial_failed`.
         """
-        held = self._servers.setdefault(server, _Server())
+        entry = self._servers.setdefault(server, _Server())
         for kind in kinds:
-            for at in range(len(held.rest) - 1, -1, -1):
-                connection, its_kind, since = held.rest[at]
-                if its_kind == kind and now - since < self.limits.idle_us:
-                    del held.rest[at]
-                    held.in_use.add(connection)
+            for index in range(len(entry.idle) - 1, -1, -1):
+                connection, idle_kind, since = entry.idle[index]
+                if idle_kind == kind and now - since < self.limits.idle_us:
+                    del entry.idle[index]
+                    entry.in_use.add(connection)
                     return Use(connection)
         close: list[C] = []
-        if held.count >= self.limits.most_per_server:
-            if not held.rest:
+        if entry.count >= self.limits.max_connections_per_server:
+            if not entry.idle:
                 return Full.SERVER
-            close.append(held.rest[0][0])
-        elif self.count >= self.limits.most:
+            close.append(entry.idle[0][0])
+        elif self.count >= self.limits.max_connections:
             oldest = self._oldest()
             if oldest is None:
-                self._forget_if_empty(server)
+                self._remove_if_empty(server)
                 return Full.ALL
             close.append(oldest)
-        held.dialling += 1
+        entry.dialling += 1
         self._dialling += 1
         for each in close:
             self.closed(each)
         return Dial(tuple(close))
 
     def _oldest(self) -> C | None:
-        resting = [each.rest[0] for each in self._servers.values() if each.rest]
-        return min(resting, key=lambda each: each[2])[0] if resting else None
+        idle = [each.idle[0] for each in self._servers.values() if each.idle]
+        return min(idle, key=lambda each: each[2])[0] if idle else None
 
     def opened(self, server: str, connection: C) -> None:
-        """A dial came up; the connection is in use."""
-        self.failed(server)
+        """Record a new connection as in use."""
+        self.dial_failed(server)
         self._servers.setdefault(server, _Server()).in_use.add(connection)
         self._owners[connection] = server
 
-    def failed(self, server: str) -> None:
-        """A dial came to nothing."""
-        held = self._servers[server]
-        held.dialling -= 1
+    def dial_failed(self, server: str) -> None:
+        """Record a failed dial."""
+        entry = self._servers[server]
+        entry.dialling -= 1
         self._dialling -= 1
-        self._forget_if_empty(server)
+        self._remove_if_empty(server)
 
-    def freed(self, connection: C, kind: Hashable, now: int) -> bool:
-        """It is clean and no longer in use; False: nothing holds it any more, and it must be closed."""
+    def release(self, connection: C, kind: Hashable, now: int) -> bool:
+        """Make a clean connection idle; False if it is not in the pool and must be closed."""
         server = self._owners.get(connection)
         if server is None:
             return False
-        held = self._servers[server]
-        held.in_use.discard(connection)
-        held.rest.append((connection, kind, now))
+        entry = self._servers[server]
+        entry.in_use.discard(connection)
+        entry.idle.append((connection, kind, now))
         return True
 
     def closed(self, connection: C) -> None:
-        """It is gone, or about to be."""
+        """Remove a connection that is closed or about to be."""
         server = self._owners.pop(connection, None)
         if server is None:
             return
-        held = self._servers[server]
-        held.in_use.discard(connection)
-        held.rest = [each for each in held.rest if each[0] != connection]
-        self._forget_if_empty(server)
-
-    def resting(self, server: str) -> list[C]:
-        """All that rest at a server; they are closed, or `closed` is called for each."""
-        held = self._servers.get(server)
-        return [each[0] for each in held.rest] if held is not None else []
-
-    def old(self, now: int) -> list[C]:
-        """Those that have rested for too long."""
+        entry = self._servers[server]
+        entry.in_use.discard(connection)
+        entry.idle = [each for each in entry.idle if each[0] != connection]
+        self._remove_if_empty(server)
+
+    def idle(self, server: str) -> list[C]:
+        """Idle connections of a server, for the caller to close."""
+        entry = self._servers.get(server)
+        return [each[0] for each in entry.idle] if entry is not None else []
+
+    def expired(self, now: int) -> list[C]:
+        """Connections over the idle timeout."""
         return [
             connection
-            for held in self._servers.values()
-            for connection, _, since in held.rest
+            for entry in self._servers.values()
+            for connection, _, since in entry.idle
             if now - since >= self.limits.idle_us
         ]
 
-    def _forget_if_empty(self, server: str) -> None:
+    def _remove_if_empty(self, server: str) -> None:
         if self._servers[server].count == 0:
             del self._servers[server]
--- a/micadeck/mysql/protocol/__init__.py
+++ b/micadeck/mysql/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""The MySQL client/server protocol without input or output: packets, the connection phase, answers.
+"""The MySQL client/server protocol without I/O: packets, the connection phase, responses.
 
-Written from the public protocol text (MySQL Source Code Documentation, "Client/Server Protocol").
+It follows the MySQL Source Code Documentation, "Client/Server Protocol".
 """
--- a/micadeck/mysql/protocol/constants.py
+++ b/micadeck/mysql/protocol/constants.py
@@ -1,16 +1,16 @@
-"""Numbers of the MySQL client/server protocol, by the names of its public text."""
+"""Constants of the MySQL client/server protocol, with its documented names."""
 
 from __future__ import annotations
 
 from enum import IntEnum, IntFlag, unique
 
-MOST_IN_PACKET = 0xFF_FF_FF  # bytes of a payload's piece; a piece that is full is followed by another
+MAX_PAYLOAD_BYTES = 0xFF_FF_FF  # per packet; a payload continues after a packet of this length
 NULL = 0xFB
 LOCAL_INFILE = 0xFB
 
 
 class Capability(IntFlag):
-    """What a client and a server may agree on (Protocol::CapabilityFlags)."""
+    """Protocol::CapabilityFlags."""
 
     LONG_PASSWORD = 1
     FOUND_ROWS = 1 << 1
@@ -43,7 +43,7 @@
 
 
 class Status(IntFlag):
-    """SERVER_STATUS_flags of OK and EOF."""
+    """SERVER_STATUS flags of OK and EOF packets."""
 
     IN_TRANS = 1
     AUTOCOMMIT = 2
@@ -63,7 +63,7 @@
 
 @unique
 class Command(IntEnum):
-    """The first byte of a command."""
+    """First byte of a command."""
 
     SLEEP = 0x00
     QUIT = 0x01
@@ -100,7 +100,7 @@
 
 
 class ErrorCode(IntEnum):
-    """The server errors that this program reads or writes."""
+    """Server errors that the sidecar reads or writes."""
 
     CON_COUNT = 1040
     HANDSHAKE = 1043
@@ -124,7 +124,7 @@
 
 
 class CursorType(IntFlag):
-    """Flags of STMT_EXECUTE."""
+    """Flags of COM_STMT_EXECUTE."""
 
     READ_ONLY = 1
     FOR_UPDATE = 2
@@ -134,4 +134,4 @@
 
 NATIVE = b"mysql_native_password"
 CACHING_SHA2 = b"caching_sha2_password"
-UTF8MB4 = 45  # utf8mb4_general_ci, known to all servers since 5.5
+UTF8MB4 = 45  # utf8mb4_general_ci, supported by all servers since 5.5
--- a/micadeck/mysql/protocol/messages.py
+++ b/micadeck/mysql/protocol/messages.py
@@ -1,4 +1,4 @@
-"""OK, ERR, EOF and column definitions, read and written for what both ends agreed on."""
+"""OK, ERR, EOF and column definition packets, encoded for the negotiated capabilities."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ok:
-    """OK_Packet.  `state` is the session-state information, as it came."""
+    """OK_Packet; `state` is the raw session tracking information."""
 
     affected: int = 0
     last_insert_id: int = 0
@@ -20,7 +20,7 @@
     state: bytes = b""
 
     def encode(self, capabilities: Capability, head: int = 0x00) -> bytes:
-        """`head` is 0xFE where it stands for an EOF (CLIENT_DEPRECATE_EOF)."""
+        """`head` is 0xFE in place of an EOF packet (CLIENT_DEPRECATE_EOF)."""
         status, tail = self.status, self.info
         if capabilities & Capability.SESSION_TRACK:
             if not self.state:
@@ -41,18 +41,18 @@
 
     @classmethod
     def decode(cls, payload: bytes, capabilities: Capability) -> Ok:
-        read = Cursor(payload, "OK", 1)
-        affected = read.lenenc_int("affected rows")
-        last_insert_id = read.lenenc_int("last insert id")
-        status = Status(read.integer(2, "status flags"))
-        warnings = read.integer(2, "warnings")
+        cursor = Cursor(payload, "OK", 1)
+        affected = cursor.lenenc_int("affected rows")
+        last_insert_id = cursor.lenenc_int("last insert id")
+        status = Status(cursor.integer(2, "status flags"))
+        warnings = cursor.integer(2, "warnings")
         info = state = b""
         if not capabilities & Capability.SESSION_TRACK:
-            info = read.rest()
-        elif read.left:
-            info = read.lenenc("info")
+            info = cursor.rest()
+        elif cursor.remaining:
+            info = cursor.lenenc("info")
             if status & Status.SESSION_STATE_CHANGED:
-                state = read.lenenc("session state info")
+                state = cursor.lenenc("session state info")
         return cls(affected, last_insert_id, status, warnings, info, state)
 
 
@@ -70,10 +70,10 @@
 
     @classmethod
     def decode(cls, payload: bytes) -> Err:
-        read = Cursor(payload, "ERR", 1)
-        code = read.integer(2, "error code")
-        rest, state = read.rest(), "HY000"
-        if rest[:1] == b"#" and len(rest) >= 6:  # not in errors from before the handshake
+        cursor = Cursor(payload, "ERR", 1)
+        code = cursor.integer(2, "error code")
+        rest, state = cursor.rest(), "HY000"
+        if rest[:1] == b"#" and len(rest) >= 6:  # errors before the handshake have no SQL state
             state, rest = rest[1:6].decode("latin-1"), rest[6:]
         return cls(code, state, rest.decode("utf-8", "surrogateescape"))
 
@@ -90,9 +90,9 @@
 
     @classmethod
     def decode(cls, payload: bytes) -> Eof:
-        read = Cursor(payload, "EOF", 1)
-        warnings = read.integer(2, "warnings")
-        return cls(Status(read.integer(2, "status flags")), warnings)
+        cursor = Cursor(payload, "EOF", 1)
+        warnings = cursor.integer(2, "warnings")
+        return cls(Status(cursor.integer(2, "status flags")), warnings)
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     """Protocol::ColumnDefinition41."""
 
     name: bytes
-    kind: int = 0xFD  # VAR_STRING
+    column_type: int = 0xFD  # VAR_STRING
     length: int = 1_024
     charset: int = UTF8MB4
     flags: int = 0
@@ -115,50 +115,51 @@
             + b"\x0c"
             + self.charset.to_bytes(2, "little")
             + self.length.to_bytes(4, "little")
-            + bytes((self.kind,))
+            + bytes((self.column_type,))
             + self.flags.to_bytes(2, "little")
             + bytes((self.decimals, 0, 0))
         )
 
     @classmethod
     def decode(cls, payload: bytes) -> Column:
-        read = Cursor(payload, "ColumnDefinition41")
-        read.lenenc("catalog")
-        schema, table = read.lenenc("schema"), read.lenenc("table")
-        read.lenenc("org_table")
-        name = read.lenenc("name")
-        read.lenenc("org_name")
-        read.lenenc_int("length of fixed fields")
-        charset = read.integer(2, "character set")
-        length = read.integer(4, "column length")
-        kind = read.integer(1, "type")
-        flags = read.integer(2, "flags")
-        return cls(name, kind, length, charset, flags, read.integer(1, "decimals"), schema, table)
+        cursor = Cursor(payload, "ColumnDefinition41")
+        cursor.lenenc("catalog")
+        schema, table = cursor.lenenc("schema"), cursor.lenenc("table")
+        cursor.lenenc("org_table")
+        name = cursor.lenenc("name")
+        cursor.lenenc("org_name")
+        cursor.lenenc_int("length of fixed fields")
+        charset = cursor.integer(2, "character set")
+        length = cursor.integer(4, "column length")
+        column_type = cursor.integer(1, "type")
+        flags = cursor.integer(2, "flags")
+        return cls(name, column_type, length, charset, flags, cursor.integer(1, "decimals"), schema, table)
 
 
 @dataclass(frozen=True, slots=True)
-class Prepared:
+class PrepareOk:
     """COM_STMT_PREPARE_OK."""
 
-    statement: int
-    columns: int
-    parameters: int
+    statement_id: int
+    column_count: int
+    parameter_count: int
     warnings: int = 0
 
     def encode(self) -> bytes:
         return (
             b"\0"
-            + self.statement.to_bytes(4, "little")
-            + self.columns.to_bytes(2, "little")
-            + self.parameters.to_bytes(2, "little")
+            + self.statement_id.to_bytes(4, "little")
+            + self.column_count.to_bytes(2, "little")
+            + self.parameter_count.to_bytes(2, "little")
             + b"\0"
             + self.warnings.to_bytes(2, "little")
         )
 
     @classmethod
-    def decode(cls, payload: bytes) -> Prepared:
-        read = Cursor(payload, "COM_STMT_PREPARE_OK", 1)
-        statement, columns = read.integer(4, "statement id"), read.integer(2, "columns")
-        parameters = read.integer(2, "parameters")
-        read.take(1, "filler")
-        return cls(statement, columns, parameters, read.integer(2, "warnings") if read.left else 0)
+    def decode(cls, payload: bytes) -> PrepareOk:
+        cursor = Cursor(payload, "COM_STMT_PREPARE_OK", 1)
+        statement_id, columns = cursor.integer(4, "statement id"), cursor.integer(2, "columns")
+        parameters = cursor.integer(2, "parameters")
+        cursor.take(1, "filler")
+        warnings = cursor.integer(2, "warnings") if cursor.remaining else 0
+        return cls(statement_id, columns, parameters, warnings)
--- a/micadeck/mysql/protocol/packets.py
+++ b/micadeck/mysql/protocol/packets.py
@@ -1,62 +1,61 @@
-"""Packets: a length of three bytes, a sequence number, a payload; long ones in pieces of 16 MiB - 1."""
+"""Packets: a 3-byte length, a sequence id and a payload, which is split at 16 MiB - 1."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from micadeck.mysql.protocol.constants import MOST_IN_PACKET
+from micadeck.mysql.protocol.constants import MAX_PAYLOAD_BYTES
 from micadeck.mysql.protocol.wire import ProtocolError
 
-_HEAD = 4
+_HEADER_BYTES = 4
 
 
-class TooLarge(ProtocolError):
-    """A payload is longer than the reader was told to take."""
+class PacketTooLargeError(ProtocolError):
+    """A payload is over the reader's limit."""
 
 
 class PacketReader:
-    """Bytes in, whole payloads out.  It never holds more than `most` bytes of a payload and one chunk.
+    """Splits a byte stream into payloads; buffers at most `max_payload_bytes` and one chunk.
 
-    `sequence` is the number the next packet must bear; whoever begins an exchange sets it to 0, whoever
-    answers goes on from it.  A wrong number, and a payload that is too large, raise ProtocolError: after
-    that nothing more can be read.
+    `sequence` is the expected sequence id: 0 at the start of a command, else continued from the last packet.
+    A wrong id and a payload over the limit raise ProtocolError; the reader is unusable afterwards.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_payload_bytes: int) -> None:
+        self.max_payload_bytes = max_payload_bytes
         self.sequence = 0
         self._buffer = bytearray()
         self._pieces = bytearray()
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing lies here that was not given out."""
+        """Whether nothing is buffered."""
         return not self._buffer and not self._pieces
 
     @property
-    def held(self) -> int:
-        """Bytes that lie here."""
+    def size(self) -> int:
+        """Bytes buffered."""
         return len(self._buffer) + len(self._pieces)
 
     def feed(self, data: bytes) -> None:
         self._buffer += data
 
     def next(self, *, from_zero: bool = False) -> bytes | None:
-        """The next payload, if it is whole; `from_zero` if it begins an exchange."""
-        while len(self._buffer) >= _HEAD:
+        """The next payload, if complete; `from_zero` at the start of a command."""
+        while len(self._buffer) >= _HEADER_BYTES:
             length = int.from_bytes(self._buffer[:3], "little")
             if from_zero and not self._pieces:
                 self.sequence = 0
             if self._buffer[3] != self.sequence:
                 raise ProtocolError(f"packet: sequence: {self.sequence} is needed, not {self._buffer[3]}")
-            if len(self._pieces) + length > self.most:
-                raise TooLarge(f"packet: length: over {self.most} bytes")
-            if len(self._buffer) < _HEAD + length:
+            if len(self._pieces) + length > self.max_payload_bytes:
+                raise PacketTooLargeError(f"packet: length: over {self.max_payload_bytes} bytes")
+            if len(self._buffer) < _HEADER_BYTES + length:
                 return None
-            payload = bytes(memoryview(self._buffer)[_HEAD : _HEAD + length])
-            del self._buffer[: _HEAD + length]
+            payload = bytes(memoryview(self._buffer)[_HEADER_BYTES : _HEADER_BYTES + length])
+            del self._buffer[: _HEADER_BYTES + length]
             self.sequence = (self.sequence + 1) & 0xFF
-            if length == MOST_IN_PACKET:
+            if length == MAX_PAYLOAD_BYTES:
                 self._pieces += payload
                 continue
             if self._pieces:
@@ -71,12 +70,12 @@
 
 
 def frame(payload: bytes, sequence: int) -> tuple[bytes, int]:
-    """The payload as packets that begin with this number, and the number after the last."""
-    if len(payload) < MOST_IN_PACKET:
+    """The payload as packets from this sequence id on, and the next sequence id."""
+    if len(payload) < MAX_PAYLOAD_BYTES:
         return len(payload).to_bytes(3, "little") + bytes((sequence,)) + payload, (sequence + 1) & 0xFF
     out = bytearray()
-    for at in range(0, len(payload) + 1, MOST_IN_PACKET):
-        piece = payload[at : at + MOST_IN_PACKET]
+    for offset in range(0, len(payload) + 1, MAX_PAYLOAD_BYTES):
+        piece = payload[offset : offset + MAX_PAYLOAD_BYTES]
         out += len(piece).to_bytes(3, "little") + bytes((sequence,)) + piece
         sequence = (sequence + 1) & 0xFF
     return bytes(out), sequence
--- a/micadeck/mysql/protocol/wire.py
+++ b/micadeck/mysql/protocol/wire.py
@@ -1,10 +1,10 @@
-"""Integers and strings of the wire: writing them, and a cursor that reads them within a payload's bounds."""
+"""Encodes and decodes the protocol's integers and strings, within a payload's bounds."""
 
 from __future__ import annotations
 
 
 class ProtocolError(Exception):
-    """What came is not of the protocol; the text names the packet and the field."""
+    """Malformed input; the text names the packet and the field."""
 
 
 def lenenc_int(value: int) -> bytes:
@@ -24,28 +24,28 @@
 
 
 class Cursor:
-    """Reads a payload from its begin to its end; every complaint names the packet."""
+    """Reads a payload from start to end; its errors name the packet."""
 
-    __slots__ = ("_at", "_data", "_packet")
+    __slots__ = ("_data", "_offset", "_packet")
 
-    def __init__(self, data: bytes, packet: str, at: int = 0) -> None:
+    def __init__(self, data: bytes, packet: str, offset: int = 0) -> None:
         self._data = data
         self._packet = packet
-        self._at = at
+        self._offset = offset
 
-    def fault(self, field: str, what: str) -> ProtocolError:
-        return ProtocolError(f"{self._packet}: {field}: {what}")
+    def error(self, field: str, reason: str) -> ProtocolError:
+        return ProtocolError(f"{self._packet}: {field}: {reason}")
 
     @property
-    def left(self) -> int:
-        return len(self._data) - self._at
+    def remaining(self) -> int:
+        return len(self._data) - self._offset
 
     def take(self, count: int, field: str) -> bytes:
-        if count > self.left:
-            raise self.fault(field, f"{count} bytes are needed, {self.left} are left")
-        taken = self._data[self._at : self._at + count]
-        self._at += count
-        return taken
+        if count > self.remaining:
+            raise self.error(field, f"{count} bytes are needed, {self.remaining} are left")
+        data = self._data[self._offset : self._offset + count]
+        self._offset += count
+        return data
 
     def integer(self, width: int, field: str) -> int:
         return int.from_bytes(self.take(width, field), "little")
@@ -56,21 +56,21 @@
             return first
         width = {0xFC: 2, 0xFD: 3, 0xFE: 8}.get(first)
         if width is None:
-            raise self.fault(field, f"0x{first:02x} begins no length")
+            raise self.error(field, f"0x{first:02x} begins no length")
         return self.integer(width, field)
 
     def lenenc(self, field: str) -> bytes:
         return self.take(self.lenenc_int(field), field)
 
-    def zero_ended(self, field: str) -> bytes:
-        end = self._data.find(b"\0", self._at)
+    def null_terminated(self, field: str) -> bytes:
+        end = self._data.find(b"\0", self._offset)
         if end < 0:
-            raise self.fault(field, "no zero byte ends it")
-        text = self._data[self._at : end]
-        self._at = end + 1
+            raise self.error(field, "no zero byte ends it")
+        text = self._data[self._offset : end]
+        self._offset = end + 1
         return text
 
     def rest(self) -> bytes:
-        rest = self._data[self._at :]
-        self._at = len(self._data)
+        rest = self._data[self._offset :]
+        self._offset = len(self._data)
         return rest
--- a/micadeck/mysql/response_writer.py
+++ b/micadeck/mysql/response_writer.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from micadeck.mysql.protocol.answers import Part, Row, encode
-from micadeck.mysql.protocol.constants import MOST_IN_PACKET, Capability
+from micadeck.mysql.protocol.constants import MAX_PAYLOAD_BYTES, Capability
 from micadeck.mysql.protocol.packets import frame
 
 
@@ -43,7 +43,7 @@
             payload = each.payload if type(each) is Row else encode(each, capabilities)
             if payload is None:
                 continue
-            if len(payload) < MOST_IN_PACKET:
+            if len(payload) < MAX_PAYLOAD_BYTES:
                 out += len(payload).to_bytes(3, "little")
                 out.append(sequence)
                 out += payload
--- a/micadeck/mysql/routes.py
+++ b/micadeck/mysql/routes.py
@@ -1,8 +1,8 @@
-"""Which class, tenant, key and time a statement has: configured rules, the first that fits.
+"""Assigns class, tenant, key and deadline to statements, by the first configured rule that matches.
 
-A rule names two classes: one for what is proved safe to run again, one for all else.  No rule and no hint
-makes a statement safe that was not proved so, but for a rule with `trust`, which an operator writes for
-shapes whose effects are known from elsewhere (a stored function that only reads).
+A rule names two classes: one for statements proved safe to repeat, one for all others.  No rule or hint makes
+any other statement safe, except a rule with `trust`, which an operator sets for shapes with known effects,
+such as a stored function that only reads.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Fits a statement if each of its conditions that is set does."""
+    """Matches a statement if all conditions that are set match."""
 
     read: str
     write: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What the engine is told of a statement."""
+    """How the engine treats a statement."""
 
     service_class: str
     tenant: str | None
@@ -41,7 +41,7 @@
 
 
 class Routes:
-    """The rules of one configuration, over the classes of the engine's settings."""
+    """The rules and classes of one configuration."""
 
     def __init__(
         self, rules: Sequence[Rule], classes: Mapping[str, ServiceClass], tenants: Sequence[str]
@@ -51,28 +51,28 @@
         self._tenants = frozenset(tenants)
 
     def route(self, statement: Statement, user: str, schema: str, *, is_bound: bool) -> Route:
-        """`is_bound`: it belongs to a transaction or a pinned session, and can run nowhere else."""
-        rule = next(each for each in self._rules if _fits(each, statement, user, schema))
+        """`is_bound`: its transaction or pinned session ties it to one connection."""
+        rule = next(each for each in self._rules if _matches(each, statement, user, schema))
         hint = dict(statement.hint)
         is_safe = not is_bound and (statement.is_safe or (rule.trust and statement.kind is Kind.WRITE))
         if hint.get("unsafe") is not None:
             is_safe = False
         name = rule.read if is_safe else rule.write
-        wanted = self._classes.get(hint.get("class", ""))
-        if wanted is not None and (wanted.idempotency is Idempotency.IDEMPOTENT) == is_safe:
-            name = wanted.name
-        kind = self._classes[name]
+        hinted = self._classes.get(hint.get("class", ""))
+        if hinted is not None and (hinted.idempotency is Idempotency.IDEMPOTENT) == is_safe:
+            name = hinted.name
+        service_class = self._classes[name]
         tenant = hint.get("tenant", rule.tenant)
         return Route(
             service_class=name,
             tenant=tenant if tenant in self._tenants else None,
-            key=_key(hint["key"]) if hint.get("key") else None,
-            deadline_us=_deadline(hint.get("deadline_ms"), kind.deadline_us),
+            key=_key_hash(hint["key"]) if hint.get("key") else None,
+            deadline_us=_deadline(hint.get("deadline_ms"), service_class.deadline_us),
             is_safe=is_safe,
         )
 
 
-def _fits(rule: Rule, statement: Statement, user: str, schema: str) -> bool:
+def _matches(rule: Rule, statement: Statement, user: str, schema: str) -> bool:
     return (
         (rule.user is None or rule.user == user)
         and (rule.schema is None or rule.schema == schema)
@@ -80,12 +80,12 @@
     )
 
 
-def _key(text: str) -> int:
+def _key_hash(text: str) -> int:
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=6).digest(), "big")
 
 
-def _deadline(hint: str | None, most_us: int) -> int:
-    """A hint may shorten a class's time, never stretch it."""
+def _deadline(hint: str | None, class_deadline_us: int) -> int:
+    """The class's deadline, which a hint may only shorten."""
     if hint is None or not re.fullmatch(r"[0-9]{1,8}", hint):
-        return most_us
-    return max(min(int(hint) * 1_000, most_us), 1)
+        return class_deadline_us
+    return max(min(int(hint) * 1_000, class_deadline_us), 1)
--- a/micadeck/mysql/running_statement.py
+++ b/micadeck/mysql/running_statement.py
@@ -7,14 +7,14 @@
 from micadeck.engine import FailureCause
 from micadeck.mysql.error_mapping import (
     StatementContext,
-    StatementFault,
+    StatementFailure,
 )
 from micadeck.mysql.protocol.answers import (
     Part,
 )
 from micadeck.mysql.session import Handle
 from micadeck.mysql.statements import Statement
-from micadeck.mysql.transport import Answer, Call, StatementRequest
+from micadeck.mysql.transport import Attempt, Response, StatementRequest
 
 if TYPE_CHECKING:
     from micadeck.mysql.client_session import ClientSession
@@ -23,7 +23,17 @@
 class RunningStatement:
     """One command that the engine has: its waiter, and where a long answer goes."""
 
-    __slots__ = ("call", "client", "deadline", "handle", "has_begun", "number", "request", "row", "statement")
+    __slots__ = (
+        "client",
+        "deadline",
+        "handle",
+        "has_begun",
+        "number",
+        "request",
+        "row",
+        "statement",
+        "stream",
+    )
 
     def __init__(
         self, client: ClientSession, statement: Statement, row: StatementContext, deadline: int
@@ -34,17 +44,17 @@
         self.deadline = deadline
         self.number: int | None = None
         self.request: StatementRequest | None = None
-        self.call: Call | None = None  # whose answer streams
+        self.stream: Attempt | None = None  # the attempt whose response is streamed
         self.has_begun = False
         self.handle: Handle | None = None  # that is being prepared
 
     # Sink
 
-    def begin(self, call: Call) -> bool:
+    def begin(self, attempt: Attempt) -> bool:
         if self.number is None or not self.client.front.engine.response_started(self.number):
             return False
         self.has_begun = True
-        self.call = call
+        self.stream = attempt
         return True
 
     def part(self, part: Part) -> None:
@@ -52,21 +62,22 @@
 
     # Waiter
 
-    def served(self, response: Answer) -> None:
+    def served(self, response: Response) -> None:
         self.client.served(self, response)
 
     def refused(self, retry_after_us: int) -> None:
         is_late = self.client.front.network.now() >= self.deadline
-        befell = StatementFault.LATE if is_late else StatementFault.REFUSED
-        self.client.failed(self, StatementFault.CUT if self.has_begun else befell)
+        befell = StatementFailure.TIMED_OUT if is_late else StatementFailure.REFUSED
+        self.client.failed(self, StatementFailure.TRUNCATED if self.has_begun else befell)
 
     def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         if self.has_begun:
-            befell = StatementFault.CUT
+            befell = StatementFailure.TRUNCATED
         elif not may_have_run:
-            befell = StatementFault.REFUSED
+            befell = StatementFailure.REFUSED
         elif cause is FailureCause.TIME:
-            befell = StatementFault.LATE
+            befell = StatementFailure.TIMED_OUT
         else:
-            befell = StatementFault.DEFECT if cause is FailureCause.DEFECT else StatementFault.LOST
+            is_defect = cause is FailureCause.DEFECT
+            befell = StatementFailure.INTERNAL_ERROR if is_defect else StatementFailure.LOST
         self.client.failed(self, befell)
--- a/micadeck/mysql/server_connection.py
+++ b/micadeck/mysql/server_connection.py
@@ -1,6 +1,6 @@
-"""One connection to a server: it logs in, then carries one command at a time and hands the answer on.
+"""One connection to a MySQL server: log-in, then one command at a time with its response.
 
-It sends nothing by itself and nothing twice; whoever calls `exchange` decides what is written, and when.
+It never sends or resends a command by itself; the caller of `exchange` decides what is written, and when.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from dataclasses import dataclass, field
 
 from micadeck.mysql.auth import Login, LoginFailed
-from micadeck.mysql.protocol.answers import AnswerReader, Kind, Part
+from micadeck.mysql.protocol.answers import Part, ResponseKind, ResponseReader
 from micadeck.mysql.protocol.constants import UTF8MB4, Capability, Command, ErrorCode
-from micadeck.mysql.protocol.handshake import Greeting, Response
-from micadeck.mysql.protocol.messages import Err, Ok, Prepared
+from micadeck.mysql.protocol.handshake import Handshake, HandshakeResponse
+from micadeck.mysql.protocol.messages import Err, Ok, PrepareOk
 from micadeck.mysql.protocol.packets import PacketReader, frame
 from micadeck.mysql.protocol.wire import ProtocolError
 from micadeck.mysql.session import Connected
 from micadeck.network import Address, Network, Stream
 
-_WANTED = (
+_REQUESTED = (
     Capability.LONG_PASSWORD
     | Capability.LONG_FLAG
     | Capability.PROTOCOL_41
@@ -33,29 +33,29 @@
     | Capability.PLUGIN_AUTH_LENENC_CLIENT_DATA
     | Capability.SESSION_TRACK
 )
-_NEEDED = Capability.PROTOCOL_41 | Capability.SECURE_CONNECTION
-_MOST_AT_LOGIN = 1 << 16
-_MOST_PREPARED = 64
+_REQUIRED = Capability.PROTOCOL_41 | Capability.SECURE_CONNECTION
+_MAX_LOGIN_PACKET_BYTES = 1 << 16
+_MAX_PREPARED = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """With whom this program logs in at servers."""
+    """The account for log-ins at servers."""
 
     user: str
     password: bytes = field(repr=False)
 
 
 @dataclass(frozen=True, slots=True)
-class Remembered:
-    """A statement as this connection knows it."""
+class PreparedStatement:
+    """A prepared statement of this connection."""
 
-    statement: int
-    parameters: int
+    statement_id: int
+    parameter_count: int
 
 
-class Lost(Exception):
-    """The connection ended; `written`: a byte of the command may have reached the server by then."""
+class ConnectionLost(Exception):
+    """The connection ended; `written`: a byte of the command may have reached the server."""
 
     def __init__(self, *, written: bool) -> None:
         super().__init__("lost")
@@ -63,20 +63,20 @@
 
 
 class _Exchange:
-    """A command that is out, and who hears its answer."""
+    """A command whose response is not complete."""
 
-    __slots__ = ("over", "part", "reader")
+    __slots__ = ("future", "on_part", "reader")
 
     def __init__(
-        self, reader: AnswerReader, part: Callable[[Part], None], over: asyncio.Future[AnswerReader]
+        self, reader: ResponseReader, on_part: Callable[[Part], None], future: asyncio.Future[ResponseReader]
     ) -> None:
         self.reader = reader
-        self.part = part
-        self.over = over
+        self.on_part = on_part
+        self.future = future
 
 
 class ServerConnection(asyncio.Protocol):
-    """`on_closed` is called once, when nothing can be written any more."""
+    """Calls `on_closed` once, when the connection is closed."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         credentials: Credentials,
         *,
         found_rows: bool,
-        most_in_packet: int,
+        max_packet_bytes: int,
         on_closed: Callable[[ServerConnection], None],
     ) -> None:
         self._network = network
@@ -93,8 +93,8 @@
         self.found_rows = found_rows
         self._credentials = credentials
         self._on_closed = on_closed
-        self._packets = PacketReader(_MOST_AT_LOGIN)
-        self._most_in_packet = most_in_packet
+        self._packets = PacketReader(_MAX_LOGIN_PACKET_BYTES)
+        self._max_packet_bytes = max_packet_bytes
         self._transport: asyncio.Transport | None = None
         self._stream: Stream | None = None
         self._login: Login | None = None
@@ -102,46 +102,46 @@
         self._exchange: _Exchange | None = None
         self._is_closed = False
         self.capabilities = Capability(0)
-        self.thread = 0
+        self.thread_id = 0
         self.state = Connected()
-        self.prepared: OrderedDict[tuple[bytes | None, bytes], Remembered] = OrderedDict()
-        self.fault: str | None = None  # why it was closed, where the server's packets were the reason
+        self.prepared: OrderedDict[tuple[bytes | None, bytes], PreparedStatement] = OrderedDict()
+        self.protocol_error: str | None = None  # why the server's packets made it close
 
-    # What the owner calls
+    # Called by the owner
 
     @staticmethod
     async def open(
         make: Callable[[], ServerConnection], network: Network, address: Address
     ) -> ServerConnection:
-        """Dial and log in; raise OSError or LoginFailed.  The caller bounds the time."""
-        link = await network.dial(make, address)
+        """Dial and log in; raise OSError or LoginFailed.  The caller sets a timeout."""
+        connection = await network.dial(make, address)
         try:
-            await link._logged_in
+            await connection._logged_in
         except BaseException:
-            link.close()
+            connection.close()
             raise
-        return link
+        return connection
 
     def exchange(
-        self, command: bytes, kind: Kind, part: Callable[[Part], None]
-    ) -> asyncio.Future[AnswerReader]:
-        """Write a command; each part of its answer goes to `part`, and the whole reader to the future.
+        self, command: bytes, kind: ResponseKind, on_part: Callable[[Part], None]
+    ) -> asyncio.Future[ResponseReader]:
+        """Write a command; `on_part` gets each part of its response, the future the reader at the end.
 
-        The future raises Lost if the connection ends first.
+        The future raises ConnectionLost if the connection ends first.
         """
-        over: asyncio.Future[AnswerReader] = asyncio.Future()
+        future: asyncio.Future[ResponseReader] = asyncio.Future()
         transport = self._transport
         if self._is_closed or transport is None or transport.is_closing() or self._exchange is not None:
-            over.set_exception(Lost(written=False))
-            return over
+            future.set_exception(ConnectionLost(written=False))
+            return future
         self._packets.sequence = 0
-        self._exchange = _Exchange(AnswerReader(kind, self.capabilities), part, over)
+        self._exchange = _Exchange(ResponseReader(kind, self.capabilities), on_part, future)
         data, self._packets.sequence = frame(command, 0)
         transport.write(data)
-        return over
+        return future
 
-    def tell(self, command: bytes) -> None:
-        """Write a command that has no answer: STMT_CLOSE, STMT_SEND_LONG_DATA."""
+    def send(self, command: bytes) -> None:
+        """Write a command without a response: STMT_CLOSE, STMT_SEND_LONG_DATA."""
         if not self._is_closed and self._transport is not None and not self._transport.is_closing():
             self._transport.write(frame(command, 0)[0])
 
@@ -150,49 +150,49 @@
         return not self._is_closed
 
     def is_usable(self) -> bool:
-        """Whether it may carry a command: open, with nothing unread, not even the server's end."""
+        """Whether it can take a command: open and idle, with no unread data or end of stream."""
         if self._is_closed or self._exchange is not None or not self._packets.is_empty:
             return False
         if self._transport is None or self._transport.is_closing():
             return False
         return self._stream is None or not self._stream.has_unread()
 
-    def hold(self) -> None:
-        """Read no more for now: whoever takes the answer is slow."""
+    def pause_reading(self) -> None:
+        """Apply backpressure: the receiver of the response is slow."""
         if self._transport is not None and not self._is_closed:
             self._transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         if self._transport is not None and not self._is_closed:
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """End it at once; what is out has ended on return."""
+        """Abort the connection; a pending command has failed on return."""
         if self._transport is not None:
             self._transport.abort()
-        self._ended()
+        self._finish_close()
 
     def forget_prepared(self) -> None:
-        """The server knows none of them any more."""
+        """Clear the statements, which a reset closed at the server."""
         self.prepared.clear()
 
-    def remember(self, key: tuple[bytes | None, bytes], prepared: Prepared) -> Remembered:
-        """Keep what was prepared; the one that was not used for longest is closed for it."""
-        known = self.prepared[key] = Remembered(prepared.statement, prepared.parameters)
-        if len(self.prepared) > _MOST_PREPARED:
+    def add_prepared(self, key: tuple[bytes | None, bytes], prepared: PrepareOk) -> PreparedStatement:
+        """Record a prepared statement; over the limit, close the least recently used one."""
+        statement = self.prepared[key] = PreparedStatement(prepared.statement_id, prepared.parameter_count)
+        if len(self.prepared) > _MAX_PREPARED:
             _, oldest = self.prepared.popitem(last=False)
-            self.tell(bytes((Command.STMT_CLOSE,)) + oldest.statement.to_bytes(4, "little"))
-        return known
+            self.send(bytes((Command.STMT_CLOSE,)) + oldest.statement_id.to_bytes(4, "little"))
+        return statement
 
-    # What the event loop calls
+    # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport  # type: ignore[assignment]
-        with contextlib.suppress(OSError):  # without it, its end is only seen where it is read
+        with contextlib.suppress(OSError):  # without the stream, only reading detects the end
             self._stream = self._network.stream(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._ended()
+        self._finish_close()
 
     def data_received(self, data: bytes) -> None:
         if self._is_closed:
@@ -203,10 +203,10 @@
                 self._read(payload)
                 if self._is_closed:
                     return
-        except ProtocolError as fault:
-            self._broken(str(fault))
-        except LoginFailed as fault:
-            self._refused(fault)
+        except ProtocolError as error:
+            self._protocol_failed(str(error))
+        except LoginFailed as error:
+            self._login_failed(error)
 
     def _read(self, payload: bytes) -> None:
         if not self._logged_in.done():
@@ -214,16 +214,16 @@
             return
         exchange = self._exchange
         if exchange is None:
-            raise ProtocolError("a packet that nobody asked for")
+            raise ProtocolError("an unexpected packet: no command is pending")
         part = exchange.reader.read(payload)
-        is_over = exchange.reader.is_over
-        if is_over:
+        is_complete = exchange.reader.is_complete
+        if is_complete:
             self._exchange = None
             if not self._packets.is_empty:
-                raise ProtocolError("more than the answer")
-        exchange.part(part)
-        if is_over and not exchange.over.done():
-            exchange.over.set_result(exchange.reader)
+                raise ProtocolError("data after the end of the response")
+        exchange.on_part(part)
+        if is_complete and not exchange.future.done():
+            exchange.future.set_result(exchange.reader)
 
     # Logging in
 
@@ -232,29 +232,29 @@
             error = Err.decode(payload)
             raise LoginFailed(f"{error.code} {error.text}", error)
         if self._login is None:
-            self._greeted(Greeting.decode(payload))
+            self._handshake(Handshake.decode(payload))
             return
         if payload[:1] == b"\x00":
             Ok.decode(payload, self.capabilities)
-            self._packets.most = self._most_in_packet
+            self._packets.max_payload_bytes = self._max_packet_bytes
             self._logged_in.set_result(None)
             return
-        answer = self._login.read(payload)
-        if answer is not None:
-            self._write_login(answer)
+        reply = self._login.read(payload)
+        if reply is not None:
+            self._write_login(reply)
 
-    def _greeted(self, greeting: Greeting) -> None:
-        missing = _NEEDED & ~greeting.capabilities
+    def _handshake(self, handshake: Handshake) -> None:
+        missing = _REQUIRED & ~handshake.capabilities
         if missing:
             raise LoginFailed(f"the server lacks {missing!r}")
-        wanted = _WANTED | (Capability.FOUND_ROWS if self.found_rows else Capability(0))
-        self.capabilities = wanted & greeting.capabilities
-        self.thread = greeting.thread
-        login = self._login = Login(self._credentials.password, greeting.plugin, greeting.salt)
-        response = Response(
+        requested = _REQUESTED | (Capability.FOUND_ROWS if self.found_rows else Capability(0))
+        self.capabilities = requested & handshake.capabilities
+        self.thread_id = handshake.thread_id
+        login = self._login = Login(self._credentials.password, handshake.plugin, handshake.salt)
+        response = HandshakeResponse(
             capabilities=self.capabilities,
             user=self._credentials.user.encode(),
-            answer=login.answer(),
+            auth_response=login.auth_response(),
             charset=UTF8MB4,
             plugin=login.plugin,
         )
@@ -265,32 +265,32 @@
         data, self._packets.sequence = frame(payload, self._packets.sequence)
         self._transport.write(data)
 
-    def _refused(self, fault: LoginFailed) -> None:
+    def _login_failed(self, error: LoginFailed) -> None:
         if not self._logged_in.done():
-            self._logged_in.set_exception(fault)
+            self._logged_in.set_exception(error)
         self.close()
 
-    # Its end
+    # Closing
 
-    def _broken(self, why: str) -> None:
-        self.fault = why
+    def _protocol_failed(self, reason: str) -> None:
+        self.protocol_error = reason
         if not self._logged_in.done():
-            self._logged_in.set_exception(LoginFailed(why))
+            self._logged_in.set_exception(LoginFailed(reason))
         self.close()
 
-    def _ended(self) -> None:
+    def _finish_close(self) -> None:
         if self._is_closed:
             return
         self._is_closed = True
         if not self._logged_in.done():
             self._logged_in.set_exception(LoginFailed("the server closed the connection"))
         if not self._logged_in.cancelled():
-            self._logged_in.exception()  # nobody may be waiting any more, and that is no fault
+            self._logged_in.exception()  # marks it as retrieved: nobody may be waiting for it
         exchange, self._exchange = self._exchange, None
-        if exchange is not None and not exchange.over.done():
-            exchange.over.set_exception(Lost(written=True))
-            exchange.over.exception()
+        if exchange is not None and not exchange.future.done():
+            exchange.future.set_exception(ConnectionLost(written=True))
+            exchange.future.exception()
         self._on_closed(self)
 
 
-FULL_AT_LOGIN = frozenset((ErrorCode.CON_COUNT, 1203, 1226))  # too many connections, of all or of the user
+OVER_LIMIT_CODES = frozenset((ErrorCode.CON_COUNT, 1203, 1226))  # connection limit of the server or the user
--- a/micadeck/mysql/session.py
+++ b/micadeck/mysql/session.py
@@ -51,7 +51,7 @@
             self.is_dirty = True
         elif not is_known and statement.kind not in (Kind.BEGIN, Kind.COMMIT, Kind.ROLLBACK, Kind.SAVEPOINT):
             self.is_dirty = True
-        elif statement.kind in (Kind.READ, Kind.WRITE) and not statement.is_closed:
+        elif statement.kind in (Kind.READ, Kind.WRITE) and not statement.pure_calls:
             self.is_dirty = True
         if ok is not None and ok.last_insert_id:
             self.insert_id = ok.last_insert_id
@@ -205,13 +205,13 @@
                     self.variables.pop(name, None)  # what was set last must be put last
                     self.variables[name] = value
         self.pins |= statement.pins
-        if statement.ends_locks:
+        if statement.unlocks_tables:
             self.pins.discard(Pin.LOCK)
         if ok is not None:
             self.row_count = ok.affected
             if ok.last_insert_id:
                 self.insert_id = ok.last_insert_id
-        elif statement.own is None:
+        elif statement.session_value is None:
             self.row_count = -1
         if statement.makes_diagnostics or (warnings and not statement.needs_diagnostics):
             self.pins.add(Pin.DIAGNOSTICS)
@@ -296,6 +296,6 @@
         return True
     if statement is None:
         return False
-    begins_state = bool(statement.pins) or (not statement.is_closed and statement.kind is not Kind.BEGIN)
+    begins_state = bool(statement.pins) or (not statement.pure_calls and statement.kind is not Kind.BEGIN)
     is_plain = statement.kind in (Kind.SET, Kind.USE, Kind.COMMIT, Kind.ROLLBACK)
     return statement.needs_diagnostics or (have.is_touched and begins_state and not is_plain)
--- a/micadeck/mysql/statements.py
+++ b/micadeck/mysql/statements.py
@@ -1,9 +1,9 @@
-"""What a statement is, as far as routing needs to know: proved safe, what it leaves, how it ends.
+"""Classifies statements for routing: whether they are safe to repeat, and what they leave in the session.
 
-Read by the tokenizer and the parser of sqlglot.  Both must agree with a few rules on the raw bytes before
-anything counts as proved: a comment, a backslash or a control character may be read in two ways (by
-`sql_mode`, by the server's version), and what can be read in two ways proves nothing.  What is not proved is
-unsafe, and what is not understood at all pins its session.
+sqlglot's tokenizer and parser and a few rules on the raw bytes must agree before a statement counts as safe:
+how a server reads a comment, a backslash or a control character depends on `sql_mode` and on its version, so
+texts with these are never proved safe.  What is not proved safe is unsafe; what can't be classified pins its
+session to its connection.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 @unique
 class Kind(Enum):
-    """What a text of one or more statements does, as the session sees it."""
+    """What a text of one or more statements does to its session."""
 
-    READ = "read"  # proved: may run any number of times, anywhere
-    WRITE = "write"  # a change of rows, or a read that locks: undone with its transaction
+    READ = "read"  # proved safe to run any number of times, on any server
+    WRITE = "write"  # changes or locks rows; rolled back with its transaction
     BEGIN = "begin"
     COMMIT = "commit"
-    ROLLBACK = "rollback"  # whole, without CHAIN, RELEASE or SAVEPOINT
-    SAVEPOINT = "savepoint"  # inside its transaction only
-    SET = "set"  # session variables, all of which can be put on another connection
+    ROLLBACK = "rollback"  # of the transaction, without CHAIN, RELEASE or SAVEPOINT
+    SAVEPOINT = "savepoint"  # affects only its transaction
+    SET = "set"  # session variables that can be set on another connection too
     USE = "use"
-    OPAQUE = "opaque"  # may commit, or do what cannot be told from its text
+    OPAQUE = "opaque"  # may commit, or has effects that its text does not show
 
 
 @unique
@@ -53,7 +53,7 @@
 
 @unique
 class Refusal(Enum):
-    """What is not carried at all."""
+    """Statements that are always refused."""
 
     LOCAL_INFILE = "LOAD DATA LOCAL is not carried"
     KILL = "KILL is not carried: thread ids belong to server connections"
@@ -63,36 +63,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """A text, read.  `text` is what it was read from; `hint` the options of a leading `/*micadeck: ...*/`."""
+    """The classification of a text; `hint` has the options of a leading `/*micadeck: ...*/`."""
 
     kind: Kind
     pins: frozenset[Pin] = frozenset()
     count: int = 1
-    assignments: tuple[tuple[str, str], ...] = ()  # of SET: variable, and value as SQL
-    schema: bytes | None = None  # of USE
+    assignments: tuple[tuple[str, str], ...] = ()  # for SET: variable, and value as SQL
+    schema: bytes | None = None  # for USE
     refusal: Refusal | None = None
     needs_insert_id: bool = False  # reads LAST_INSERT_ID()
-    needs_diagnostics: bool = False  # reads what the last statement left
+    needs_diagnostics: bool = False  # reads the diagnostics of the previous statement
     makes_diagnostics: bool = False  # SQL_CALC_FOUND_ROWS
-    own: str | None = None  # a value that the session itself knows: "last_insert_id" or "row_count"
-    ends_locks: bool = False  # UNLOCK TABLES
-    is_closed: bool = False  # it calls nothing whose effects on the session are unknown
-    shape: str = ""  # literals left out
+    session_value: str | None = None  # answered without a server: "last_insert_id" or "row_count"
+    unlocks_tables: bool = False  # UNLOCK TABLES
+    pure_calls: bool = False  # calls no function with unknown effects on the session
+    shape: str = ""  # the text without its literals
     hint: tuple[tuple[str, str], ...] = ()
 
     @property
     def is_safe(self) -> bool:
-        """Whether it may run again outside a transaction, should nobody know whether it ran."""
+        """Whether it may be repeated outside a transaction when its outcome is unknown."""
         return self.kind in (Kind.READ, Kind.BEGIN, Kind.SET, Kind.USE)
 
     @property
     def is_plain(self) -> bool:
-        """Whether all it does inside a transaction is undone with that, and it can't commit by itself."""
+        """Whether a rollback undoes all its effects, and it can't commit by itself."""
         return self.kind in (Kind.READ, Kind.WRITE, Kind.SET, Kind.USE, Kind.SAVEPOINT) and self.count == 1
 
 
-# Functions of MySQL that read nothing but their arguments, tables, the clock and the session's variables.
-_PURE = frozenset(
+# MySQL functions that read only their arguments, tables, the clock and session variables.
+_PURE_FUNCTIONS = frozenset(
     """
     abs acos adddate addtime aes_decrypt aes_encrypt any_value ascii asin atan atan2 avg benchmark
     bin bin_to_uuid bit_and bit_count bit_length bit_or bit_xor cast ceil ceiling char char_length
@@ -122,8 +122,8 @@
     st_within st_x st_y point
     """.split()
 )
-# Words before an opening bracket that call nothing.
-_BEFORE_BRACKET = frozenset(
+# Words that are no function call when an opening parenthesis follows.
+_NOT_FUNCTIONS = frozenset(
     """
     select from where and or not in exists all any some as on using join values over partition by
     having when then else case between like rlike regexp union except intersect distinct limit
@@ -133,65 +133,65 @@
     right inner outer natural match against
     """.split()
 )
-_NOT_IN_READS = frozenset(
+_WRITE_WORDS = frozenset(
     """
     into update insert delete replace call lock get_lock release_lock procedure handler outfile
     dumpfile sql_calc_found_rows nextval setval lastval next_value
     """.split()
 )
-_INSERT_ID = frozenset(("last_insert_id", "identity"))
+_INSERT_ID_WORDS = frozenset(("last_insert_id", "identity"))
 _DIAGNOSTICS = frozenset(("found_rows", "row_count", "warning_count", "error_count", "statement_digest"))
-_LOCKS = frozenset(("get_lock", "release_lock", "release_all_locks", "is_free_lock", "is_used_lock"))
-# Variables that mean something only on the connection where they were set, or are no session's state.
-_NOT_PUT = frozenset(
+_LOCK_FUNCTIONS = frozenset(("get_lock", "release_lock", "release_all_locks", "is_free_lock", "is_used_lock"))
+# Variables that are valid only on the connection where they were set, or are not session state.
+_NOT_TRANSFERABLE = frozenset(
     """
     last_insert_id identity insert_id timestamp rand_seed1 rand_seed2 pseudo_thread_id
     pseudo_slave_mode sql_log_bin gtid_next transaction_read_only_next proxy_user external_user
     password role resource
     """.split()
 )
-_VALUES = frozenset((TokenType.NUMBER, TokenType.STRING, TokenType.VAR, TokenType.NULL, TokenType.TRUE))
+_VALUE_TOKENS = frozenset((TokenType.NUMBER, TokenType.STRING, TokenType.VAR, TokenType.NULL, TokenType.TRUE))
 _HINT = re.compile(rb"\s*/\*\s*micadeck:([^*/\\;'\"]*)\*/")
 _COMMENT = re.compile(rb"\s*/\*(?![!+M])[^*/]*\*/")
-_TWO_WAYS = re.compile(rb"--|#|/\*|\\|[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
+_AMBIGUOUS = re.compile(rb"--|#|/\*|\\|[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 _LITERAL = re.compile(r"'(?:[^']|'')*'|\b0[xX][0-9a-fA-F]+\b|(?<![\w.`$])\d+(?:\.\d+)?(?:[eE][+-]?\d+)?\b")
-_LIST = re.compile(r"\?(?:\s*,\s*\?){7,}")  # more than a function that counts its arguments has
-_EIGHT = ", ".join("?" * 8)
+_LIST = re.compile(r"\?(?:\s*,\s*\?){7,}")  # longer than the argument list of any function with a fixed count
+_EIGHT_PLACEHOLDERS = ", ".join("?" * 8)
 _ROWS = re.compile(r"(\([?,\s]+\))(?:\s*,\s*\1)+")
-_BY_VALUE = re.compile(rb"\s*(?:set|use)\b", re.IGNORECASE)
-_ORDERLY = re.compile(rb"[^\"`@]*")
-_MOST_TEXT = 1 << 12  # bytes that are read for a proof, which takes 5 ms a KiB; a longer text is unsafe
-_MOST_SHAPES = 4_096
+_SET_OR_USE = re.compile(rb"\s*(?:set|use)\b", re.IGNORECASE)
+_WITHOUT_QUOTES = re.compile(rb"[^\"`@]*")
+_MAX_PARSED_BYTES = 1 << 12  # parsing takes 5 ms per KiB; a longer text counts as unsafe
+_MAX_SHAPES = 4_096
 _DIALECT = MySQL()
 
 _NOT_UNDERSTOOD = Statement(Kind.OPAQUE, frozenset((Pin.NOT_UNDERSTOOD,)))
 
 
-class Reader:
-    """Reads texts, and remembers shapes: a text that differs in literals alone is read once."""
+class StatementReader:
+    """Classifies texts and caches by shape: texts that differ only in literals are parsed once."""
 
-    def __init__(self, most: int = _MOST_SHAPES) -> None:
-        self._most = most
-        self._known: OrderedDict[str, Statement] = OrderedDict()
-        self.read_anew = 0
+    def __init__(self, max_shapes: int = _MAX_SHAPES) -> None:
+        self._max_shapes = max_shapes
+        self._cache: OrderedDict[str, Statement] = OrderedDict()
+        self.cache_misses = 0
 
     def read(self, text: bytes) -> Statement:
         hint, body = _split_hint(text)
         shape = body.decode("latin-1")
-        if not _TWO_WAYS.search(body) and _ORDERLY.fullmatch(body) and not _BY_VALUE.match(body):
-            # A literal is a literal: what is proved of one holds for all, and for any number in a list.
-            shape = _ROWS.sub(r"\1", _LIST.sub(_EIGHT, _LITERAL.sub("?", shape)))
-        known = self._known.get(shape)
-        if known is not None:
-            self._known.move_to_end(shape)
+        if not _AMBIGUOUS.search(body) and _WITHOUT_QUOTES.fullmatch(body) and not _SET_OR_USE.match(body):
+            # The classification depends on no literal's value, nor on the length of a long list.
+            shape = _ROWS.sub(r"\1", _LIST.sub(_EIGHT_PLACEHOLDERS, _LITERAL.sub("?", shape)))
+        cached = self._cache.get(shape)
+        if cached is not None:
+            self._cache.move_to_end(shape)
         else:
-            self.read_anew += 1
-            known = replace(understand(shape.encode("latin-1")), shape=shape[:256])
-            if len(shape) <= _MOST_TEXT:
-                self._known[shape] = known
-                if len(self._known) > self._most:
-                    self._known.popitem(last=False)
-        return replace(known, hint=hint) if hint else known
+            self.cache_misses += 1
+            cached = replace(classify(shape.encode("latin-1")), shape=shape[:256])
+            if len(shape) <= _MAX_PARSED_BYTES:
+                self._cache[shape] = cached
+                if len(self._cache) > self._max_shapes:
+                    self._cache.popitem(last=False)
+        return replace(cached, hint=hint) if hint else cached
 
 
 def _split_hint(text: bytes) -> tuple[tuple[tuple[str, str], ...], bytes]:
@@ -203,41 +203,41 @@
     return hint, text[found.end() :]
 
 
-def understand(text: bytes) -> Statement:
-    """Read a text of one or more statements, without its hint."""
+def classify(text: bytes) -> Statement:
+    """Classify a text of one or more statements, without its hint."""
     while (comment := _COMMENT.match(text)) is not None:
         text = text[comment.end() :]
-    if len(text) > _MOST_TEXT:
-        return _long(text)
-    has_two_ways = _TWO_WAYS.search(text) is not None
+    if len(text) > _MAX_PARSED_BYTES:
+        return _classify_long(text)
+    is_ambiguous = _AMBIGUOUS.search(text) is not None
     if b"/*!" in text or b"/*M!" in text:
         return replace(_NOT_UNDERSTOOD, count=2 if b";" in text else 1)  # what runs depends on the server
     try:
         tokens = list(_DIALECT.tokenize(text.decode("latin-1")))
     except SqlglotError:
         return replace(_NOT_UNDERSTOOD, count=2 if b";" in text.rstrip(b"; \t\r\n") else 1)
-    parts = _parts(tokens)
+    parts = _split_statements(tokens)
     if not parts:
         return Statement(Kind.OPAQUE)
-    read = [_one(part, has_two_ways) for part in parts]
+    read = [_classify_statement(part, is_ambiguous) for part in parts]
     if any(each.token_type is TokenType.COMMAND for each in tokens) and b";" in text.rstrip(b"; \t\r\n"):
-        # A command takes all that follows it for its text.
+        # sqlglot's command token swallows all the text that follows it.
         return replace(read[0], kind=Kind.OPAQUE, count=2, pins=read[0].pins | {Pin.NOT_UNDERSTOOD})
-    if has_two_ways and b";" in text.rstrip(b"; \t\r\n"):
-        return replace(_together(read), kind=Kind.OPAQUE, count=max(len(read), 2))
-    return read[0] if len(read) == 1 else _together(read)
+    if is_ambiguous and b";" in text.rstrip(b"; \t\r\n"):
+        return replace(_combine(read), kind=Kind.OPAQUE, count=max(len(read), 2))
+    return read[0] if len(read) == 1 else _combine(read)
 
 
-def _long(text: bytes) -> Statement:
-    """By its first word: enough for a large INSERT, which is where long texts come from."""
+def _classify_long(text: bytes) -> Statement:
+    """Classify by the first word, which is enough for a large INSERT, the usual long text."""
     head = text[:64].lstrip().split(None, 1)[0].lower()
     count = 2 if b";" in text.rstrip(b"; \t\r\n") else 1
     if head in (b"insert", b"replace", b"update", b"delete", b"select") and count == 1 and b"@" not in text:
-        return Statement(Kind.WRITE)  # not closed: nobody looked for calls
+        return Statement(Kind.WRITE)  # without `pure_calls`: calls were not checked
     return replace(_NOT_UNDERSTOOD, count=count)
 
 
-def _parts(tokens: Sequence[Token]) -> list[list[Token]]:
+def _split_statements(tokens: Sequence[Token]) -> list[list[Token]]:
     parts: list[list[Token]] = [[]]
     for each in tokens:
         if each.token_type is TokenType.SEMICOLON:
@@ -247,12 +247,12 @@
     return [part for part in parts if part]
 
 
-def _together(read: Sequence[Statement]) -> Statement:
-    """Several statements in one text: the least that holds of all."""
+def _combine(read: Sequence[Statement]) -> Statement:
+    """Combine several statements of one text; the strictest classification wins."""
     kinds = {each.kind for each in read}
     return Statement(
         kind=Kind.READ if kinds == {Kind.READ} else Kind.OPAQUE,
-        is_closed=kinds == {Kind.READ},
+        pure_calls=kinds == {Kind.READ},
         pins=frozenset().union(*(each.pins for each in read))
         | ({Pin.VARIABLE} if kinds & {Kind.SET, Kind.USE} else set()),
         count=len(read),
@@ -268,23 +268,23 @@
 
 
 def _words(tokens: Sequence[Token]) -> list[str]:
-    """Names and keywords in lower case; of what is quoted, only that something stands there."""
+    """Names and keywords in lower case; `''` in place of anything quoted."""
     quoted = (TokenType.STRING, TokenType.NATIONAL_STRING, TokenType.IDENTIFIER)
     return ["''" if each.token_type in quoted else each.text.lower() for each in tokens]
 
 
-def _one(tokens: Sequence[Token], has_two_ways: bool) -> Statement:
+def _classify_statement(tokens: Sequence[Token], is_ambiguous: bool) -> Statement:
     words = _words(tokens)
     first = words[0] if words[0] != "(" else next((each for each in words if each != "("), "")
     second = words[1] if len(words) > 1 else ""
     if tokens[0].token_type is TokenType.COMMAND:
         rest = " ".join([*first.split()[1:], *(each.text.lower() for each in tokens[1:2])])
-        return _by_word(first.split()[0], rest)
+        return _classify_command(first.split()[0], rest)
     match first:
         case "select" | "with" | "values" | "table":
-            return _query(tokens, words, has_two_ways)
+            return _classify_query(tokens, words, is_ambiguous)
         case "show" | "describe" | "desc" | "explain":
-            return _show(words, has_two_ways)
+            return _classify_show(words, is_ambiguous)
         case "insert" | "replace" | "update" | "delete":
             return _with_effects(Statement(Kind.WRITE), tokens, words)
         case "begin":
@@ -299,7 +299,7 @@
             is_inside = "to" in words
             return Statement(Kind.SAVEPOINT if is_inside else Kind.OPAQUE)
         case "set":
-            return _set(tokens, words, has_two_ways)
+            return _classify_set(tokens, words, is_ambiguous)
         case "use" if len(tokens) == 2:
             return Statement(Kind.USE, schema=tokens[1].text.encode("latin-1"))
         case "create" | "drop" | "alter" | "truncate" | "rename":
@@ -308,11 +308,11 @@
             return Statement(Kind.OPAQUE, pins)
         case "do":
             return _with_effects(Statement(Kind.OPAQUE), tokens, words)
-    return _by_word(first, " ".join(words[1:]))
+    return _classify_command(first, " ".join(words[1:]))
 
 
-def _by_word(first: str, rest: str = "") -> Statement:
-    """What the tokenizer takes for a command and does not look into."""
+def _classify_command(first: str, rest: str = "") -> Statement:
+    """Classify what sqlglot's tokenizer leaves unparsed as a command."""
     match first:
         case "kill":
             return Statement(Kind.OPAQUE, refusal=Refusal.KILL)
@@ -329,7 +329,7 @@
         case "prepare" | "execute" | "deallocate":
             return Statement(Kind.OPAQUE, frozenset((Pin.SQL_PREPARE, Pin.NOT_UNDERSTOOD)))
         case "unlock":
-            return Statement(Kind.OPAQUE, ends_locks=True)
+            return Statement(Kind.OPAQUE, unlocks_tables=True)
         case "lock" | "flush" | "handler":
             return Statement(Kind.OPAQUE, frozenset((Pin.LOCK,)))
         case "optimize" | "analyze" | "check" | "repair" | "grant" | "revoke" | "rename" | "truncate":
@@ -341,25 +341,25 @@
     return _NOT_UNDERSTOOD
 
 
-def _query(tokens: Sequence[Token], words: Sequence[str], has_two_ways: bool) -> Statement:
-    own = _own(words)
-    if own is not None:
-        return Statement(Kind.READ, own=own, needs_insert_id=own == "last_insert_id", is_closed=True)
+def _classify_query(tokens: Sequence[Token], words: Sequence[str], is_ambiguous: bool) -> Statement:
+    if (value := _session_value(words)) is not None:
+        needs_id = value == "last_insert_id"
+        return Statement(Kind.READ, session_value=value, needs_insert_id=needs_id, pure_calls=True)
     writes = next((each for each in words if each in ("insert", "update", "delete", "replace")), None)
     base = _with_effects(Statement(Kind.WRITE), tokens, words)
     if words[0] == "with" and writes in ("update", "delete", "insert"):
         return base
     if {"outfile", "dumpfile"} & set(words):
         return replace(base, kind=Kind.OPAQUE)
-    if base.pins or base.needs_diagnostics or base.makes_diagnostics or has_two_ways:
+    if base.pins or base.needs_diagnostics or base.makes_diagnostics or is_ambiguous:
         return base
-    if not base.is_closed or _locks(words):
+    if not base.pure_calls or _writes_or_locks(words):
         return base
     return replace(base, kind=Kind.READ) if _parses_as_query(tokens) else base
 
 
-def _own(words: Sequence[str]) -> str | None:
-    """Whether it asks alone for what the session knows without a server."""
+def _session_value(words: Sequence[str]) -> str | None:
+    """The value that it selects, if the session can answer without a server."""
     match list(words):
         case ["select", "last_insert_id", "(", ")"] | ["select", "@@", "identity" | "last_insert_id"]:
             return "last_insert_id"
@@ -368,15 +368,15 @@
     return None
 
 
-def _show(words: Sequence[str], has_two_ways: bool) -> Statement:
+def _classify_show(words: Sequence[str], is_ambiguous: bool) -> Statement:
     if words[0] == "show" and {"warnings", "errors"} & set(words[1:]):
         return Statement(Kind.WRITE, needs_diagnostics=True)
-    is_read = not has_two_ways and "analyze" not in words and "for" not in words
-    return Statement(Kind.READ if is_read else Kind.WRITE, is_closed=is_read)
+    is_read = not is_ambiguous and "analyze" not in words and "for" not in words
+    return Statement(Kind.READ if is_read else Kind.WRITE, pure_calls=is_read)
 
 
 def _with_effects(statement: Statement, tokens: Sequence[Token], words: Sequence[str]) -> Statement:
-    """What a query or a change leaves in its session, and reads from it."""
+    """Add what a query or a change leaves in its session, and reads from it."""
     pins: set[Pin] = set()
     names = set(" ".join(words).split())
     for number, each in enumerate(tokens):
@@ -385,15 +385,15 @@
         if each.token_type is TokenType.PARAMETER or each.text == "@":
             pins.add(Pin.USER_VARIABLE)
         calls = number + 1 < len(tokens) and tokens[number + 1].token_type is TokenType.L_PAREN
-        if calls and words[number] in _LOCKS:
+        if calls and words[number] in _LOCK_FUNCTIONS:
             pins.add(Pin.LOCK)
-    insert_id = bool(names & _INSERT_ID)
+    insert_id = bool(names & _INSERT_ID_WORDS)
     if insert_id and re.search(r"last_insert_id \( (?!\))", " ".join(words)):
-        pins.add(Pin.VARIABLE)  # LAST_INSERT_ID(expr) sets it
+        pins.add(Pin.VARIABLE)  # LAST_INSERT_ID(expr) sets the variable
     return replace(
         statement,
         pins=frozenset(pins),
-        is_closed=not pins and _calls_are_pure(tokens, words),
+        pure_calls=not pins and _calls_are_pure(tokens, words),
         needs_insert_id=insert_id,
         needs_diagnostics=bool(names & _DIAGNOSTICS),
         makes_diagnostics="sql_calc_found_rows" in names,
@@ -406,24 +406,24 @@
             continue
         before, name = tokens[number - 1], words[number - 1].rpartition(" ")[2]
         if before.token_type is TokenType.IDENTIFIER:
-            # `name`( is a call of a stored function, or columns of a table's alias: both are not proved
+            # `name`( calls a stored function or lists the columns of an alias; neither is proved safe.
             return False
         if not (name[:1].isalpha() or name[:1] == "_"):
             continue
         is_qualified = number >= 2 and tokens[number - 2].token_type is TokenType.DOT
-        if is_qualified or (name not in _PURE and name not in _BEFORE_BRACKET):
+        if is_qualified or (name not in _PURE_FUNCTIONS and name not in _NOT_FUNCTIONS):
             return False
     return True
 
 
-def _locks(words: Sequence[str]) -> bool:
+def _writes_or_locks(words: Sequence[str]) -> bool:
     words = " ".join(words).split()
     for number, each in enumerate(words):
         following = words[number + 1] if number + 1 < len(words) else ""
         if each == "for" and following in ("update", "share"):
             return True
         called = following == "("
-        if each in _NOT_IN_READS and not (called and each in ("replace", "insert")):
+        if each in _WRITE_WORDS and not (called and each in ("replace", "insert")):
             return True
     return False
 
@@ -443,20 +443,20 @@
 # SET
 
 
-def _set(tokens: Sequence[Token], words: Sequence[str], has_two_ways: bool) -> Statement:
+def _classify_set(tokens: Sequence[Token], words: Sequence[str], is_ambiguous: bool) -> Statement:
     rest, names = list(tokens[1:]), list(words[1:])
-    if has_two_ways or not rest:
+    if is_ambiguous or not rest:
         return Statement(Kind.OPAQUE, frozenset((Pin.VARIABLE,)))
     if names[0] in ("global", "persist", "persist_only", "password", "default"):
         return Statement(Kind.OPAQUE)
     if "transaction" in names[:2] and "=" not in names:
-        return _set_transaction(names)
+        return _classify_set_transaction(names)
     if names[0] == "names" or names[:2] == ["character", "set"] or names[0] == "charset":
-        return _set_names(rest, names)
+        return _classify_set_names(rest, names)
     assignments: list[tuple[str, str]] = []
     pins: set[Pin] = set()
-    for part, part_names in _by_comma(rest, names):
-        read = _assignment(part, part_names)
+    for part, part_names in _split_at_commas(rest, names):
+        read = _parse_assignment(part, part_names)
         if read is None:
             is_user = part_names[:1] == ["@"] or part[0].token_type is TokenType.PARAMETER
             pins.add(Pin.USER_VARIABLE if is_user else Pin.VARIABLE)
@@ -469,7 +469,7 @@
     return Statement(Kind.SET, assignments=tuple(assignments))
 
 
-def _by_comma(tokens: list[Token], names: list[str]) -> list[tuple[list[Token], list[str]]]:
+def _split_at_commas(tokens: list[Token], names: list[str]) -> list[tuple[list[Token], list[str]]]:
     parts: list[tuple[list[Token], list[str]]] = [([], [])]
     depth = 0
     for token, name in zip(tokens, names, strict=True):
@@ -482,7 +482,7 @@
     return [part for part in parts if part[0]]
 
 
-def _assignment(tokens: list[Token], names: list[str]) -> tuple[str, str] | None:
+def _parse_assignment(tokens: list[Token], names: list[str]) -> tuple[str, str] | None:
     """A session variable and a literal, or None."""
     if names[:1] == ["@@"]:
         tokens, names = tokens[1:], names[1:]
@@ -493,7 +493,7 @@
     if len(tokens) < 3 or tokens[1].token_type not in (TokenType.EQ, TokenType.COLON_EQ):
         return None
     name, value = names[0], tokens[2:]
-    if not re.fullmatch(r"[a-z_0-9]+", name) or name in _NOT_PUT:
+    if not re.fullmatch(r"[a-z_0-9]+", name) or name in _NOT_TRANSFERABLE:
         return None
     sign = ""
     if value[0].token_type is TokenType.DASH and len(value) == 2:
@@ -511,20 +511,20 @@
     return None
 
 
-def _set_names(tokens: list[Token], names: list[str]) -> Statement:
+def _classify_set_names(tokens: list[Token], names: list[str]) -> Statement:
     words = [token.text for token in tokens]
-    at = 2 if names[0] == "character" else 1
-    charset = words[at] if len(words) > at else ""
-    collation = words[at + 2] if len(words) == at + 3 and names[at + 1] == "collate" else ""
+    index = 2 if names[0] == "character" else 1
+    charset = words[index] if len(words) > index else ""
+    collation = words[index + 2] if len(words) == index + 3 and names[index + 1] == "collate" else ""
     is_name = re.compile(r"[A-Za-z0-9_]+")
-    expected = at + 3 if collation else at + 1
+    expected = index + 3 if collation else index + 1
     if names[0] != "names" or not is_name.fullmatch(charset) or len(words) != expected:
         return Statement(Kind.OPAQUE, frozenset((Pin.VARIABLE,)))
     value = charset + (f" COLLATE {collation}" if collation and is_name.fullmatch(collation) else "")
     return Statement(Kind.SET, assignments=(("names", value),))
 
 
-_LEVELS = {
+_ISOLATION_LEVELS = {
     ("read", "uncommitted"): "READ-UNCOMMITTED",
     ("read", "committed"): "READ-COMMITTED",
     ("repeatable", "read"): "REPEATABLE-READ",
@@ -532,7 +532,7 @@
 }
 
 
-def _set_transaction(names: list[str]) -> Statement:
+def _classify_set_transaction(names: list[str]) -> Statement:
     if names[0] not in ("session", "local"):
         if names[0] != "transaction":
             return Statement(Kind.OPAQUE)
@@ -542,7 +542,7 @@
     parts = " ".join(rest).split(" , ")
     for part in parts:
         words = part.split()
-        if words[:2] == ["isolation", "level"] and (level := _LEVELS.get(tuple(words[2:]))):
+        if words[:2] == ["isolation", "level"] and (level := _ISOLATION_LEVELS.get(tuple(words[2:]))):
             assignments.append(("transaction_isolation", f"'{level}'"))
         elif words in (["read", "only"], ["read", "write"]):
             assignments.append(("transaction_read_only", "1" if words[1] == "only" else "0"))
--- a/micadeck/mysql/transport.py
+++ b/micadeck/mysql/transport.py
@@ -1,7 +1,7 @@
-"""Statements to servers: attempts and probes, and the pool of connections that carries them.
+"""The transport to MySQL servers: attempts, probes and the connection pool that they use.
 
-An attempt takes a connection, puts its session there, writes the statement and holds the answer until it is
-whole or too long to hold; from there on the answer streams, and no other attempt may follow.
+An attempt acquires a connection, applies its session's state, writes the statement and buffers the response.
+A response over the buffer limit is streamed to the client from there on; then no retry is possible.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 from micadeck.engine import AttemptCallback, EndpointUpdate, Request
 from micadeck.mysql.auth import LoginFailed
-from micadeck.mysql.pool import Full, Limits, Pool, Use
-from micadeck.mysql.protocol.answers import AnswerReader, Definition, Kind, Part, Row, Words
+from micadeck.mysql.pool import Full, Pool, PoolLimits, Use
+from micadeck.mysql.protocol.answers import Definition, Part, ResponseKind, ResponseReader, Row, TextPacket
 from micadeck.mysql.protocol.constants import Command, ErrorCode
-from micadeck.mysql.protocol.messages import Err, Ok, Prepared
-from micadeck.mysql.server_connection import FULL_AT_LOGIN, Credentials, Lost, ServerConnection
+from micadeck.mysql.protocol.messages import Err, Ok, PrepareOk
+from micadeck.mysql.server_connection import OVER_LIMIT_CODES, ConnectionLost, Credentials, ServerConnection
 from micadeck.mysql.session import Handle, Session, must_reset, put
 from micadeck.mysql.statements import Statement
 from micadeck.network import Address, Network, Timer
@@ -27,86 +27,87 @@
 from micadeck.policy.outcomes import Outcome
 from micadeck.policy.settings import Settings
 
-_OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+_LOCAL_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 _PING = bytes((Command.PING,))
 _RESET = bytes((Command.RESET_CONNECTION,))
-_PART = 64  # bytes that a held part costs beside its payload
-# The statement did not run, and another server may run it.
-_ELSEWHERE = frozenset((ErrorCode.OPTION_PREVENTS_STATEMENT, 1836, 1461, 3032))
-_GOING_DOWN = frozenset((ErrorCode.SERVER_SHUTDOWN, 1077, 1079, 1080, 3169))
-_KILL_WITHIN_S = 1.0
+_PART_OVERHEAD = 64  # bytes that a buffered part takes in addition to its payload
+# Errors after which the statement did not run and another server may run it.
+_OTHER_SERVER_CODES = frozenset((ErrorCode.OPTION_PREVENTS_STATEMENT, 1836, 1461, 3032))
+_SHUTDOWN_CODES = frozenset((ErrorCode.SERVER_SHUTDOWN, 1077, 1079, 1080, 3169))
+_KILL_TIMEOUT_S = 1.0
 
-_Kind = tuple[bool, bool]  # of a connection: counts found rows, and has a schema, which no reset takes away
-_ANY: tuple[_Kind, ...] = ((False, False), (False, True), (True, False), (True, True))
+# CLIENT_FOUND_ROWS was negotiated; a default schema is selected (a connection reset does not clear it).
+_ConnectionKind = tuple[bool, bool]
+_ANY_KIND: tuple[_ConnectionKind, ...] = ((False, False), (False, True), (True, False), (True, True))
 
 
 class Sink(Protocol):
-    """Where an answer goes that is too long to hold."""
+    """Receives a response that is too long to buffer."""
 
-    def begin(self, call: Call) -> bool:
-        """Whether it may go there now; from then on each part follows by `part`."""
+    def begin(self, attempt: Attempt) -> bool:
+        """Start streaming, if the client can take the response; `part` gets each part."""
 
     def part(self, part: Part) -> None: ...
 
 
 @dataclass(slots=True)
 class StatementRequest(Request):
-    """One command of one session, on its way to a server."""
+    """One command of one session, for a server."""
 
     session: Session
     statement: Statement
-    command: bytes  # as it is written; of an execution, what follows the statement's number
-    kind: Kind
+    command: bytes  # the payload; COM_STMT_EXECUTE gets its statement id when it is written
+    kind: ResponseKind
     sink: Sink
-    link: ServerConnection | None = None  # the session's own, if it is bound to one
-    handle: Handle | None = None  # of an execution
-    error: Err | None = None  # why a server would not have the session
+    connection: ServerConnection | None = None  # that the session is bound to, if any
+    handle: Handle | None = None  # for COM_STMT_EXECUTE
+    error: Err | None = None  # a server's error while the session's state was applied
 
 
 @dataclass(slots=True)
-class Answer:
-    """An answer that came whole, or whose last part has just gone to its sink."""
+class Response:
+    """A complete response, buffered or streamed to its sink."""
 
-    link: ServerConnection
+    connection: ServerConnection
     parts: list[Part]
-    reader: AnswerReader
-    is_kept: bool = field(default=False)  # set by whoever takes it: the connection stays with the session
+    reader: ResponseReader
+    is_kept: bool = field(default=False)  # set by the receiver: the session keeps the connection
 
 
-class Call:
-    """One attempt.  `on_done` is called exactly once, never from within `start` or `cancel`."""
+class Attempt:
+    """Calls `on_done` exactly once, never from within `start` or `cancel`."""
 
     __slots__ = (
-        "carrier",
+        "connection",
         "ended",
+        "held_bytes",
         "is_streaming",
         "is_written",
-        "link",
         "on_done",
         "parts",
         "request",
         "server",
-        "size",
         "timer",
+        "transport",
     )
 
     def __init__(
-        self, carrier: MysqlTransport, server: str, request: StatementRequest, on_done: AttemptCallback
+        self, transport: MysqlTransport, server: str, request: StatementRequest, on_done: AttemptCallback
     ) -> None:
-        self.carrier = carrier
+        self.transport = transport
         self.server = server
         self.request = request
         self.on_done = on_done
         self.ended = False
-        self.is_written = False  # a byte of the statement itself may be at the server
+        self.is_written = False  # a byte of the statement may have reached the server
         self.is_streaming = False
-        self.link: ServerConnection | None = None
+        self.connection: ServerConnection | None = None
         self.parts: list[Part] = []
-        self.size = 0
+        self.held_bytes = 0
         self.timer: Timer | None = None
 
     def part(self, part: Part) -> None:
-        """A part of the answer to the statement itself came."""
+        """Handle a part of the statement's response."""
         if self.ended:
             return
         if self.is_streaming:
@@ -114,38 +115,38 @@
             return
         self.parts.append(part)
         if type(part) is Row:
-            grown = _PART + len(part.payload)
+            added = _PART_OVERHEAD + len(part.payload)
         else:
-            grown = _PART + (len(part.payload) if isinstance(part, (Definition, Words)) else 0)
-        self.size += grown
-        self.carrier.held += grown
-        if self.carrier.holds_too_much(self.size):
+            added = _PART_OVERHEAD + (len(part.payload) if isinstance(part, (Definition, TextPacket)) else 0)
+        self.held_bytes += added
+        self.transport.held_bytes += added
+        if self.transport.exceeds_held_limit(self.held_bytes):
             self._stream()
 
     def _stream(self) -> None:
         if not self.request.sink.begin(self):
-            assert self.link is not None
-            self.link.close()  # nobody may be given it any more
+            assert self.connection is not None
+            self.connection.close()  # the response can no longer be delivered
             return
         self.is_streaming = True
         parts, self.parts = self.parts, []
-        self.let_go()
+        self.release_held()
         for each in parts:
             self.request.sink.part(each)
 
-    def let_go(self) -> None:
-        """What was held is held no longer."""
-        self.carrier.held -= self.size
-        self.size = 0
+    def release_held(self) -> None:
+        """Return the buffered bytes to the limits."""
+        self.transport.held_bytes -= self.held_bytes
+        self.held_bytes = 0
 
-    def abandon(self) -> None:
-        """Nobody takes the rest."""
-        if not self.ended and self.link is not None:
-            self.link.close()
+    def abort(self) -> None:
+        """Discard the rest of the response."""
+        if not self.ended and self.connection is not None:
+            self.connection.close()
 
 
 class _Server:
-    """Where a server is reached, and whether it may have something new."""
+    """A server's address, and whether it may get new statements."""
 
     __slots__ = ("address", "is_leaving", "sessions_end_at", "started_at")
 
@@ -153,22 +154,22 @@
         self.address = address
         self.started_at = started_at
         self.is_leaving = False
-        self.sessions_end_at: int | None = None  # when bound sessions must have left it
+        self.sessions_end_at: int | None = None  # deadline for bound sessions to end
 
 
 @dataclass(frozen=True, slots=True)
 class TransportLimits:
-    """What the carrier may hold."""
+    """Limits on connections and buffers."""
 
-    pool: Limits
-    hold: int  # bytes of one answer
-    hold_all: int  # and of all
-    most_in_packet: int
-    may_kill: bool
+    pool: PoolLimits
+    max_held_bytes: int  # of one response
+    max_total_held_bytes: int  # of all responses together
+    max_packet_bytes: int
+    can_kill: bool
 
 
 class MysqlTransport:
-    """All connections to MySQL servers; the engine's `Carrier`."""
+    """All connections to MySQL servers, for the engine."""
 
     def __init__(
         self,
@@ -179,41 +180,44 @@
         log: Callable[[str], None],
     ) -> None:
         self._network = network
-        self._dial_within_s = settings.limits.dial_timeout_us / 1e6
+        self._dial_timeout_s = settings.limits.dial_timeout_us / 1e6
         self._bound_grace_us = settings.rules.session_drain_grace_us
         self._credentials = credentials
         self._limits = limits
         self._log = log
         self.pool: Pool[ServerConnection] = Pool(limits.pool)
-        self.held = 0
+        self.held_bytes = 0
         self._servers: dict[str, _Server] = {}
-        self._homes: dict[ServerConnection, _Server] = {}
+        self._server_of: dict[ServerConnection, _Server] = {}
         self._bound: dict[ServerConnection, Callable[[], None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._sweep: Timer | None = None
+        self._idle_timer: Timer | None = None
         self._is_closed = False
 
-    def holds_too_much(self, size: int) -> bool:
-        return size > self._limits.hold or self.held > self._limits.hold_all
+    def exceeds_held_limit(self, response_bytes: int) -> bool:
+        return (
+            response_bytes > self._limits.max_held_bytes
+            or self.held_bytes > self._limits.max_total_held_bytes
+        )
 
-    # The list
+    # The endpoint list
 
-    def update_endpoints(self, listing: EndpointUpdate) -> None:
-        if listing.full:
-            for name in self._servers.keys() - {each.listed.server for each in listing.entries}:
-                self._drop(name)
-        for entry in listing.entries:
+    def update_endpoints(self, update: EndpointUpdate) -> None:
+        if update.full:
+            for name in self._servers.keys() - {each.listed.server for each in update.entries}:
+                self._remove_server(name)
+        for entry in update.entries:
             name, address = entry.listed.server, entry.address
             if address is None:
-                self._drop(name)
+                self._remove_server(name)
                 continue
             server = self._servers.get(name)
             if server is None or (server.address, server.started_at) != (address, entry.listed.started_at):
-                self._drop(name)
+                self._remove_server(name)
                 server = self._servers[name] = _Server(address, entry.listed.started_at)
-            self._state_heard(name, server, entry.listed.state is not ServerState.READY)
+            self._update_state(name, server, entry.listed.state is not ServerState.READY)
 
-    def _state_heard(self, name: str, server: _Server, is_leaving: bool) -> None:
+    def _update_state(self, name: str, server: _Server, is_leaving: bool) -> None:
         if is_leaving == server.is_leaving:
             return
         server.is_leaving = is_leaving
@@ -225,17 +229,14 @@
         self._network.call_later(self._bound_grace_us / 1e6, self._end_sessions, server)
 
     def _end_sessions(self, server: _Server) -> None:
-        """Bound sessions between two statements lose their connections, and so their transactions, now.
-
-        Closing is word enough: a server rolls back what its client left open, and nothing new is written.
-        """
+        """Close the idle connections of bound sessions; the server then rolls back what they left open."""
         if server.sessions_end_at is None or self._network.now() < server.sessions_end_at:
             return
-        for link in list(self._bound):
-            if self._homes.get(link) is server and link.is_usable():
-                link.close()
+        for connection in list(self._bound):
+            if self._server_of.get(connection) is server and connection.is_usable():
+                connection.close()
 
-    def _drop(self, name: str) -> None:
+    def _remove_server(self, name: str) -> None:
         server = self._servers.pop(name, None)
         if server is None:
             return
@@ -246,27 +247,27 @@
 
     # Sessions
 
-    def bind(self, link: ServerConnection, on_lost: Callable[[], None]) -> bool:
-        """The connection belongs to one session until `unbind`; False if its server takes nothing new."""
-        if not link.is_open or not self.takes_bound(link):
+    def bind(self, connection: ServerConnection, on_lost: Callable[[], None]) -> bool:
+        """Reserve it for one session until `unbind`; False if it is closed or its server drains."""
+        if not connection.is_open or not self.accepts_bound(connection):
             return False
-        self._bound[link] = on_lost
+        self._bound[connection] = on_lost
         return True
 
-    def takes_bound(self, link: ServerConnection) -> bool:
-        """Whether the connection's server may still have statements of its session."""
-        server = self._homes.get(link)
+    def accepts_bound(self, connection: ServerConnection) -> bool:
+        """Whether the connection's server still takes statements of bound sessions."""
+        server = self._server_of.get(connection)
         if server is None:
             return False
         return server.sessions_end_at is None or self._network.now() < server.sessions_end_at
 
-    def unbind(self, link: ServerConnection, *, is_good: bool = True) -> None:
-        """The session has no more need of it, or can't trust it any more."""
-        self._bound.pop(link, None)
+    def unbind(self, connection: ServerConnection, *, is_good: bool = True) -> None:
+        """End the reservation; close the connection if its state is not trusted."""
+        self._bound.pop(connection, None)
         if is_good:
-            self._release(link)
+            self._release(connection)
         else:
-            link.close()
+            connection.close()
 
     # Attempts
 
@@ -277,405 +278,404 @@
         request: StatementRequest,
         on_done: AttemptCallback,
         write_deadline_us: int | None = None,
-    ) -> Call:
-        assert write_deadline_us is None  # no class of statements is keyed
-        call = Call(self, server, request, on_done)
-        home = self._servers.get(server)
-        left_us = deadline_us - self._network.now()
-        if request.link is not None:
-            may = request.link.is_usable() and self.takes_bound(request.link)
+    ) -> Attempt:
+        assert write_deadline_us is None  # no class of MySQL statements is keyed
+        attempt = Attempt(self, server, request, on_done)
+        target = self._servers.get(server)
+        remaining_us = deadline_us - self._network.now()
+        if request.connection is not None:
+            can_start = request.connection.is_usable() and self.accepts_bound(request.connection)
         else:
-            may = home is not None and not home.is_leaving
-        if not may or left_us <= 0:
-            self._network.call_soon(self._end, call, Outcome.NOT_SENT)
-            return call
-        call.timer = self._network.call_later(left_us / 1e6, self._expire, call)
-        self._spawn(self._carry(call, home))
-        return call
-
-    def set_deadline(self, attempt: Call, deadline_us: int) -> None:
-        """Nothing to do: every statement is whole when it is taken."""
-
-    def cancel(self, attempt: Call) -> None:
+            can_start = target is not None and not target.is_leaving
+        if not can_start or remaining_us <= 0:
+            self._network.call_soon(self._end, attempt, Outcome.NOT_SENT)
+            return attempt
+        attempt.timer = self._network.call_later(remaining_us / 1e6, self._expire, attempt)
+        self._spawn(self._run_attempt(attempt, target))
+        return attempt
+
+    def set_deadline(self, attempt: Attempt, deadline_us: int) -> None:
+        """Do nothing: every statement is complete when it is submitted."""
+
+    def cancel(self, attempt: Attempt) -> None:
         self._give_up(attempt, Outcome.CANCELLED)
 
-    def withdraw(self, attempt: Call) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         if not attempt.is_written:
             self._give_up(attempt, Outcome.NOT_SENT)
 
-    def _give_up(self, attempt: Call, outcome: Outcome) -> None:
+    def _give_up(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.ended:
             return
-        self._stop(attempt)
+        self._abort(attempt)
         self._network.call_soon(attempt.on_done, outcome, None, None)
 
     def probe(self, server: str, deadline_us: int, on_done: AttemptCallback) -> None:
         self._spawn(self._ping(server, deadline_us, on_done))
 
     def close_idle(self, server: str) -> None:
-        for link in self.pool.resting(server):
-            link.close()
+        for connection in self.pool.idle(server):
+            connection.close()
 
     def close(self) -> None:
         self._is_closed = True
         for task in self._tasks:
             task.cancel()
-        if self._sweep is not None:
-            self._sweep.cancel()
-        for link in list(self._homes):
-            link.close()
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        for connection in list(self._server_of):
+            connection.close()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = self._network.spawn(work)
         self._tasks.add(task)
-        task.add_done_callback(self._over)
+        task.add_done_callback(self._task_done)
 
-    def _over(self, task: asyncio.Task[None]) -> None:
+    def _task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
-        if not task.cancelled() and (fault := task.exception()) is not None:
-            self._log(f"internal error: mysql: {fault!r}")
-
-    async def _carry(self, call: Call, home: _Server | None) -> None:
-        request = call.request
-        link = request.link
-        if link is None:
-            assert home is not None
-            link = await self._obtain(call.server, home, _kinds(request.session), call)
-            if link is None:
+        if not task.cancelled() and (error := task.exception()) is not None:
+            self._log(f"internal error: mysql: {error!r}")
+
+    async def _run_attempt(self, attempt: Attempt, target: _Server | None) -> None:
+        request = attempt.request
+        connection = request.connection
+        if connection is None:
+            assert target is not None
+            kinds = _connection_kinds(request.session)
+            connection = await self._acquire(attempt.server, target, kinds, attempt)
+            if connection is None:
                 return
-        call.link = link
+        attempt.connection = connection
         try:
-            if not await self._prepare(call, link):
+            if not await self._apply_session(attempt, connection):
                 return
-            reader = await self._run(call, link)
-        except Lost as lost:
-            self._lost(call, link, lost)
+            reader = await self._exchange_statement(attempt, connection)
+        except ConnectionLost as lost:
+            self._fail_lost(attempt, connection, lost)
             return
-        if not call.ended:
-            self._answered(call, link, reader)
+        if not attempt.ended:
+            self._complete(attempt, connection, reader)
 
-    async def _obtain(
-        self, name: str, home: _Server, kinds: Sequence[_Kind], call: Call | None
+    async def _acquire(
+        self, name: str, target: _Server, kinds: Sequence[_ConnectionKind], attempt: Attempt | None
     ) -> ServerConnection | None:
-        """A connection for the attempt, or None: then it has ended."""
-        what = self.pool.assign(name, kinds, self._network.now())
-        while isinstance(what, Use):
-            if what.connection.is_usable():
-                return what.connection
-            what.connection.close()
-            what = self.pool.assign(name, kinds, self._network.now())
-        if isinstance(what, Full):
-            # Within `start` nobody may be told yet.
+        """Get a connection from the pool or dial; None if the attempt has ended."""
+        assigned = self.pool.assign(name, kinds, self._network.now())
+        while isinstance(assigned, Use):
+            if assigned.connection.is_usable():
+                return assigned.connection
+            assigned.connection.close()
+            assigned = self.pool.assign(name, kinds, self._network.now())
+        if isinstance(assigned, Full):
+            # `on_done` must not be called within `start`.
             await self._network.sleep(0)
-            self._end(call, Outcome.NOT_SENT)
+            self._end(attempt, Outcome.NOT_SENT)
             return None
-        for each in what.close:
+        for each in assigned.close:
             each.close()
-        return await self._dial(name, home, kinds[0][0], call)
+        return await self._dial(name, target, kinds[0][0], attempt)
 
     async def _dial(
-        self, name: str, home: _Server, found_rows: bool, call: Call | None
+        self, name: str, target: _Server, found_rows: bool, attempt: Attempt | None
     ) -> ServerConnection | None:
-        outcome, link = Outcome.CONNECT_FAILED, None
+        outcome, connection = Outcome.CONNECT_FAILED, None
         try:
-            opening = ServerConnection.open(
-                lambda: self._new_link(name, found_rows), self._network, home.address
+            dial = ServerConnection.open(
+                lambda: self._new_connection(name, found_rows), self._network, target.address
             )
-            link = await wait_excluding_lag(self._network, self._dial_within_s, opening)
-        except LoginFailed as fault:
-            self._log(f"mysql: log-in at {name} failed: {fault}")
-            if fault.error is not None and fault.error.code in FULL_AT_LOGIN:
+            connection = await wait_excluding_lag(self._network, self._dial_timeout_s, dial)
+        except LoginFailed as error:
+            self._log(f"mysql: log-in at {name} failed: {error}")
+            if error.error is not None and error.error.code in OVER_LIMIT_CODES:
                 outcome = Outcome.FULL
-        except (OSError, TimeoutError) as fault:
-            if isinstance(fault, ConnectionRefusedError):
+        except (OSError, TimeoutError) as error:
+            if isinstance(error, ConnectionRefusedError):
                 outcome = Outcome.CONNECTION_REFUSED
-            elif isinstance(fault, OSError) and fault.errno in _OWN_FAULTS:
+            elif isinstance(error, OSError) and error.errno in _LOCAL_ERRNOS:
                 outcome = Outcome.NOT_SENT
         except asyncio.CancelledError:
-            self.pool.failed(name)
+            self.pool.dial_failed(name)
             raise
-        if link is None:
-            self.pool.failed(name)
-            self._end(call, outcome)
+        if connection is None:
+            self.pool.dial_failed(name)
+            self._end(attempt, outcome)
             return None
-        self.pool.opened(name, link)
-        self._homes[link] = home
-        if not link.is_open or home.is_leaving or self._is_closed:
-            # Guards rule 3: word of its drain came while the dial was under way.
-            was_open = link.is_open
-            link.close()
-            self._closed(link)
-            self._end(call, Outcome.NOT_SENT if was_open else Outcome.CONNECT_FAILED)
+        self.pool.opened(name, connection)
+        self._server_of[connection] = target
+        if not connection.is_open or target.is_leaving or self._is_closed:
+            # A draining server gets no new statements (rule 3), also if the drain began during the dial.
+            was_open = connection.is_open
+            connection.close()
+            self._connection_closed(connection)
+            self._end(attempt, Outcome.NOT_SENT if was_open else Outcome.CONNECT_FAILED)
             return None
-        if call is not None and call.ended:
-            self._release(link)
+        if attempt is not None and attempt.ended:
+            self._release(connection)
             return None
-        return link
+        return connection
 
-    def _new_link(self, server: str, found_rows: bool) -> ServerConnection:
+    def _new_connection(self, server: str, found_rows: bool) -> ServerConnection:
         return ServerConnection(
             self._network,
             server,
             self._credentials,
             found_rows=found_rows,
-            most_in_packet=self._limits.most_in_packet,
-            on_closed=self._closed,
+            max_packet_bytes=self._limits.max_packet_bytes,
+            on_closed=self._connection_closed,
         )
 
-    async def _prepare(self, call: Call, link: ServerConnection) -> bool:
-        """Put the session on the connection; False if the attempt has ended over it.
+    async def _apply_session(self, attempt: Attempt, connection: ServerConnection) -> bool:
+        """Apply the session's state to the connection; False if that ended the attempt.
 
-        Nothing of the statement is written yet: whatever goes wrong here, it did not run.
+        The statement is not written yet: after a failure here it has not run.
         """
-        request = call.request
+        request = attempt.request
         session, statement = request.session, request.statement
         commands: list[bytes] = []
-        if request.link is None and must_reset(link.state, session, statement):
+        if request.connection is None and must_reset(connection.state, session, statement):
             commands.append(_RESET)
-            link.state.reset()
-            link.forget_prepared()
-        commands += put(link.state, session, statement)
+            connection.state.reset()
+            connection.forget_prepared()
+        commands += put(connection.state, session, statement)
         for command in commands:
-            reader = await self._ask(call, link, command, Kind.RESULT)
-            if call.ended or self._drains_by_now(call, link):
+            reader = await self._exchange_setup(connection, command)
+            if attempt.ended or self._ended_by_drain(attempt, connection):
                 return False
             if reader.error is not None:
-                link.state.is_dirty = True  # what was taken for set is not
+                connection.state.is_dirty = True  # the state that was recorded as applied is not
                 request.error = reader.error
-                self._log(f"mysql: {call.server} would not have a session: {reader.error.code}")
-                self._end(call, Outcome.FULL)
-                self._release_unless_bound(call, link)
+                self._log(f"mysql: {attempt.server} rejected a session's state: {reader.error.code}")
+                self._end(attempt, Outcome.FULL)
+                self._release_unless_bound(attempt, connection)
                 return False
         if request.handle is not None:
-            return await self._prepare_statement(call, link, request.handle)
+            return await self._prepare_handle(attempt, connection, request.handle)
         return True
 
-    async def _prepare_statement(self, call: Call, link: ServerConnection, handle: Handle) -> bool:
-        key = (link.state.schema, handle.text)
-        if key in link.prepared:
-            link.prepared.move_to_end(key)
+    async def _prepare_handle(self, attempt: Attempt, connection: ServerConnection, handle: Handle) -> bool:
+        key = (connection.state.schema, handle.text)
+        if key in connection.prepared:
+            connection.prepared.move_to_end(key)
             return True
         parts: list[Part] = []
         command = bytes((Command.STMT_PREPARE,)) + handle.text
         try:
-            reader = await link.exchange(command, Kind.PREPARED, parts.append)
-        except Lost:
-            raise Lost(written=False) from None
-        if call.ended or self._drains_by_now(call, link):
+            reader = await connection.exchange(command, ResponseKind.PREPARED, parts.append)
+        except ConnectionLost:
+            raise ConnectionLost(written=False) from None
+        if attempt.ended or self._ended_by_drain(attempt, connection):
             return False
         if reader.error is not None:
-            if reader.error.code in _ELSEWHERE:
-                self._end(call, Outcome.FULL)
-                self._release_unless_bound(call, link)
+            if reader.error.code in _OTHER_SERVER_CODES:
+                self._end(attempt, Outcome.FULL)
+                self._release_unless_bound(attempt, connection)
                 return False
-            call.parts = [reader.error]  # it did not run, and this is why
-            self._answered(call, link, reader)
+            attempt.parts = [reader.error]  # the statement did not run
+            self._complete(attempt, connection, reader)
             return False
         prepared = parts[0]
-        assert isinstance(prepared, Prepared)
-        link.remember(key, prepared)
-        if prepared.parameters != handle.parameters:
-            # The server has another schema than the one that described the statement to the client.
-            self._end(call, Outcome.FULL)
-            self._release_unless_bound(call, link)
+        assert isinstance(prepared, PrepareOk)
+        connection.add_prepared(key, prepared)
+        if prepared.parameter_count != handle.parameters:
+            # The schema differs from that of the server whose parameter count the client got.
+            self._end(attempt, Outcome.FULL)
+            self._release_unless_bound(attempt, connection)
             return False
         return True
 
-    def _drains_by_now(self, call: Call, link: ServerConnection) -> bool:
-        """Whether word of its server's drain came while the session was put there; that ends the attempt.
-
-        Guards rule 3: what comes before a statement may take as long as the server likes.
-        """
-        home = self._homes.get(link)
-        bound = call.request.link is not None
-        if home is not None and (self.takes_bound(link) if bound else not home.is_leaving):
+    def _ended_by_drain(self, attempt: Attempt, connection: ServerConnection) -> bool:
+        """End the attempt if its server began to drain during the setup, which may take long (rule 3)."""
+        target = self._server_of.get(connection)
+        bound = attempt.request.connection is not None
+        if target is not None and (self.accepts_bound(connection) if bound else not target.is_leaving):
             return False
-        self._end(call, Outcome.NOT_SENT)
-        self._release_unless_bound(call, link)
+        self._end(attempt, Outcome.NOT_SENT)
+        self._release_unless_bound(attempt, connection)
         return True
 
-    async def _ask(self, call: Call, link: ServerConnection, command: bytes, kind: Kind) -> AnswerReader:
+    async def _exchange_setup(self, connection: ServerConnection, command: bytes) -> ResponseReader:
         try:
-            return await link.exchange(command, kind, _ignore)
-        except Lost:
-            raise Lost(written=False) from None
-
-    async def _run(self, call: Call, link: ServerConnection) -> AnswerReader:
-        request = call.request
-        if call.ended:
-            raise Lost(written=False)
+            return await connection.exchange(command, ResponseKind.RESULT, _ignore)
+        except ConnectionLost:
+            raise ConnectionLost(written=False) from None
+
+    async def _exchange_statement(self, attempt: Attempt, connection: ServerConnection) -> ResponseReader:
+        request = attempt.request
+        if attempt.ended:
+            raise ConnectionLost(written=False)
         command = request.command
         if request.handle is not None:
-            known = link.prepared[link.state.schema, request.handle.text]
-            number = known.statement.to_bytes(4, "little")
+            prepared = connection.prepared[connection.state.schema, request.handle.text]
+            statement_id = prepared.statement_id.to_bytes(4, "little")
             for parameter, data in request.handle.long_data.items():
-                head = bytes((Command.STMT_SEND_LONG_DATA,)) + number + parameter.to_bytes(2, "little")
-                link.tell(head + bytes(data))
-            command = command[:1] + number + command[5:]
-        call.is_written = True
-        return await link.exchange(command, request.kind, call.part)
-
-    # How attempts end
-
-    def _answered(self, call: Call, link: ServerConnection, reader: AnswerReader) -> None:
-        request, error = call.request, reader.error
-        oks = [each for each in call.parts if isinstance(each, Ok)]
-        link.state.ran(request.statement, reader.status, oks[-1] if oks else None, error is not None)
-        if error is not None and not call.is_streaming:
-            if error.code in _GOING_DOWN:
-                self._end(call, Outcome.ERROR)
-                link.close()
+                head = bytes((Command.STMT_SEND_LONG_DATA,)) + statement_id + parameter.to_bytes(2, "little")
+                connection.send(head + bytes(data))
+            command = command[:1] + statement_id + command[5:]
+        attempt.is_written = True
+        return await connection.exchange(command, request.kind, attempt.part)
+
+    # The end of attempts
+
+    def _complete(self, attempt: Attempt, connection: ServerConnection, reader: ResponseReader) -> None:
+        request, error = attempt.request, reader.error
+        oks = [each for each in attempt.parts if isinstance(each, Ok)]
+        connection.state.ran(request.statement, reader.status, oks[-1] if oks else None, error is not None)
+        if error is not None and not attempt.is_streaming:
+            if error.code in _SHUTDOWN_CODES:
+                self._end(attempt, Outcome.ERROR)
+                connection.close()
                 return
-            if error.code in _ELSEWHERE and request.link is None and reader.rows == 0:
-                self._end(call, Outcome.FULL)
-                self._release(link)
+            if error.code in _OTHER_SERVER_CODES and request.connection is None and reader.rows == 0:
+                self._end(attempt, Outcome.FULL)
+                self._release(connection)
                 return
-        if request.kind is Kind.PREPARED and error is None:
-            self._prepared(call, link)
-        answer = Answer(link, call.parts, reader)
-        self._end(call, Outcome.DELIVERED, answer)
-        if not answer.is_kept:
-            self._bound.pop(link, None)
-            self._release(link)
-
-    def _prepared(self, call: Call, link: ServerConnection) -> None:
-        """A client's own prepare: the statement stays on the connection, for whoever executes it there."""
-        key, prepared = (link.state.schema, call.request.command[1:]), call.parts[0]
-        assert isinstance(prepared, Prepared)
-        if key in link.prepared:
-            link.tell(bytes((Command.STMT_CLOSE,)) + prepared.statement.to_bytes(4, "little"))
+        if request.kind is ResponseKind.PREPARED and error is None:
+            self._keep_prepared(attempt, connection)
+        response = Response(connection, attempt.parts, reader)
+        self._end(attempt, Outcome.DELIVERED, response)
+        if not response.is_kept:
+            self._bound.pop(connection, None)
+            self._release(connection)
+
+    def _keep_prepared(self, attempt: Attempt, connection: ServerConnection) -> None:
+        """Keep a statement that a client prepared on the connection, for later executions."""
+        key, prepared = (connection.state.schema, attempt.request.command[1:]), attempt.parts[0]
+        assert isinstance(prepared, PrepareOk)
+        if key in connection.prepared:
+            connection.send(bytes((Command.STMT_CLOSE,)) + prepared.statement_id.to_bytes(4, "little"))
         else:
-            link.remember(key, prepared)
+            connection.add_prepared(key, prepared)
 
-    def _lost(self, call: Call, link: ServerConnection, lost: Lost) -> None:
+    def _fail_lost(self, attempt: Attempt, connection: ServerConnection, lost: ConnectionLost) -> None:
         if not lost.written:
-            self._end(call, Outcome.CONNECT_FAILED)
-        elif link.fault is not None:
-            self._log(f"mysql: {call.server} sent what can't be read: {link.fault}")
-            self._end(call, Outcome.MALFORMED)
+            self._end(attempt, Outcome.CONNECT_FAILED)
+        elif connection.protocol_error is not None:
+            self._log(f"mysql: {attempt.server} broke the protocol: {connection.protocol_error}")
+            self._end(attempt, Outcome.MALFORMED)
         else:
-            self._end(call, Outcome.CONNECTION_LOST)
+            self._end(attempt, Outcome.CONNECTION_LOST)
 
-    def _expire(self, call: Call) -> None:
-        if call.ended:
+    def _expire(self, attempt: Attempt) -> None:
+        if attempt.ended:
             return
-        self._stop(call)
-        call.on_done(Outcome.TIMED_OUT if call.is_written else Outcome.CONNECT_FAILED, None, None)
-
-    def _stop(self, call: Call) -> None:
-        """Nothing is written for it from here on."""
-        call.ended = True
-        call.let_go()
-        if call.timer is not None:
-            call.timer.cancel()
-        if call.link is not None:
-            if self._limits.may_kill and call.is_written and call.link.is_open:
-                self._spawn(self._kill(call.server, call.link.thread))
-            call.link.close()
-
-    def _end(self, call: Call | None, outcome: Outcome, answer: Answer | None = None) -> None:
-        if call is None or call.ended:
+        self._abort(attempt)
+        attempt.on_done(Outcome.TIMED_OUT if attempt.is_written else Outcome.CONNECT_FAILED, None, None)
+
+    def _abort(self, attempt: Attempt) -> None:
+        """End the attempt and close its connection."""
+        attempt.ended = True
+        attempt.release_held()
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        if attempt.connection is not None:
+            if self._limits.can_kill and attempt.is_written and attempt.connection.is_open:
+                self._spawn(self._kill(attempt.server, attempt.connection.thread_id))
+            attempt.connection.close()
+
+    def _end(self, attempt: Attempt | None, outcome: Outcome, response: Response | None = None) -> None:
+        if attempt is None or attempt.ended:
             return
-        call.ended = True
-        call.let_go()
-        if call.timer is not None:
-            call.timer.cancel()
-        call.on_done(outcome, answer, None)
+        attempt.ended = True
+        attempt.release_held()
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        attempt.on_done(outcome, response, None)
 
     # Connections
 
-    def _release_unless_bound(self, call: Call, link: ServerConnection) -> None:
-        if call.request.link is None:
-            self._release(link)
-
-    def _release(self, link: ServerConnection) -> None:
-        """Back to rest, after a reset where somebody's locks, tables or transaction would stay."""
-        server = self._homes.get(link)
-        if server is None or server.is_leaving or not link.is_usable():
-            link.close()
-        elif link.state.in_transaction or link.state.is_dirty:
-            self._spawn(self._reset(link))
+    def _release_unless_bound(self, attempt: Attempt, connection: ServerConnection) -> None:
+        if attempt.request.connection is None:
+            self._release(connection)
+
+    def _release(self, connection: ServerConnection) -> None:
+        """Return it to the pool; reset it first if locks, tables or a transaction may be left."""
+        server = self._server_of.get(connection)
+        if server is None or server.is_leaving or not connection.is_usable():
+            connection.close()
+        elif connection.state.in_transaction or connection.state.is_dirty:
+            self._spawn(self._reset(connection))
         else:
-            self._rest(link)
+            self._return_to_pool(connection)
 
-    async def _reset(self, link: ServerConnection) -> None:
+    async def _reset(self, connection: ServerConnection) -> None:
         try:
-            async with self._network.timeout(self._dial_within_s):
-                reader = await link.exchange(_RESET, Kind.RESULT, _ignore)
-        except (Lost, TimeoutError):
-            link.close()
+            async with self._network.timeout(self._dial_timeout_s):
+                reader = await connection.exchange(_RESET, ResponseKind.RESULT, _ignore)
+        except (ConnectionLost, TimeoutError):
+            connection.close()
             return
         if reader.error is not None:
-            link.close()  # a server older than 5.7.3 knows no reset
+            connection.close()  # servers before 5.7.3 lack COM_RESET_CONNECTION
             return
-        link.state.reset()
-        link.forget_prepared()
-        self._release(link)
-
-    def _rest(self, link: ServerConnection) -> None:
-        now = self._network.now()
-        if not self.pool.freed(link, (link.found_rows, link.state.schema is not None), now):
-            link.close()
-        elif self._sweep is None:
-            self._sweep = self._network.call_later(self._limits.pool.idle_us / 4e6, self._close_old)
-
-    def _close_old(self) -> None:
-        self._sweep = None
-        for link in self.pool.old(self._network.now()):
-            link.close()
+        connection.state.reset()
+        connection.forget_prepared()
+        self._release(connection)
+
+    def _return_to_pool(self, connection: ServerConnection) -> None:
+        kind = (connection.found_rows, connection.state.schema is not None)
+        if not self.pool.release(connection, kind, self._network.now()):
+            connection.close()
+        elif self._idle_timer is None:
+            self._idle_timer = self._network.call_later(self._limits.pool.idle_us / 4e6, self._close_expired)
+
+    def _close_expired(self) -> None:
+        self._idle_timer = None
+        for connection in self.pool.expired(self._network.now()):
+            connection.close()
         if self.pool.count:
-            self._sweep = self._network.call_later(self._limits.pool.idle_us / 4e6, self._close_old)
+            self._idle_timer = self._network.call_later(self._limits.pool.idle_us / 4e6, self._close_expired)
 
-    def _closed(self, link: ServerConnection) -> None:
-        self.pool.closed(link)
-        self._homes.pop(link, None)
-        on_lost = self._bound.pop(link, None)
+    def _connection_closed(self, connection: ServerConnection) -> None:
+        self.pool.closed(connection)
+        self._server_of.pop(connection, None)
+        on_lost = self._bound.pop(connection, None)
         if on_lost is not None:
             on_lost()
 
-    # Beside statements
+    # Commands of the transport itself
 
-    async def _kill(self, server: str, thread: int) -> None:
-        """End what goes on at the server though nobody waits: closing its connection does not."""
-        home = self._servers.get(server)
-        if home is None or home.is_leaving:
+    async def _kill(self, server: str, thread_id: int) -> None:
+        """Stop an abandoned statement at the server: closing its connection does not."""
+        target = self._servers.get(server)
+        if target is None or target.is_leaving:
             return
-        link = await self._obtain(server, home, _ANY, None)
-        if link is None:
+        connection = await self._acquire(server, target, _ANY_KIND, None)
+        if connection is None:
             return
         try:
-            async with self._network.timeout(_KILL_WITHIN_S):
-                await link.exchange(bytes((Command.QUERY,)) + b"KILL QUERY %d" % thread, Kind.RESULT, _ignore)
-        except (Lost, TimeoutError):
-            link.close()
+            async with self._network.timeout(_KILL_TIMEOUT_S):
+                command = bytes((Command.QUERY,)) + b"KILL QUERY %d" % thread_id
+                await connection.exchange(command, ResponseKind.RESULT, _ignore)
+        except (ConnectionLost, TimeoutError):
+            connection.close()
         else:
-            self._release(link)
+            self._release(connection)
 
     async def _ping(self, server: str, deadline_us: int, on_done: AttemptCallback) -> None:
-        home = self._servers.get(server)
+        target = self._servers.get(server)
         outcome = Outcome.CONNECT_FAILED
         await self._network.sleep(0)
-        if home is not None and not home.is_leaving:
-            link: ServerConnection | None = None
+        if target is not None and not target.is_leaving:
+            connection: ServerConnection | None = None
             try:
                 async with self._network.timeout(max(deadline_us - self._network.now(), 0) / 1e6):
-                    link = await self._obtain(server, home, _ANY, None)
-                    if link is not None:
-                        await link.exchange(_PING, Kind.RESULT, _ignore)
+                    connection = await self._acquire(server, target, _ANY_KIND, None)
+                    if connection is not None:
+                        await connection.exchange(_PING, ResponseKind.RESULT, _ignore)
                         outcome = Outcome.DELIVERED
-            except Lost:
+            except ConnectionLost:
                 outcome = Outcome.CONNECTION_LOST
             except TimeoutError:
                 outcome = Outcome.TIMED_OUT
-            if link is not None:
-                self._release(link)
+            if connection is not None:
+                self._release(connection)
         on_done(outcome, None, None)
 
 
-def _kinds(session: Session) -> tuple[_Kind, ...]:
+def _connection_kinds(session: Session) -> tuple[_ConnectionKind, ...]:
     counts = session.found_rows
     return ((counts, True), (counts, False)) if session.schema is not None else ((counts, False),)
 
 
 def _ignore(part: Part) -> None:
-    """Of an answer that only has to be without an error."""
+    """Discard a part of a response of which only the status matters."""
--- a/micadeck/stand_ins/mysql/server.py
+++ b/micadeck/stand_ins/mysql/server.py
@@ -13,13 +13,13 @@
 from sqlglot import exp
 
 from micadeck.mysql.auth import (
-    Admitted,
-    Check,
-    Denied,
-    Gate,
+    AccessDenied,
+    Authenticated,
+    AuthStep,
     KeyPair,
+    PasswordCheck,
     SendPacket,
-    Step,
+    ServerAuthentication,
     User,
     Users,
     Verifier,
@@ -27,8 +27,8 @@
     new_salt,
 )
 from micadeck.mysql.protocol.constants import Capability, Command, Status
-from micadeck.mysql.protocol.handshake import ChangeUser, Greeting, Response
-from micadeck.mysql.protocol.messages import Column, Eof, Err, Ok, Prepared
+from micadeck.mysql.protocol.handshake import ChangeUser, Handshake, HandshakeResponse
+from micadeck.mysql.protocol.messages import Column, Eof, Err, Ok, PrepareOk
 from micadeck.mysql.protocol.packets import PacketReader, frame
 from micadeck.mysql.protocol.wire import Cursor, lenenc, lenenc_int
 from micadeck.stand_ins.mysql.sql import Busy, Database, Result, SqlError, SqlSession, Value
@@ -252,23 +252,23 @@
             raise _Ended
         salt = new_salt()
         offered = server.capabilities
-        self._write(Greeting(b"8.0.36-standin", self.thread, salt, offered, plugin=server.plugin).encode())
-        response = Response.decode(await self._payload())
-        self._capabilities = response.capabilities & offered
-        gate = Gate(server._users, salt, "localhost")
-        await self._admit(gate, gate.begin(response.user, response.plugin, response.answer), response.schema)
+        self._write(Handshake(b"8.0.36-standin", self.thread, salt, offered, plugin=server.plugin).encode())
+        reply = HandshakeResponse.decode(await self._payload())
+        self._capabilities = reply.capabilities & offered
+        gate = ServerAuthentication(server._users, salt, "localhost")
+        await self._admit(gate, gate.begin(reply.user, reply.plugin, reply.auth_response), reply.schema)
         server.logins += 1
 
-    async def _admit(self, gate: Gate, step: Step, schema: bytes) -> None:
-        while not isinstance(step, Admitted):
+    async def _admit(self, gate: ServerAuthentication, step: AuthStep, schema: bytes) -> None:
+        while not isinstance(step, Authenticated):
             match step:
                 case SendPacket(payload):
                     self._write(payload)
                     self._packets.sequence = self._sequence
                     step = gate.read(await self._payload())
-                case Check(run):
-                    step = gate.checked(run())
-                case Denied(error):
+                case PasswordCheck(run):
+                    step = gate.password_checked(run())
+                case AccessDenied(error):
                     self._write(error.encode())
                     raise _Ended
         if step.first is not None:
@@ -306,8 +306,8 @@
             case Command.CHANGE_USER:
                 change = ChangeUser.decode(payload)
                 self.sql.reset()
-                gate = Gate(self._server._users, new_salt(), "localhost")
-                step = gate.begin(change.user, change.plugin, change.answer, switch=True)
+                gate = ServerAuthentication(self._server._users, new_salt(), "localhost")
+                step = gate.begin(change.user, change.plugin, change.auth_response, switch=True)
                 await self._admit(gate, step, change.schema)
             case Command.SET_OPTION:
                 self._multi = payload[1] == 0
@@ -525,7 +525,7 @@
             return
         number, self._next_statement = self._next_statement, self._next_statement + 1
         self._prepared[number] = (text, trees[0], parameters)
-        self._write(Prepared(number, len(columns), parameters).encode())
+        self._write(PrepareOk(number, len(columns), parameters).encode())
         is_classic = not self._capabilities & Capability.DEPRECATE_EOF
         for names in (["?"] * parameters, columns):
             for each in names:
@@ -607,9 +607,9 @@
     for number, (value, column) in enumerate(zip(row, columns, strict=True)):
         if value is None:
             nulls[(number + 2) // 8] |= 1 << (number + 2) % 8
-        elif column.kind == 8:
+        elif column.column_type == 8:
             out += int(value).to_bytes(8, "little", signed=True)
-        elif column.kind == 5:
+        elif column.column_type == 5:
             out += struct.pack("<d", value)
         else:
             out += lenenc(_bytes(value))
--- a/micadeck/stand_ins/mysql_demo.py
+++ b/micadeck/stand_ins/mysql_demo.py
@@ -13,7 +13,7 @@
 
 from micadeck.mysql.auth import Verifier
 from micadeck.mysql.config import parse
-from micadeck.mysql.protocol.answers import Kind, Part, Row
+from micadeck.mysql.protocol.answers import Part, ResponseKind, Row
 from micadeck.mysql.server_connection import Credentials, ServerConnection
 from micadeck.mysql.service import MysqlService
 from micadeck.network import LoopNetwork
@@ -43,7 +43,7 @@
         if isinstance(each, Row):
             rows.append(each.payload)
 
-    reader = await link.exchange(b"\x03" + text.encode(), Kind.RESULT, part)
+    reader = await link.exchange(b"\x03" + text.encode(), ResponseKind.RESULT, part)
     return (reader.error.code if reader.error is not None else None), rows
 
 
@@ -51,7 +51,7 @@
     def make() -> ServerConnection:
         credentials = Credentials("desk", PASSWORD)
         return ServerConnection(
-            network, "", credentials, found_rows=False, most_in_packet=1 << 24, on_closed=lambda _: None
+            network, "", credentials, found_rows=False, max_packet_bytes=1 << 24, on_closed=lambda _: None
         )
 
     return await ServerConnection.open(make, network, (HOST, port))
--- a/tests/test_mysql_choices.py
+++ b/tests/test_mysql_choices.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from micadeck.mysql.pool import Dial, Full, Limits, Pool, Use
+from micadeck.mysql.pool import Dial, Full, Pool, PoolLimits, Use
 from micadeck.mysql.protocol.constants import Capability, Command, Status
 from micadeck.mysql.protocol.messages import Ok
 from micadeck.mysql.routes import Routes, Rule
 from micadeck.mysql.session import Connected, Session, must_reset, put
-from micadeck.mysql.statements import Kind, Pin, Reader, Refusal, understand
+from micadeck.mysql.statements import Kind, Pin, Refusal, StatementReader, classify
 from micadeck.policy.settings import Idempotency, ServiceClass
 
 # ---------------------------------------------------------------------------------------------------
@@ -82,13 +82,13 @@
 
 @pytest.mark.parametrize("text", _READS)
 def test_what_is_proved_a_read(text: str) -> None:
-    read = Reader().read(text.encode())
+    read = StatementReader().read(text.encode())
     assert read.kind is Kind.READ and not read.pins and read.is_safe and read.refusal is None
 
 
 @pytest.mark.parametrize("text", _NOT_READS)
 def test_what_is_not_proved_is_unsafe(text: str) -> None:
-    assert not Reader().read(text.encode()).is_safe
+    assert not StatementReader().read(text.encode()).is_safe
 
 
 _KINDS: list[tuple[str, Kind, set[Pin], object]] = [
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize(("text", "kind", "pins", "assignments"), _KINDS, ids=[each[0] for each in _KINDS])
 def test_what_a_statement_does_and_leaves(text: str, kind: Kind, pins: set[Pin], assignments: object) -> None:
-    read = Reader().read(text.encode())
+    read = StatementReader().read(text.encode())
     assert (read.kind, set(read.pins)) == (kind, pins)
     if assignments is not None:
         assert read.assignments == assignments
@@ -158,20 +158,20 @@
     ],
 )
 def test_what_is_not_carried(text: str, refusal: Refusal) -> None:
-    assert Reader().read(text.encode()).refusal is refusal
+    assert StatementReader().read(text.encode()).refusal is refusal
 
 
 def test_a_shape_is_read_once_and_literals_never_change_what_it_is() -> None:
-    reader = Reader(most=2)
+    reader = StatementReader(max_shapes=2)
     for number in range(50):
         assert reader.read(b"SELECT a FROM t WHERE b = '%d' AND c > %d" % (number, number)).is_safe
-    assert reader.read_anew == 1
+    assert reader.cache_misses == 1
     for count in (1, 2, 5_000):
         numbers = ", ".join(map(str, range(count)))
         assert reader.read(f"SELECT a FROM t WHERE b IN ({numbers})".encode()).is_safe
         rows = ", ".join(f"({each}, 'x')" for each in range(count))
         assert reader.read(f"INSERT INTO t VALUES {rows}".encode()).kind is Kind.WRITE
-    assert reader.read_anew == 5  # of lists one with one, two and many; of rows one
+    assert reader.cache_misses == 5  # of lists one with one, two and many; of rows one
     assert not reader.read(b"SELECT a FROM t WHERE b = '1' AND c > 1 FOR UPDATE").is_safe
     assert reader.read(b"SELECT 'a; DELETE FROM t'").is_safe
     assert not reader.read(b"SELECT 'a'; DELETE FROM t").is_safe
@@ -195,19 +195,19 @@
 def test_no_harmless_beginning_hides_a_danger(columns: list[str], danger: str) -> None:
     text = f"SELECT {', '.join(columns)}"
     end = f"{text}{danger}" if danger.startswith(",") else f"{text} FROM t {danger}"
-    assert understand(f"{text} FROM t".encode()).is_safe
-    assert not Reader().read(end.encode()).is_safe
+    assert classify(f"{text} FROM t".encode()).is_safe
+    assert not StatementReader().read(end.encode()).is_safe
 
 
 def test_a_text_that_would_take_long_to_read_is_not_proved() -> None:
     long = " OR ".join(f"b{number} = c" for number in range(1_000))
-    assert not Reader().read(f"SELECT a FROM t WHERE {long}".encode()).is_safe
-    assert not Reader().read(b"SELECT " + b"(" * 3_000 + b"1" + b")" * 3_000).is_safe
+    assert not StatementReader().read(f"SELECT a FROM t WHERE {long}".encode()).is_safe
+    assert not StatementReader().read(b"SELECT " + b"(" * 3_000 + b"1" + b")" * 3_000).is_safe
 
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_read_as_something(raw: bytes) -> None:
-    read = Reader().read(raw)
+    read = StatementReader().read(raw)
     if read.is_safe:
         first = re.sub(rb"^(\s|/\*[^!+*/M][^*/]*\*/|/\*\*/|\()*", b"", raw)[:5].lower()
         assert first[:3] in (
@@ -270,7 +270,7 @@
     ],
 )
 def test_routes(text: str, user: str, schema: str, bound: bool, expected: tuple[object, ...]) -> None:
-    route = _ROUTES.route(Reader().read(text.encode()), user, schema, is_bound=bound)
+    route = _ROUTES.route(StatementReader().read(text.encode()), user, schema, is_bound=bound)
     assert (route.service_class, route.tenant, route.deadline_us, route.is_safe) == expected
 
 
@@ -290,7 +290,7 @@
     warnings: int = 0,
     last_insert_id: int = 0,
 ) -> None:
-    read = Reader().read(text.encode())
+    read = StatementReader().read(text.encode())
     session.before(read)
     session.answered(read, status, Ok(0, last_insert_id, status), warnings)
 
@@ -309,13 +309,15 @@
     _did(other, "USE duty")
     _did(other, "SET NAMES latin1")
     assert put(have, other, None) == [query + b"SET NAMES latin1", b"\x02duty"]
-    assert put(have, other, Reader().read(b"SELECT LAST_INSERT_ID(), 1")) == []
+    assert put(have, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == []
     _did(other, "INSERT INTO t VALUES (1)", last_insert_id=9)
-    assert put(have, other, Reader().read(b"SELECT LAST_INSERT_ID(), 1")) == [
+    assert put(have, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == [
         query + b"SET last_insert_id = 9"
     ]
     several = _session(b"duty", multi=True)
-    commands = put(Connected(schema=b"duty", names="utf8mb4"), several, Reader().read(b"SELECT 1; SELECT 2"))
+    commands = put(
+        Connected(schema=b"duty", names="utf8mb4"), several, StatementReader().read(b"SELECT 1; SELECT 2")
+    )
     assert commands == [bytes((Command.SET_OPTION,)) + b"\0\0"]
 
 
@@ -336,10 +338,10 @@
     ran: str, asks: str, resets: bool
 ) -> None:
     have = Connected()
-    have.ran(Reader().read(ran.encode()), Status.AUTOCOMMIT, Ok(), failed=False)
-    assert must_reset(have, _session(), Reader().read(asks.encode())) is resets
+    have.ran(StatementReader().read(ran.encode()), Status.AUTOCOMMIT, Ok(), failed=False)
+    assert must_reset(have, _session(), StatementReader().read(asks.encode())) is resets
     have.reset()
-    assert not must_reset(have, _session(), Reader().read(b"SELECT @a"))
+    assert not must_reset(have, _session(), StatementReader().read(b"SELECT @a"))
 
 
 def test_what_pins_a_session_and_what_lets_it_go() -> None:
@@ -358,9 +360,9 @@
     assert not session.pins  # it was for one transaction
     _did(session, "INSERT INTO t VALUES (1)", warnings=1)
     assert session.pins == {Pin.DIAGNOSTICS}
-    session.before(Reader().read(b"SHOW WARNINGS"))
+    session.before(StatementReader().read(b"SHOW WARNINGS"))
     assert session.pins == {Pin.DIAGNOSTICS}
-    session.before(Reader().read(b"SELECT 1"))
+    session.before(StatementReader().read(b"SELECT 1"))
     assert not session.pins
     _did(session, "SELECT GET_LOCK('a', 1)")
     assert session.connection_lost() and session.pins == {Pin.LOCK}
@@ -372,7 +374,7 @@
 
 def test_the_pool_keeps_its_limits_whatever_comes() -> None:
     chance = random.Random(5)
-    limits = Limits(most=12, most_per_server=5, idle_us=1_000)
+    limits = PoolLimits(max_connections=12, max_connections_per_server=5, idle_us=1_000)
     pool: Pool[int] = Pool(limits)
     free: list[tuple[int, str]] = []
     in_use: list[tuple[int, str]] = []
@@ -405,21 +407,21 @@
                     pool.opened(server, number)
                     in_use.append((number, kind))
                 else:
-                    pool.failed(server)
+                    pool.dial_failed(server)
             case 4 if in_use:
                 connection, kind = in_use.pop(chance.randrange(len(in_use)))
                 if chance.random() < 0.8:
-                    assert pool.freed(connection, kind, now)
+                    assert pool.release(connection, kind, now)
                     free.append((connection, kind))
                 else:
                     pool.closed(connection)
             case 5:
-                for connection in pool.old(now):
+                for connection in pool.expired(now):
                     pool.closed(connection)
                     free = [each for each in free if each[0] != connection]
-        assert pool.count == len(free) + len(in_use) + len(dialling) <= limits.most
+        assert pool.count == len(free) + len(in_use) + len(dialling) <= limits.max_connections
         for name in ("s0", "s1", "s2", "s3"):
             held = sum(owners[each] == name for each, _ in free + in_use) + dialling.count(name)
-            assert held <= limits.most_per_server
-            assert pool.at_rest(name) == sum(owners[each] == name for each, _ in free)
+            assert held <= limits.max_connections_per_server
+            assert pool.idle_count(name) == sum(owners[each] == name for each, _ in free)
     assert all(seen.values())
--- a/tests/test_mysql_error_mapping.py
+++ b/tests/test_mysql_error_mapping.py
@@ -9,9 +9,9 @@
 from loopback import play, soon, until
 from mysql_stage import ROWS, Scene, ask, scene
 
-from micadeck.mysql.error_mapping import TABLE, StatementContext, StatementFault, Transaction
-from micadeck.mysql.protocol.answers import Kind
-from micadeck.mysql.statements import Reader
+from micadeck.mysql.error_mapping import TABLE, StatementContext, StatementFailure, Transaction
+from micadeck.mysql.protocol.answers import ResponseKind
+from micadeck.mysql.statements import StatementReader
 from micadeck.mysql.transport import StatementRequest
 from micadeck.policy.outcomes import Outcome
 from micadeck.stand_ins.mysql import Fault, Point, What
@@ -35,9 +35,9 @@
 
 
 def test_the_table_has_a_fate_for_everything_and_promises_only_what_holds() -> None:
-    assert TABLE.keys() == {(row, befell) for row in StatementContext for befell in StatementFault}
+    assert TABLE.keys() == {(row, befell) for row in StatementContext for befell in StatementFailure}
     for (row, befell), fate in TABLE.items():
-        if befell is StatementFault.REFUSED or row in (StatementContext.READ, StatementContext.ROLLBACK):
+        if befell is StatementFailure.REFUSED or row in (StatementContext.READ, StatementContext.ROLLBACK):
             continue
         if row is StatementContext.IN_TRANSACTION:
             assert fate.error is not None and fate.error.sqlstate == "40001"
@@ -141,8 +141,9 @@
             assert session is not None
             request = StatementRequest(
                 "read", None, None, 1_000_000, None, False, b"x", False,
-                session=session, statement=Reader().read(READ.encode()), command=b"\x03" + READ.encode(),
-                kind=Kind.RESULT, sink=None,  # type: ignore[arg-type]
+                session=session, statement=StatementReader().read(READ.encode()),
+                command=b"\x03" + READ.encode(),
+                kind=ResponseKind.RESULT, sink=None,  # type: ignore[arg-type]
             )  # fmt: skip
             until_us = stage.service.front.network.now() + 1_000_000
             carrier.start("m-0", until_us, request, lambda outcome, answer, report: ended.append(outcome))
@@ -185,7 +186,7 @@
             assert len(stage.ran("'T1'")) == 1
             # The session goes on, without the transaction.
             assert await ask(client, READ) == WHOLE
-            assert stage.service.carrier.pool.in_use(stage.servers[0].name) == 0
+            assert stage.service.carrier.pool.in_use_count(stage.servers[0].name) == 0
 
     play(work)
 
@@ -320,7 +321,7 @@
             answer = await ask(client, f"/*micadeck: deadline_ms=300*/ {text}")
             assert answer[0] == code
             await until(lambda: stage.service.engine.open_requests == 0)
-            assert stage.service.carrier.pool.in_use("m-0") == 0  # its connection is closed
+            assert stage.service.carrier.pool.in_use_count("m-0") == 0  # its connection is closed
 
     play(work)
 
@@ -352,9 +353,9 @@
                 asked.cancel()
                 client.close()
                 await until(lambda: stage.service.engine.open_requests == 0)
-                await until(lambda: stage.service.carrier.pool.in_use("m-0") == 0)
+                await until(lambda: stage.service.carrier.pool.in_use_count("m-0") == 0)
             assert stage.service.front.clients == set()
-            assert stage.service.carrier.held == 0
+            assert stage.service.carrier.held_bytes == 0
 
     play(work)
 
@@ -372,7 +373,7 @@
             assert len(stage.ran("FROM wide")) == 1  # rows went out: it is not read again
             rows = await ask(client, "SELECT * FROM wide")
             assert len(rows) == 64 and all(len(row[0]) == 16 << 10 for row in rows)
-            assert stage.service.carrier.held == 0
+            assert stage.service.carrier.held_bytes == 0
 
     play(work)
 
--- a/tests/test_mysql_program.py
+++ b/tests/test_mysql_program.py
@@ -51,7 +51,7 @@
 def test_a_password_becomes_an_entry_that_fits() -> None:
     result = CliRunner().invoke(main, ["mysql", "password", "--password", PASSWORD, "--native"])
     entry = msgspec.toml.decode(result.output.encode())
-    assert Verifier.parse(entry["verifier"]).fits(PASSWORD.encode())
+    assert Verifier.parse(entry["verifier"]).matches(PASSWORD.encode())
     assert entry["native"].startswith("*") and len(entry["native"]) == 41
 
 
