--- a/tests/test_mysql_protocol.py
+++ b/tests/test_mysql_protocol.py
@@ -9,24 +9,24 @@
 from hypothesis import strategies as st
 
 from micadeck.mysql.auth import (
-    Admitted,
-    Check,
-    Denied,
-    Gate,
+    AccessDenied,
+    Authenticated,
     Login,
     LoginFailed,
+    PasswordCheck,
     SendPacket,
+    ServerAuthentication,
     User,
     Users,
     Verifier,
     native_stored,
     new_salt,
 )
-from micadeck.mysql.protocol.answers import AnswerReader, Kind, Part, ResultEnd, Row, encode
-from micadeck.mysql.protocol.constants import CACHING_SHA2, MOST_IN_PACKET, NATIVE, Capability, Status
-from micadeck.mysql.protocol.handshake import AuthSwitch, ChangeUser, Greeting, Response
-from micadeck.mysql.protocol.messages import Column, Eof, Err, Ok, Prepared
-from micadeck.mysql.protocol.packets import PacketReader, TooLarge, frame
+from micadeck.mysql.protocol.answers import Part, ResponseKind, ResponseReader, ResultsetEnd, Row, encode
+from micadeck.mysql.protocol.constants import CACHING_SHA2, MAX_PAYLOAD_BYTES, NATIVE, Capability, Status
+from micadeck.mysql.protocol.handshake import AuthSwitch, ChangeUser, Handshake, HandshakeResponse
+from micadeck.mysql.protocol.messages import Column, Eof, Err, Ok, PrepareOk
+from micadeck.mysql.protocol.packets import PacketReader, PacketTooLargeError, frame
 from micadeck.mysql.protocol.wire import Cursor, ProtocolError, lenenc, lenenc_int
 
 CLASSIC = Capability.PROTOCOL_41
@@ -37,12 +37,12 @@
 
 
 @pytest.mark.parametrize(
-    "length", [0, 1, MOST_IN_PACKET - 1, MOST_IN_PACKET, MOST_IN_PACKET + 1, 2 * MOST_IN_PACKET]
+    "length", [0, 1, MAX_PAYLOAD_BYTES - 1, MAX_PAYLOAD_BYTES, MAX_PAYLOAD_BYTES + 1, 2 * MAX_PAYLOAD_BYTES]
 )
 def test_payloads_go_in_pieces_of_16_mib_and_come_together(length: int) -> None:
     payload = bytes(length)
     data, after = frame(payload, 254)
-    pieces = length // MOST_IN_PACKET + 1
+    pieces = length // MAX_PAYLOAD_BYTES + 1
     assert len(data) == length + 4 * pieces
     assert after == (254 + pieces) & 0xFF
     reader = PacketReader(1 << 26)
@@ -57,7 +57,7 @@
 def test_a_wrong_sequence_and_too_long_a_payload_are_errors_before_it_is_here() -> None:
     reader = PacketReader(10)
     reader.feed(b"\x0b\0\0\0")
-    with pytest.raises(TooLarge, match="over 10 bytes"):
+    with pytest.raises(PacketTooLargeError, match="over 10 bytes"):
         reader.next()
     reader = PacketReader(10)
     reader.feed(b"\x01\0\0\x07x")
@@ -92,9 +92,9 @@
 
 _SALT = bytes(range(1, 21))
 _MESSAGES: list[tuple[Any, Any]] = [
-    (Greeting(b"8.0.36", 7, _SALT, CLASSIC | Capability.PLUGIN_AUTH), Greeting.decode),
+    (Handshake(b"8.0.36", 7, _SALT, CLASSIC | Capability.PLUGIN_AUTH), Handshake.decode),
     (
-        Response(
+        HandshakeResponse(
             CLASSIC
             | Capability.SECURE_CONNECTION
             | Capability.CONNECT_WITH_DB
@@ -106,7 +106,7 @@
             plugin=NATIVE,
             attributes=((b"_client_name", b"x"), (b"", b"y" * 300)),
         ),
-        Response.decode,
+        HandshakeResponse.decode,
     ),
     (AuthSwitch(CACHING_SHA2, _SALT), AuthSwitch.decode),
     (Ok(3, 1 << 40, Status.IN_TRANS, 2, b"Rows matched: 3"), lambda raw: Ok.decode(raw, CLASSIC)),
@@ -117,7 +117,7 @@
     (Err(1064, "42000", "no \u00e9"), Err.decode),
     (Eof(Status.MORE_RESULTS, 5), Eof.decode),
     (Column(b"code", 253, 40, 45, 1, 2, b"tariff", b"t"), Column.decode),
-    (Prepared(9, 2, 3, 1), Prepared.decode),
+    (PrepareOk(9, 2, 3, 1), PrepareOk.decode),
 ]
 
 
@@ -165,11 +165,13 @@
     return parts
 
 
-def _read(kind: Kind, capabilities: Capability, payloads: list[bytes]) -> tuple[AnswerReader, list[Part]]:
-    reader = AnswerReader(kind, capabilities)
+def _read(
+    kind: ResponseKind, capabilities: Capability, payloads: list[bytes]
+) -> tuple[ResponseReader, list[Part]]:
+    reader = ResponseReader(kind, capabilities)
     parts = []
     for number, each in enumerate(payloads):
-        assert not reader.is_over, f"over before packet {number}"
+        assert not reader.is_complete, f"over before packet {number}"
         parts.append(reader.read(each))
     return reader, parts
 
@@ -178,33 +180,35 @@
 def test_a_result_reads_and_is_written_as_the_other_end_agreed(towards: Capability) -> None:
     more = Status.AUTOCOMMIT | Status.MORE_RESULTS
     payloads = [*_result(CLASSIC, 2, more), Ok(4, status=more).encode(CLASSIC), *_result(CLASSIC, 0)]
-    reader, parts = _read(Kind.RESULT, CLASSIC, payloads)
-    assert reader.is_over and reader.rows == 2 and reader.status == Status.AUTOCOMMIT
+    reader, parts = _read(ResponseKind.RESULT, CLASSIC, payloads)
+    assert reader.is_complete and reader.rows == 2 and reader.status == Status.AUTOCOMMIT
     written = [raw for each in parts if (raw := encode(each, towards)) is not None]
     wanted = [*_result(towards, 2, more), Ok(4, status=more).encode(towards), *_result(towards, 0)]
     assert written == wanted
-    again, _ = _read(Kind.RESULT, towards, written)
-    assert again.is_over
+    again, _ = _read(ResponseKind.RESULT, towards, written)
+    assert again.is_complete
 
 
 def test_an_answer_is_over_only_at_its_end_and_an_error_ends_it_anywhere() -> None:
     payloads = _result(CLASSIC, 3)
     for cut in range(len(payloads)):
-        reader, _ = _read(Kind.RESULT, CLASSIC, payloads[:cut])
-        assert not reader.is_over
+        reader, _ = _read(ResponseKind.RESULT, CLASSIC, payloads[:cut])
+        assert not reader.is_complete
     for cut in (0, 4, 5):
-        reader, _ = _read(Kind.RESULT, CLASSIC, [*payloads[:cut], Err(1053, "08S01", "down").encode()])
-        assert reader.is_over and reader.error is not None and reader.error.code == 1053
-    with pytest.raises(ProtocolError, match="behind its end"):
-        _read(Kind.RESULT, CLASSIC, payloads)[0].read(b"\0")
+        reader, _ = _read(
+            ResponseKind.RESULT, CLASSIC, [*payloads[:cut], Err(1053, "08S01", "down").encode()]
+        )
+        assert reader.is_complete and reader.error is not None and reader.error.code == 1053
+    with pytest.raises(ProtocolError, match="after its end"):
+        _read(ResponseKind.RESULT, CLASSIC, payloads)[0].read(b"\0")
 
 
 def test_long_rows_that_begin_like_an_end_are_rows() -> None:
     row = b"\xfe" + (1 << 24).to_bytes(8, "little") + bytes(1 << 24)
     for capabilities in (CLASSIC, MODERN):
         head = _result(capabilities, 0)[:-1]
-        _, parts = _read(Kind.RESULT, capabilities, [*head, row, _result(capabilities, 0)[-1]])
-        assert isinstance(parts[-2], Row) and isinstance(parts[-1], ResultEnd)
+        _, parts = _read(ResponseKind.RESULT, capabilities, [*head, row, _result(capabilities, 0)[-1]])
+        assert isinstance(parts[-2], Row) and isinstance(parts[-1], ResultsetEnd)
 
 
 _PREPARED_PACKETS = [
@@ -219,22 +223,26 @@
 def test_what_a_prepare_answers_is_as_long_as_it_says(
     capabilities: Capability, columns: int, parameters: int, packets: int
 ) -> None:
-    payloads = [Prepared(1, columns, parameters).encode()]
+    payloads = [PrepareOk(1, columns, parameters).encode()]
     for count in (parameters, columns):
         payloads += [Column(b"?").encode()] * count
         if count and capabilities is CLASSIC:
             payloads.append(Eof().encode())
-    reader, _ = _read(Kind.PREPARED, capabilities, payloads)
-    assert reader.is_over and len(payloads) == packets
+    reader, _ = _read(ResponseKind.PREPARED, capabilities, payloads)
+    assert reader.is_complete and len(payloads) == packets
 
 
 @given(
-    st.lists(st.binary(max_size=40), max_size=12), st.sampled_from(Kind), st.sampled_from([CLASSIC, MODERN])
+    st.lists(st.binary(max_size=40), max_size=12),
+    st.sampled_from(ResponseKind),
+    st.sampled_from([CLASSIC, MODERN]),
 )
-def test_any_packets_are_an_answer_or_an_error(packets: list[bytes], kind: Kind, agreed: Capability) -> None:
-    reader = AnswerReader(kind, agreed)
+def test_any_packets_are_an_answer_or_an_error(
+    packets: list[bytes], kind: ResponseKind, agreed: Capability
+) -> None:
+    reader = ResponseReader(kind, agreed)
     for each in packets:
-        if reader.is_over:
+        if reader.is_complete:
             break
         try:
             encode(reader.read(each), agreed)
@@ -256,8 +264,8 @@
     """What the gate and the login of this program say to each other; whether it lets in."""
     salt = new_salt()
     login = Login(password, plugin, salt)
-    gate = Gate(users, salt, "here")
-    step = gate.begin(name, plugin, login.answer())
+    gate = ServerAuthentication(users, salt, "here")
+    step = gate.begin(name, plugin, login.auth_response())
     said = []
     for _ in range(6):
         match step:
@@ -267,11 +275,11 @@
                 assert answer is not None
                 assert password not in answer or not password
                 step = gate.read(answer)
-            case Check(run):
-                step = gate.checked(run())
-            case Admitted():
+            case PasswordCheck(run):
+                step = gate.password_checked(run())
+            case Authenticated():
                 return True, said
-            case Denied(error):
+            case AccessDenied(error):
                 assert error.code == 1045
                 assert not password or password.decode("utf-8", "replace") not in error.text
                 return False, said
@@ -321,11 +329,11 @@
     salt = new_salt()
     shown = [
         repr(_USERS["both"]),
-        repr(Response(CLASSIC, b"u", SECRET)),
+        repr(HandshakeResponse(CLASSIC, b"u", SECRET)),
         repr(ChangeUser(b"u", SECRET, b"", 45, NATIVE)),
-        repr(Check(lambda: True)),
+        repr(PasswordCheck(lambda: True)),
     ]
-    gate = Gate(Users(_USERS), salt, "here")
+    gate = ServerAuthentication(Users(_USERS), salt, "here")
     with pytest.raises(ProtocolError) as fault:
         gate.begin(b"sha2", CACHING_SHA2, b"x" * 32)
         gate.read(SECRET * 64)
--- a/tests/test_mysql_server_connection.py
+++ b/tests/test_mysql_server_connection.py
@@ -19,7 +19,7 @@
         "m-0",
         Credentials("sidecar", b"secret"),
         found_rows=False,
-        most_in_packet=1 << 20,
+        max_packet_bytes=1 << 20,
         on_closed=closed.append,
     )
     connection.connection_made(mock.Mock())
--- a/tests/test_mysql_sessions.py
+++ b/tests/test_mysql_sessions.py
@@ -217,7 +217,7 @@
             first.close()
             await until(lambda: not stage.service.front.clients)
             second = await stage.connect(autocommit=None)
-            await until(lambda: stage.service.carrier.pool.in_use("m-0") == 0)
+            await until(lambda: stage.service.carrier.pool.in_use_count("m-0") == 0)
             seen = await ask(second, asked)
             if isinstance(expected, int):
                 assert seen[0] == expected
