--- a/micadeck/mysql/auth.py
+++ b/micadeck/mysql/auth.py
@@ -198,7 +198,7 @@
         self._cached_digests: dict[str, bytes] = {}
         verifier = Verifier.of(secrets.token_bytes(16))
         self._dummy_users = (User("", verifier, secrets.token_bytes(20)), User("", verifier))
-        self._dummy_digest = secrets.token_bytes(32)  # for names without a cached digest
+        self._dummy_digest = secrets.token_bytes(32)  # for names without one; also selects dummies
 
     def replace(self, users: Mapping[str, User]) -> None:
         """Replace the accounts; changed ones lose their cached digest."""
--- a/micadeck/mysql/pool.py
+++ b/micadeck/mysql/pool.py
@@ -82,7 +82,7 @@
     def assign(self, server: str, kinds: Sequence[Hashable], now: int) -> Use[C] | Dial[C] | Full:
         """Choose a connection for an attempt; `kinds` are in order of preference.
 
-        After `Use` the connection is in use; after `Dial` call `opened` or `dial_failed`.
+        After `Use` the connection is in use; after `Dial` call `opened`, or `end_dial` on failure.
         """
         entry = self._servers.setdefault(server, _Server())
         for kind in kinds:
@@ -115,12 +115,12 @@
 
     def opened(self, server: str, connection: C) -> None:
         """Record a new connection as in use."""
-        self.dial_failed(server)
+        self.end_dial(server)
         self._servers.setdefault(server, _Server()).in_use.add(connection)
         self._owners[connection] = server
 
-    def dial_failed(self, server: str) -> None:
-        """Record a failed dial."""
+    def end_dial(self, server: str) -> None:
+        """End a dial, which counted as a connection; call it if the dial failed."""
         entry = self._servers[server]
         entry.dialling -= 1
         self._dialling -= 1
--- a/micadeck/mysql/transport.py
+++ b/micadeck/mysql/transport.py
@@ -394,10 +394,10 @@
             elif isinstance(error, OSError) and error.errno in _LOCAL_ERRNOS:
                 outcome = Outcome.NOT_SENT
         except asyncio.CancelledError:
-            self.pool.dial_failed(name)
+            self.pool.end_dial(name)
             raise
         if connection is None:
-            self.pool.dial_failed(name)
+            self.pool.end_dial(name)
             self._end(attempt, outcome)
             return None
         self.pool.opened(name, connection)
--- a/tests/test_mysql_choices.py
+++ b/tests/test_mysql_choices.py
@@ -407,7 +407,7 @@
                     pool.opened(server, number)
                     in_use.append((number, kind))
                 else:
-                    pool.dial_failed(server)
+                    pool.end_dial(server)
             case 4 if in_use:
                 connection, kind = in_use.pop(chance.randrange(len(in_use)))
                 if chance.random() < 0.8:
