--- a/benchmarks/incident_report.py
+++ b/benchmarks/incident_report.py
@@ -18,8 +18,18 @@
 from array import array
 from pathlib import Path
 
-from micadeck.incidents.frames import MARK, Encoder
-from micadeck.incidents.kinds import ClassCount, Head, Kind, Listed, Record, ServerCount, Span, State, packed
+from micadeck.incidents.frames import MAGIC, Encoder
+from micadeck.incidents.kinds import (
+    ClassCount,
+    Head,
+    Kind,
+    Listed,
+    Record,
+    ServerCount,
+    Span,
+    State,
+    pack_times,
+)
 from micadeck.incidents.segments import SegmentName
 
 S = 1_000_000
@@ -50,11 +60,11 @@
                 ill = 1 if is_bad and int(server[2:]) % 3 == 0 else 0
                 rows.append(ServerCount(server, 2, now, [2 - ill, ill]))
             bad = sum(sum(each.ended[1:]) for each in rows)
-            times = packed(array("I", [drawn.randrange(20_000, 90_000) for _ in range(40 - bad)]))
+            times = pack_times(array("I", [drawn.randrange(20_000, 90_000) for _ in range(40 - bad)]))
             counts = ClassCount("check", 40, 40 - bad, 0, 0, bad, 0, times)
             told.append(Span(now, now + S, now + S, 900, 3, None, 0.0, 0.5, [counts], rows, 0))
             requests += 40
-        data = MARK + b"".join(encoder.frame(each) for each in told)
+        data = MAGIC + b"".join(encoder.frame(each) for each in told)
         (folder / str(SegmentName(start, segment, f"n{number}"))).write_bytes(data)
     return requests
 
--- a/micadeck/incidents/__main__.py
+++ b/micadeck/incidents/__main__.py
@@ -19,7 +19,7 @@
 from rich.markup import escape
 from rich.table import Table
 
-from micadeck.incidents.archive import Archive, Found, load
+from micadeck.incidents.archive import Archive, FileStatus, load
 from micadeck.incidents.timeline import Incident, Story, tell
 
 _FOLDERS = click.argument("given", nargs=-1, required=True, type=click.Path(path_type=Path))
@@ -69,9 +69,9 @@
     archive = _load(given)
     table = Table("file", "is", "offset", "why")
     for each in archive.files:
-        if each.found is not Found.WHOLE:
+        if each.found is not FileStatus.INTACT:
             offset = str(each.damages[0].offset) if each.damages else ""
-            why = each.why or "; ".join(one.what for one in each.damages[:3])
+            why = each.why or "; ".join(one.reason for one in each.damages[:3])
             table.add_row(escape(str(each.path)), each.found.value, offset, escape(why))
     for start in archive.starts:
         for since, until in start.missing:
@@ -80,7 +80,7 @@
     found = Counter(each.found for each in archive.files)
     if table.row_count:
         console.print(table)
-    console.print(", ".join(f"{found[each]} {each.value}" for each in Found if found[each]))
+    console.print(", ".join(f"{found[each]} {each.value}" for each in FileStatus if found[each]))
     raise SystemExit(1 if table.row_count else 0)
 
 
--- a/micadeck/incidents/clocks.py
+++ b/micadeck/incidents/clocks.py
@@ -25,7 +25,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from micadeck.incidents.archive import Start, time_of
+from micadeck.incidents.archive import Start, record_time
 from micadeck.incidents.kinds import End, Listed, Message, Span
 
 DRIFT = 300e-6  # of a clock against another, at most
@@ -129,7 +129,7 @@
         self.epochs: list[int] = []
         self.count = 0
         for number, start in enumerate(starts):
-            times = [time_of(each) for each in start.records] or [start.head.at]
+            times = [record_time(each) for each in start.records] or [start.head.at]
             begin, end = min(*times, start.head.at), max(*times, start.head.at)
             self.begin.append(begin)
             self.first.append(self.count)
--- a/micadeck/incidents/console.py
+++ b/micadeck/incidents/console.py
@@ -13,7 +13,7 @@
 from textual.containers import Vertical
 from textual.widgets import DataTable, Footer, Static
 
-from micadeck.incidents.archive import load, paths
+from micadeck.incidents.archive import list_files, load
 from micadeck.incidents.console_model import Board
 from micadeck.incidents.report import cause_line, clock, printable, title
 from micadeck.incidents.timeline import tell
@@ -31,7 +31,7 @@
 def _known(given: tuple[Path, ...]) -> Known:
     """What the files look like: as long as it is the same, they need not be read again."""
     told = set()
-    for each in paths(given):
+    for each in list_files(given):
         try:
             state = each.stat()
         except OSError:
--- a/micadeck/incidents/kinds.py
+++ b/micadeck/incidents/kinds.py
@@ -1,7 +1,7 @@
-"""The records.  Times are microseconds on the recording sidecar's own clock, which never steps.
+"""Record types.  Times are in microseconds on the recording sidecar's monotonic clock.
 
-Each is an array that begins with its number; a field that a later version adds stands behind the last, and is
-left out by those that don't know it.
+Each record is encoded as an array that begins with its tag.  Later versions append fields; older readers
+ignore them.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from micadeck.policy.outcomes import Outcome
 
 VERSION = 1
-OUTCOMES = tuple(Outcome)  # the order of a server's counts; new ones go behind the last
+OUTCOMES = tuple(Outcome)  # the order of ServerCount.ended; new outcomes are appended
 
 
 class Kind(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A class of requests, as it was in force when the segment began."""
+    """A class of requests, as configured when the segment began."""
 
     name: str
     repeat: str
@@ -31,26 +31,26 @@
 
     version: int
     sidecar: str
-    start: str  # of the process: two starts of one name differ in it
+    start: str  # identifies the process: two starts under one name differ
     segment: int
     at: int
-    wall: int  # what the system's clock said at that time
+    wall: int  # the system's clock at that time
     kinds: list[Kind]
-    grace_us: int  # rule 3: what a server may still get after word that it drains
-    slow_start_us: int  # how long a server counts as cold from its start on
+    grace_us: int  # rule 3: how long requests may still be sent to a server after it was reported draining
+    slow_start_us: int  # how long a server counts as cold after its start
 
 
 class ClassCount(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One class in one span.  Requests count where they arrived, and again where they ended."""
+    """One class in one span.  Requests are counted on arrival, and again when they end."""
 
     name: str
     arrived: int
     served: int
-    late: int  # of these, after their aim
+    late: int  # of these, past the latency objective
     refused: int
     failed: int
-    gone: int  # the client left first
-    times: bytes  # of those served, from arrival: little-endian words; the first some hundred
+    gone: int  # the client disconnected first
+    times: bytes  # latencies of those served, little-endian 32-bit words; only the first few hundred
 
 
 class ServerCount(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -58,40 +58,40 @@
 
     server: str
     sent: int
-    last_sent_at: int  # 0: nothing was
-    ended: list[int]  # attempts by outcome, in the order of OUTCOMES; zeros at the end are left out
+    last_sent_at: int  # 0: nothing was sent
+    ended: list[int]  # attempts by outcome, in the order of OUTCOMES; trailing zeros are left out
 
 
 class Span(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=1):
-    """About a second: counts, and how the sidecar stood at its end."""
+    """About a second: its counts, and the sidecar's state at its end."""
 
-    at: int  # its begin
+    at: int  # its start
     until: int
-    wall: int  # the system's clock at its end, to see it step
-    lag_us: int  # how late the event loop came to write this
+    wall: int  # the system's clock at its end, to detect steps
+    lag_us: int  # how late the event loop ran this timer
     load: int
     window: float | None  # None: no limit
     late: float
     cores: float | None
     classes: list[ClassCount]
     servers: list[ServerCount]
-    omitted: int  # attempts that would have had records of their own, past the most in a span
+    omitted: int  # attempts without a record of their own, since the limit of a span was reached
 
 
 class State(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=2):
-    """What the sidecar holds a server to be from here on."""
+    """The state that the sidecar assigns to a server from this time on."""
 
     at: int
     server: str
     state: str  # "ready", "draining", "gone", "ejected"
     why: str
     zone: str
-    started_at: int | None  # by the list, on the clock of who wrote it; another one is another process
-    is_news: bool  # False: it stands here again since the segment is new
+    started_at: int | None  # by the list, on its author's clock; a different value means another process
+    is_news: bool  # False: repeated because a segment begins
 
 
 class Listed(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=3):
-    """The list of servers was heard, or a call for it failed."""
+    """The list of servers was received, or a request for it failed."""
 
     at: int
     version: int
@@ -100,9 +100,9 @@
 
 
 class Attempt(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=4):
-    """An attempt of a request that did not go the plain way: one attempt, delivered."""
+    """An attempt of a request that took more than one delivered attempt."""
 
-    at: int  # sent
+    at: int  # when it was sent
     ident: bytes
     service_class: str
     number: int
@@ -125,38 +125,38 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=6):
-    """A message between sidecars; both ends name it alike."""
+    """A message between sidecars; sender and receiver record the same name."""
 
     at: int
-    was_heard: bool  # False: it was sent
+    was_heard: bool  # received; False: sent
     name: bytes
 
 
 class Phase(msgspec.Struct, array_like=True, frozen=True, gc=False, tag=7):
-    """The sidecar's own life: "ready", "draining", "stopping", "ended"."""
+    """A phase of the sidecar's lifecycle: "ready", "draining", "stopping", "ended"."""
 
     at: int
     phase: str
 
 
-def times_of(count: ClassCount) -> array[int]:
-    """The times of a class in a span, in microseconds."""
-    told = array("I", count.times[: len(count.times) // 4 * 4])
+def unpack_times(count: ClassCount) -> array[int]:
+    """The latencies of a class in a span, in microseconds."""
+    times = array("I", count.times[: len(count.times) // 4 * 4])
     if sys.byteorder == "big":
-        told.byteswap()
-    return told
+        times.byteswap()
+    return times
 
 
-def packed(times: array[int]) -> bytes:
-    """Times as `ClassCount` holds them."""
+def pack_times(times: array[int]) -> bytes:
+    """Encode latencies for `ClassCount`."""
     if sys.byteorder == "big":
         times = times[:]
         times.byteswap()
     return times.tobytes()
 
 
-def trimmed(ended: list[int]) -> list[int]:
-    """Counts as `ServerCount` holds them."""
+def trim_trailing_zeros(ended: list[int]) -> list[int]:
+    """Encode counts for `ServerCount`."""
     last = len(ended)
     while last and not ended[last - 1]:
         last -= 1
--- a/micadeck/incidents/observer.py
+++ b/micadeck/incidents/observer.py
@@ -1,7 +1,7 @@
-"""Watches what the decisions hear and do, and makes records of it.  No input or output.
+"""Makes records of the balancer's events and actions.  No input or output.
 
-What goes the plain way (one attempt, delivered) is only counted: it has to cost next to nothing.  Each
-attempt of a request that went any other way has a record of its own, with what the rules need.
+Requests served by their only attempt are just counted, which keeps the cost per request low.  For all others,
+each attempt has a record of its own, with what checking the rules needs.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
     ServerCount,
     Span,
     State,
-    packed,
-    trimmed,
+    pack_times,
+    trim_trailing_zeros,
 )
 from micadeck.policy import Settings
 from micadeck.policy.actions import Action, Fail, Log, Refuse, Send, SendPeerMessage
@@ -45,41 +45,41 @@
 from micadeck.policy.outcomes import Outcome
 from micadeck.policy.statistics import BalancerStatistics
 
-MOST_TIMES = 256  # of a class in a span
-_LONGEST = (1 << 32) - 1  # of a time
-MOST_ATTEMPTS = 500  # records of their own in a span: an outage must not flood the disk
-_PLACES = {outcome: place for place, outcome in enumerate(OUTCOMES)}
-# An open request is one flat list, since each further object costs the collector on every request: its class,
-# when it arrived, how many attempts are out, how it ended ("" until then), and from _FIRST on the fields of
-# each attempt.
-_CLASS, _ARRIVED, _OUT, _HOW, _FIRST = range(5)
-_FIELDS = 4  # of an attempt: its server, when it was sent, when it ended, how
-_PLAIN = _FIRST + _FIELDS  # the length with one attempt
+MAX_TIMES = 256  # latencies kept per class and span
+_MAX_TIME_US = (1 << 32) - 1
+MAX_ATTEMPT_RECORDS = 500  # per span: an outage must not flood the disk
+_OUTCOME_INDEX = {outcome: index for index, outcome in enumerate(OUTCOMES)}
+# An open request is one flat list, since each further object adds work for the garbage collector: its class,
+# its arrival time, the number of attempts in flight, its result ("" until it ended), then the fields of each
+# attempt.
+_CLASS, _ARRIVED_AT, _IN_FLIGHT, _RESULT, _FIRST_ATTEMPT = range(5)
+_ATTEMPT_FIELDS = 4  # of an attempt: server, time sent, time ended, outcome
+_ONE_ATTEMPT_LENGTH = _FIRST_ATTEMPT + _ATTEMPT_FIELDS  # of the list
 
-_Open = list[Any]
+_OpenRequest = list[Any]
 
 
-class Decides(Protocol):
-    """A balancer, or what hears in its place."""
+class EventHandler(Protocol):
+    """A balancer, or a wrapper around it."""
 
     def handle(self, now: int, event: Event) -> list[Action]: ...
 
 
-class LooksOn(Protocol):
-    """Who knows more of the balancer than what it hears and does: the engine."""
+class EngineView(Protocol):
+    """What the observer needs of the engine."""
 
     def request_id(self, request: int) -> bytes:
-        """The client's name for an open request."""
+        """The id that the client gave an open request."""
 
     def statistics(self) -> BalancerStatistics:
-        """How the decisions stand."""
+        """The balancer's current statistics."""
 
 
-class _Class:
+class _ClassCounts:
     __slots__ = (
         "arrived",
+        "disconnected",
         "failed",
-        "gone",
         "late",
         "latency_objective_us",
         "name",
@@ -92,27 +92,27 @@
         self.name, self.latency_objective_us = name, latency_objective_us
         self.clear()
 
-    def was_served(self, took: int) -> None:
+    def add_served(self, took: int) -> None:
         self.served += 1
         if took > self.latency_objective_us:
             self.late += 1
-        if len(self.times) < MOST_TIMES:
-            self.times.append(min(took, _LONGEST))
+        if len(self.times) < MAX_TIMES:
+            self.times.append(min(took, _MAX_TIME_US))
 
-    def ended(self, how: str) -> None:
+    def add_unserved(self, how: str) -> None:
         if how == "refused":
             self.refused += 1
         elif how == "failed":
             self.failed += 1
         else:
-            self.gone += 1
+            self.disconnected += 1
 
     def clear(self) -> None:
-        self.arrived = self.served = self.late = self.refused = self.failed = self.gone = 0
+        self.arrived = self.served = self.late = self.refused = self.failed = self.disconnected = 0
         self.times = array("I")
 
 
-class _Server:
+class _ServerState:
     __slots__ = ("ended", "last_sent_at", "sent", "started_at", "state", "why", "zone")
 
     def __init__(self) -> None:
@@ -126,241 +126,264 @@
 
 
 class Observer:
-    """Stands before a balancer.
+    """Wraps a balancer.
 
     Attributes:
-        defect: What went wrong as a record was made, after which nothing is observed any more.
+        error: What was raised while a record was made; nothing is observed after it.
     """
 
     def __init__(
-        self, balancer: Decides, settings: Settings, look: LooksOn, sidecar: str, start: str
+        self, balancer: EventHandler, settings: Settings, engine: EngineView, sidecar: str, start: str
     ) -> None:
         self._balancer = balancer
-        self._look = look
+        self._engine = engine
         self._sidecar, self._start = sidecar, start
-        self._classes: dict[str, _Class] = {}
-        self._servers: dict[str, _Server] = {}
-        self._open: dict[int, _Open] = {}
-        self._waiting: list[Record] = []
+        self._classes: dict[str, _ClassCounts] = {}
+        self._servers: dict[str, _ServerState] = {}
+        self._open: dict[int, _OpenRequest] = {}
+        self._pending: list[Record] = []
         self._attempts = self._omitted = 0
         self._since: int | None = None
-        self.defect: Exception | None = None
-        self._take_up(settings)
+        self.error: Exception | None = None
+        self._apply_settings(settings)
 
-    def _take_up(self, settings: Settings) -> None:
+    def _apply_settings(self, settings: Settings) -> None:
         self._settings = settings
         for each in settings.classes:
             self._class(each.name).latency_objective_us = each.latency_objective_us
 
-    def _class(self, name: str) -> _Class:
+    def _class(self, name: str) -> _ClassCounts:
         found = self._classes.get(name)
         if found is None:
-            found = self._classes[name] = _Class(name, 0)
+            found = self._classes[name] = _ClassCounts(name, 0)
         return found
 
-    def _server(self, name: str) -> _Server:
+    def _server(self, name: str) -> _ServerState:
         found = self._servers.get(name)
         if found is None:
-            found = self._servers[name] = _Server()
+            found = self._servers[name] = _ServerState()
         return found
 
-    # What the engine calls
+    # Called by the engine
 
     def handle(self, now: int, event: Any) -> list[Action]:
-        """Pass an event on, and note what came of it; the actions never depend on that."""
+        """Forward an event and record the actions, which never depend on the recording."""
         actions = self._balancer.handle(now, event)
-        if self.defect is None:
+        if self.error is None:
             try:
-                self._note(now, event, actions)
+                self._observe(now, event, actions)
             except Exception as error:
-                self.defect = error
+                self.error = error
         return actions
 
-    def _note(self, now: int, event: Any, actions: list[Action]) -> None:
-        kind = type(event)
-        if kind is AttemptEnded:
-            self._ended(now, event)
-        elif kind is RequestArrived:
-            self._arrived(now, event)
-        elif kind in _HEARD:
-            _HEARD[kind](self, now, event)
+    def _observe(self, now: int, event: Any, actions: list[Action]) -> None:
+        event_type = type(event)
+        if event_type is AttemptEnded:
+            self._on_attempt_ended(now, event)
+        elif event_type is RequestArrived:
+            self._on_arrived(now, event)
+        elif event_type in _EVENT_HANDLERS:
+            _EVENT_HANDLERS[event_type](self, now, event)
         for action in actions:
-            done = type(action)
-            if done is Send:
-                self._sent(now, action)  # type: ignore[arg-type]
-            elif done in _DONE:
-                _DONE[done](self, now, action)
-
-    def _arrived(self, now: int, event: RequestArrived) -> None:
-        of_class = self._classes.get(event.service_class) or self._class(event.service_class)
-        of_class.arrived += 1
-        self._open[event.request] = [of_class, now, 0, ""]
-
-    def _sent(self, now: int, action: Send) -> None:
+            action_type = type(action)
+            if action_type is Send:
+                self._on_sent(now, action)  # type: ignore[arg-type]
+            elif action_type in _ACTION_HANDLERS:
+                _ACTION_HANDLERS[action_type](self, now, action)
+
+    def _on_arrived(self, now: int, event: RequestArrived) -> None:
+        class_counts = self._classes.get(event.service_class) or self._class(event.service_class)
+        class_counts.arrived += 1
+        self._open[event.request] = [class_counts, now, 0, ""]
+
+    def _on_sent(self, now: int, action: Send) -> None:
         name = action.server
         server = self._servers.get(name) or self._server(name)
         server.sent += 1
         server.last_sent_at = now
-        held = self._open.get(action.request)
-        if held is not None:
-            held[_OUT] += 1
-            held += (name, now, 0, None)
+        open_request = self._open.get(action.request)
+        if open_request is not None:
+            open_request[_IN_FLIGHT] += 1
+            open_request += (name, now, 0, None)
 
-    def _ended(self, now: int, event: AttemptEnded) -> None:
+    def _on_attempt_ended(self, now: int, event: AttemptEnded) -> None:
         outcome, request = event.outcome, event.request
         server = self._servers.get(event.server) or self._server(event.server)
-        server.ended[_PLACES[outcome]] += 1
-        held = self._open.get(request)
-        if held is None:
+        server.ended[_OUTCOME_INDEX[outcome]] += 1
+        open_request = self._open.get(request)
+        if open_request is None:
             return
-        if outcome is Outcome.DELIVERED and len(held) == _PLAIN and not held[_HOW]:
-            # The plain way, which is nearly every request's.
+        if (
+            outcome is Outcome.DELIVERED
+            and len(open_request) == _ONE_ATTEMPT_LENGTH
+            and not open_request[_RESULT]
+        ):
+            # Fast path, taken by nearly all requests.
             del self._open[request]
-            held[_CLASS].was_served(now - held[_ARRIVED])
+            open_request[_CLASS].add_served(now - open_request[_ARRIVED_AT])
             return
-        held[_OUT] -= 1
-        at = _FIRST + event.attempt * _FIELDS
-        if at < len(held):
-            held[at + 2 : at + _FIELDS] = (now, outcome)
-        if outcome is Outcome.DELIVERED and not held[_HOW]:
-            self._end(now, request, "served")
-        elif held[_HOW] and held[_OUT] == 0:
-            self._over(request, held)
-
-    def _end(self, now: int, request: int, how: str) -> None:
-        """The request has its final answer, or nobody waits for it any more."""
-        held = self._open.get(request)
-        if held is None or held[_HOW]:
+        open_request[_IN_FLIGHT] -= 1
+        index = _FIRST_ATTEMPT + event.attempt * _ATTEMPT_FIELDS
+        if index < len(open_request):
+            open_request[index + 2 : index + _ATTEMPT_FIELDS] = (now, outcome)
+        if outcome is Outcome.DELIVERED and not open_request[_RESULT]:
+            self._finish(now, request, "served")
+        elif open_request[_RESULT] and open_request[_IN_FLIGHT] == 0:
+            self._record_attempts(request, open_request)
+
+    def _finish(self, now: int, request: int, how: str) -> None:
+        """The request has its final answer, or its client disconnected."""
+        open_request = self._open.get(request)
+        if open_request is None or open_request[_RESULT]:
             return
-        of_class = held[_CLASS]
+        class_counts = open_request[_CLASS]
         if how == "served":
-            of_class.was_served(now - held[_ARRIVED])
+            class_counts.add_served(now - open_request[_ARRIVED_AT])
         else:
-            of_class.ended(how)
-        if len(held) == _FIRST:
-            del self._open[request]  # nothing was sent: a count says it all
+            class_counts.add_unserved(how)
+        if len(open_request) == _FIRST_ATTEMPT:
+            del self._open[request]  # nothing was sent: the count suffices
             return
-        held[_HOW] = how
-        if self._attempts < MOST_ATTEMPTS:
-            ran = any(map(self._may_have_run, held[_FIRST + 3 :: _FIELDS]))
-            name, count = self._look.request_id(request), (len(held) - _FIRST) // _FIELDS
-            self._waiting.append(End(now, name, of_class.name, held[_ARRIVED], how, ran, count))
-        if held[_OUT] == 0:
-            self._over(request, held)
+        open_request[_RESULT] = how
+        if self._attempts < MAX_ATTEMPT_RECORDS:
+            may_have_run = any(map(self._may_have_run, open_request[_FIRST_ATTEMPT + 3 :: _ATTEMPT_FIELDS]))
+            name, count = (
+                self._engine.request_id(request),
+                (len(open_request) - _FIRST_ATTEMPT) // _ATTEMPT_FIELDS,
+            )
+            self._pending.append(
+                End(now, name, class_counts.name, open_request[_ARRIVED_AT], how, may_have_run, count)
+            )
+        if open_request[_IN_FLIGHT] == 0:
+            self._record_attempts(request, open_request)
 
     def _may_have_run(self, outcome: Outcome | None) -> bool:
         return outcome is None or not self._settings.rules.never_ran(outcome)
 
-    def _over(self, request: int, held: _Open) -> None:
-        """Nothing follows any more: write down its attempts."""
+    def _record_attempts(self, request: int, open_request: _OpenRequest) -> None:
+        """Record the attempts of a request of which no attempt is in flight."""
         del self._open[request]
-        told = [held[at : at + _FIELDS] for at in range(_FIRST, len(held), _FIELDS)]
-        if self._attempts + len(told) > MOST_ATTEMPTS:
-            self._omitted += len(told)
+        attempts = [
+            open_request[index : index + _ATTEMPT_FIELDS]
+            for index in range(_FIRST_ATTEMPT, len(open_request), _ATTEMPT_FIELDS)
+        ]
+        if self._attempts + len(attempts) > MAX_ATTEMPT_RECORDS:
+            self._omitted += len(attempts)
             return
-        self._attempts += len(told)
-        name, of_class = self._look.request_id(request), held[_CLASS].name
-        for number, (server, sent_at, ended_at, outcome) in enumerate(told):
+        self._attempts += len(attempts)
+        name, class_name = self._engine.request_id(request), open_request[_CLASS].name
+        for number, (server, sent_at, ended_at, outcome) in enumerate(attempts):
             how, ran = outcome.value if outcome is not None else "unknown", self._may_have_run(outcome)
-            self._waiting.append(Attempt(sent_at, name, of_class, number, server, ended_at, how, ran))
+            self._pending.append(Attempt(sent_at, name, class_name, number, server, ended_at, how, ran))
 
-    def _listed(self, now: int, event: ServersListed) -> None:
-        self._waiting.append(Listed(now, event.version, event.kind.value, len(event.servers)))
+    def _on_listed(self, now: int, event: ServersListed) -> None:
+        self._pending.append(Listed(now, event.version, event.kind.value, len(event.servers)))
         if event.kind is ListKind.FAILED:
             return
-        for line in event.servers:
-            server = self._server(line.server)
-            state = line.state.value
-            if server.state == "ejected" and line.state is ServerState.READY:
+        for endpoint in event.servers:
+            server = self._server(endpoint.server)
+            state = endpoint.state.value
+            if server.state == "ejected" and endpoint.state is ServerState.READY:
                 state = "ejected"
-            is_same = server.state == state and server.started_at == line.started_at
-            server.zone, server.started_at = line.zone, line.started_at
-            if not is_same:
-                self._held(now, line.server, state, server.why if state == "ejected" else "list")
+            is_unchanged = server.state == state and server.started_at == endpoint.started_at
+            server.zone, server.started_at = endpoint.zone, endpoint.started_at
+            if not is_unchanged:
+                self._set_state(now, endpoint.server, state, server.why if state == "ejected" else "list")
         if event.kind is ListKind.COMPLETE:
-            told = {line.server for line in event.servers}
+            listed = {endpoint.server for endpoint in event.servers}
             for name, server in self._servers.items():
-                if name not in told and server.state not in ("gone", "unknown"):
-                    self._held(now, name, ServerState.REMOVED.value, "list")
+                if name not in listed and server.state not in ("gone", "unknown"):
+                    self._set_state(now, name, ServerState.REMOVED.value, "list")
 
-    def _told(self, now: int, text: str) -> None:
-        """The decisions' own words: a test holds that they still have them."""
-        word, _, rest = text.partition(" ")
-        if word == "ejected":
+    def _parse_log_line(self, now: int, text: str) -> None:
+        """Read ejections off the balancer's log lines; a test checks their wording."""
+        verb, _, rest = text.partition(" ")
+        if verb == "ejected":
             name, _, why = rest.rpartition(": ")
-            self._held(now, name, "ejected", why)
-        elif word == "readmitted":
-            self._held(now, rest, ServerState.READY.value, "it answered")
+            self._set_state(now, name, "ejected", why)
+        elif verb == "readmitted":
+            self._set_state(now, rest, ServerState.READY.value, "it answered")
 
-    def _message(self, now: int, payload: bytes, *, was_heard: bool) -> None:
-        self._waiting.append(Message(now, was_heard, blake2b(payload, digest_size=8).digest()))
+    def _on_message(self, now: int, payload: bytes, *, was_heard: bool) -> None:
+        self._pending.append(Message(now, was_heard, blake2b(payload, digest_size=8).digest()))
 
-    def _held(self, now: int, name: str, state: str, why: str) -> None:
+    def _set_state(self, now: int, name: str, state: str, why: str) -> None:
         server = self._server(name)
         server.state, server.why = state, why
-        self._waiting.append(State(now, name, state, why, server.zone, server.started_at, True))
+        self._pending.append(State(now, name, state, why, server.zone, server.started_at, True))
 
-    # What the recording calls
+    # Called by the recording
 
     def head(self, now: int, wall: int, segment: int) -> list[Record]:
-        """What a segment begins with, so that it can be read without those before it."""
+        """The first records of a segment, which make it readable on its own."""
         kinds = [
             Kind(each.name, each.idempotency.value, each.latency_objective_us, each.deadline_us)
             for each in self._settings.classes
         ]
         rules = self._settings.rules
         grace, cold = rules.drain_grace_us, rules.slow_start_us
-        told: list[Record] = [
+        records: list[Record] = [
             Head(VERSION, self._sidecar, self._start, segment, now, wall, kinds, grace, cold)
         ]
-        told += [
+        records += [
             State(now, name, each.state, each.why, each.zone, each.started_at, False)
             for name, each in self._servers.items()
             if each.state != "unknown"
         ]
-        return told
+        return records
 
     def take(self, now: int, wall: int, lag_us: int) -> list[Record]:
-        """All since the last time: first what happened, then the span that it happened in."""
-        told, self._waiting = self._waiting, []
-        figures = self._look.statistics()
+        """All records since the last call; the span that covers them comes last."""
+        records, self._pending = self._pending, []
+        statistics = self._engine.statistics()
         classes, servers = [], []
-        for each in self._classes.values():
-            counts = (each.arrived, each.served, each.late, each.refused, each.failed, each.gone)
-            if any(counts):
-                classes.append(ClassCount(each.name, *counts, packed(each.times)))
-                each.clear()
+        for counts in self._classes.values():
+            totals = (
+                counts.arrived,
+                counts.served,
+                counts.late,
+                counts.refused,
+                counts.failed,
+                counts.disconnected,
+            )
+            if any(totals):
+                classes.append(ClassCount(counts.name, *totals, pack_times(counts.times)))
+                counts.clear()
         for name, server in self._servers.items():
             if server.sent or any(server.ended):
-                servers.append(ServerCount(name, server.sent, server.last_sent_at, trimmed(server.ended)))
+                servers.append(
+                    ServerCount(name, server.sent, server.last_sent_at, trim_trailing_zeros(server.ended))
+                )
                 server.clear()
-        self._forget()
-        limit = figures.concurrency_limit
+        self._remove_departed_servers()
+        limit = statistics.concurrency_limit
         window = limit if math.isfinite(limit) else None
         since, self._since = self._since if self._since is not None else now, now
-        stands = (figures.load, window, figures.late_fraction, figures.core_utilization)
-        told.append(Span(since, now, wall, lag_us, *stands, classes, servers, self._omitted))
+        state = (statistics.load, window, statistics.late_fraction, statistics.core_utilization)
+        records.append(Span(since, now, wall, lag_us, *state, classes, servers, self._omitted))
         self._attempts = self._omitted = 0
-        return told
-
-    def _forget(self) -> None:
-        """Guards against growth where servers are replaced all day."""
-        gone = {name for name, each in self._servers.items() if each.state == "gone"}
-        if gone:
-            out = {held[-_FIELDS] for held in self._open.values() if len(held) > _FIRST}
-            for name in gone - out:
+        return records
+
+    def _remove_departed_servers(self) -> None:
+        """Bounds memory where servers are replaced continually."""
+        departed = {name for name, each in self._servers.items() if each.state == "gone"}
+        if departed:
+            in_use = {
+                request[-_ATTEMPT_FIELDS] for request in self._open.values() if len(request) > _FIRST_ATTEMPT
+            }
+            for name in departed - in_use:
                 del self._servers[name]
 
 
-_HEARD: dict[type[Any], Callable[[Observer, int, Any], None]] = {
-    ServersListed: Observer._listed,
-    ClientDisconnected: lambda observer, now, event: observer._end(now, event.request, "gone"),
-    MessageReceived: lambda observer, now, event: observer._message(now, event.payload, was_heard=True),
-    SettingsChanged: lambda observer, _, event: observer._take_up(event.settings),
+_EVENT_HANDLERS: dict[type[Any], Callable[[Observer, int, Any], None]] = {
+    ServersListed: Observer._on_listed,
+    ClientDisconnected: lambda observer, now, event: observer._finish(now, event.request, "gone"),
+    MessageReceived: lambda observer, now, event: observer._on_message(now, event.payload, was_heard=True),
+    SettingsChanged: lambda observer, _, event: observer._apply_settings(event.settings),
 }
-_DONE: dict[type[Any], Callable[[Observer, int, Any], None]] = {
-    Refuse: lambda observer, now, action: observer._end(now, action.request, "refused"),
-    Fail: lambda observer, now, action: observer._end(now, action.request, "failed"),
-    Log: lambda observer, now, action: observer._told(now, action.text),
-    SendPeerMessage: lambda observer, now, action: observer._message(now, action.payload, was_heard=False),
+_ACTION_HANDLERS: dict[type[Any], Callable[[Observer, int, Any], None]] = {
+    Refuse: lambda observer, now, action: observer._finish(now, action.request, "refused"),
+    Fail: lambda observer, now, action: observer._finish(now, action.request, "failed"),
+    Log: lambda observer, now, action: observer._parse_log_line(now, action.text),
+    SendPeerMessage: lambda observer, now, action: observer._on_message(now, action.payload, was_heard=False),
 }
--- a/micadeck/incidents/recording.py
+++ b/micadeck/incidents/recording.py
@@ -1,13 +1,13 @@
-"""A sidecar's recording: the observer, its segments and its writer, once a second."""
+"""A sidecar's recording: writes what the observer collected once a second."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from pathlib import Path
 
-from micadeck.incidents.frames import MARK, Encoder
+from micadeck.incidents.frames import MAGIC, Encoder
 from micadeck.incidents.kinds import Phase, Record
-from micadeck.incidents.observer import Decides, LooksOn, Observer
+from micadeck.incidents.observer import EngineView, EventHandler, Observer
 from micadeck.incidents.segments import Limits, Rotation
 from micadeck.incidents.writer import Writer
 from micadeck.network import Network, Timer
@@ -17,7 +17,7 @@
 
 
 class Recording:
-    """Records until `close`; raises OSError if the folder can't be made."""
+    """Records until `close`; raises OSError if the folder can't be created."""
 
     def __init__(
         self,
@@ -36,19 +36,19 @@
         self._encoder = Encoder()
         self._observer: Observer | None = None
         self._timer: Timer | None = None
-        self._due = 0.0
-        self._later: list[Record] = []
+        self._due_at_s = 0.0
+        self._pending_phases: list[Record] = []
         log(f"records: recording to {folder}")
 
-    def around(self, balancer: Decides, settings: Settings, look: LooksOn) -> Observer:
-        """What the engine is to call in the balancer's place."""
-        self._observer = Observer(balancer, settings, look, self._sidecar, self._start)
-        self._wait()
+    def wrap(self, balancer: EventHandler, settings: Settings, engine: EngineView) -> Observer:
+        """The observer that the engine calls instead of the balancer."""
+        self._observer = Observer(balancer, settings, engine, self._sidecar, self._start)
+        self._schedule_tick()
         return self._observer
 
     def phase(self, phase: str) -> None:
-        """Note where the sidecar is in its life."""
-        self._later.append(Phase(self._network.now(), phase))
+        """Record a phase of the sidecar's lifecycle."""
+        self._pending_phases.append(Phase(self._network.now(), phase))
 
     def close(self) -> None:
         if self._timer is not None:
@@ -58,35 +58,37 @@
         self._write(0)
         self._writer.close()
 
-    def _wait(self) -> None:
-        self._due = self._network.time() + _SPAN_S
+    def _schedule_tick(self) -> None:
+        self._due_at_s = self._network.time() + _SPAN_S
         self._timer = self._network.call_later(_SPAN_S, self._tick)
 
     def _tick(self) -> None:
-        defect = self._observer.defect if self._observer is not None else None
-        if defect is not None:
-            self._log(f"records: recording ends: {defect!r}")
+        error = self._observer.error if self._observer is not None else None
+        if error is not None:
+            self._log(f"records: recording ends: {error!r}")
             self._timer = None
             return
-        self._write(max(int((self._network.time() - self._due) * 1e6), 0))
-        if self._writer.is_over:
-            self._timer = None  # and the observer goes on counting what nobody reads: a few numbers
+        self._write(max(int((self._network.time() - self._due_at_s) * 1e6), 0))
+        if self._writer.has_failed:
+            self._timer = (
+                None  # the observer keeps counting; its memory stays bounded by the limits of a span
+            )
         else:
-            self._wait()
+            self._schedule_tick()
 
     def _write(self, lag_us: int) -> None:
-        if self._observer is None or self._observer.defect is not None:
+        if self._observer is None or self._observer.error is not None:
             return
         now, wall = self._network.now(), self._network.wall()
-        later, self._later = self._later, []
-        records = [*later, *self._observer.take(now, wall, lag_us)]
+        phases, self._pending_phases = self._pending_phases, []
+        records = [*phases, *self._observer.take(now, wall, lag_us)]
         if self._rotation.is_due(now):
             name = self._rotation.begin(now)
             records = [*self._observer.head(now, wall, name.segment), *records]
-            data = MARK + b"".join(map(self._encoder.frame, records))
+            data = MAGIC + b"".join(map(self._encoder.frame, records))
             self._writer.put(data, name)
         else:
             data = b"".join(map(self._encoder.frame, records))
             if not self._writer.put(data):
                 return
-        self._rotation.written(len(data))
+        self._rotation.add_written(len(data))
--- a/micadeck/incidents/report.py
+++ b/micadeck/incidents/report.py
@@ -13,10 +13,10 @@
 import plotly.io
 from hdrh.histogram import HdrHistogram
 
-from micadeck.incidents.archive import Found
+from micadeck.incidents.archive import FileStatus
 from micadeck.incidents.console_model import STATES, Board
 from micadeck.incidents.endpoint_states import Held
-from micadeck.incidents.kinds import times_of
+from micadeck.incidents.kinds import unpack_times
 from micadeck.incidents.series import BIN_US
 from micadeck.incidents.timeline import Incident, Story
 
@@ -69,7 +69,7 @@
     told: dict[str, HdrHistogram] = {}
     for each in story.series.between(onset, end):
         for one in each.span.classes:
-            times = times_of(one)
+            times = unpack_times(one)
             if times:
                 histogram = told.setdefault(one.name, HdrHistogram(1, _LONGEST_US, 2))
                 for took in times:
@@ -321,6 +321,6 @@
 
 def _unknown(story: Story) -> str:
     found = Counter(each.found for each in story.archive.files)
-    files = ", ".join(f"{found[each]} {each.value}" for each in Found if found[each])
+    files = ", ".join(f"{found[each]} {each.value}" for each in FileStatus if found[each])
     lines = "".join(f"<li>{escape(each)}</li>" for each in story.not_known)
     return f"<h2>What is not known</h2><p>Files: {files or 'none'}.</p><ul>{lines}</ul>"
--- a/micadeck/incidents/timeline.py
+++ b/micadeck/incidents/timeline.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from dataclasses import dataclass, field, replace
 
-from micadeck.incidents.archive import Archive, Found, Start
+from micadeck.incidents.archive import Archive, FileStatus, Start
 from micadeck.incidents.causes import Cause, Scene, causes
 from micadeck.incidents.changes import Episode, episodes
 from micadeck.incidents.clocks import Clocks, align
@@ -224,9 +224,11 @@
 
 def _gaps(archive: Archive, clocks: Clocks) -> list[str]:
     """What can't be known, in words."""
-    told = [f"{each.path.name}: {each.why}" for each in archive.files if each.found is Found.FOREIGN]
+    told = [f"{each.path.name}: {each.why}" for each in archive.files if each.found is FileStatus.FOREIGN]
     for each in archive.files:
-        told += [f"{each.path.name}: offset {one.offset}: {one.what}" for one in each.damages[:MOST_DAMAGES]]
+        told += [
+            f"{each.path.name}: offset {one.offset}: {one.reason}" for one in each.damages[:MOST_DAMAGES]
+        ]
         if len(each.damages) > MOST_DAMAGES:
             told.append(f"{each.path.name}: {len(each.damages) - MOST_DAMAGES} more places can't be read")
     told += [
--- a/micadeck/runtime.py
+++ b/micadeck/runtime.py
@@ -167,14 +167,14 @@
         from micadeck.incidents.segments import Limits
 
         config = self.config
-        limits = Limits(most_bytes=config.records_mb << 20)
+        limits = Limits(max_bytes=config.records_mb << 20)
         try:
             recording = Recording(config.name, Path(config.records), limits, self.network, self._log)
         except OSError as error:
             self._log(f"records: no recording: {error}")
             return None
         self.engine.wrap_balancer(
-            lambda balancer: recording.around(balancer, config.settings, self.engine)  # type: ignore[return-value, arg-type]
+            lambda balancer: recording.wrap(balancer, config.settings, self.engine)  # type: ignore[return-value, arg-type]
         )
         return recording
 
--- a/micadeck/stand_ins/incident_days.py
+++ b/micadeck/stand_ins/incident_days.py
@@ -13,8 +13,8 @@
 from itertools import count
 from typing import Any
 
-from micadeck.incidents.archive import Archive, File, Found, assemble
-from micadeck.incidents.frames import MARK, Encoder, NotRecords, Segment, read
+from micadeck.incidents.archive import Archive, File, FileStatus, assemble
+from micadeck.incidents.frames import MAGIC, Encoder, Segment, SegmentError, read
 from micadeck.incidents.kinds import Head, Record
 from micadeck.incidents.observer import Observer
 from micadeck.policy import Balancer, Settings
@@ -95,10 +95,10 @@
             left = _without(data, missing, drawn)
             try:
                 segment = read(left)
-            except NotRecords:
+            except SegmentError:
                 continue
             segments[(segment.head.sidecar, segment.head.start, 0)] = segment
-        assert not any(each.found is Found.FOREIGN for each in files)
+        assert not any(each.found is FileStatus.FOREIGN for each in files)
         return Archive(assemble(segments), files)
 
 
@@ -106,7 +106,7 @@
     """Some stretches of frames left out, some ends torn off; some files gone but for their head."""
     if part <= 0.0:
         return data
-    frames, at = [], len(MARK)
+    frames, at = [], len(MAGIC)
     while at < len(data):
         length = int.from_bytes(data[at + 4 : at + 8], "little")
         frames.append(data[at : at + 12 + length])
@@ -117,7 +117,7 @@
         if drawn.random() >= part:
             kept += frames[number : number + block]
         number += block
-    whole = MARK + b"".join(kept)
+    whole = MAGIC + b"".join(kept)
     return whole[: -drawn.randrange(1, 10)] if drawn.random() < part and len(kept) > 1 else whole
 
 
@@ -464,7 +464,7 @@
         if not self.data:
             head: list[Record] = self._observer.head(now, now, 0)
             assert isinstance(head[0], Head)
-            self.data = MARK
+            self.data = MAGIC
             records = [*head, *records]
         self.data += b"".join(map(self._encoder.frame, records))
 
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -21,7 +21,7 @@
 from micadeck.incidents.clocks import Clocks
 from micadeck.incidents.console_model import Board
 from micadeck.incidents.endpoint_states import UNKNOWN
-from micadeck.incidents.frames import MARK, Encoder, read
+from micadeck.incidents.frames import MAGIC, Encoder, read
 from micadeck.incidents.kinds import (
     Attempt,
     ClassCount,
@@ -285,7 +285,7 @@
     assert "<script>alert" not in page and "&lt;script&gt;alert" in page
     path = tmp_path / str(SegmentName("0" * 16, 0, "n0"))
     encoder = Encoder()
-    path.write_bytes(MARK + b"".join(encoder.frame(each) for each in told.records))
+    path.write_bytes(MAGIC + b"".join(encoder.frame(each) for each in told.records))
     assert load([path]).starts[0].records == told.records
     shown = run("show", path).output + run("list", path).output
     assert "[red]" in shown and "\\x1b[2J" in shown and "\x1b" not in shown
@@ -366,7 +366,7 @@
         more = [span(at + second * S, 10, 4 if number == 3 and second > 30 else 0) for second in range(60)]
         path = tmp_path / str(SegmentName("0" * 16, number, "n0"))
         every: list[Record] = [head, state(at, "a", "ready"), *more]
-        path.write_bytes(MARK + b"".join(map(encoder.frame, every)))
+        path.write_bytes(MAGIC + b"".join(map(encoder.frame, every)))
         paths.append(path)
     for path in paths[:2]:
         path.unlink()
@@ -379,8 +379,8 @@
     head = Head(1, "n0", "0" * 16, 0, 0, 0, [], 0, 0)
     every: list[Record] = [head, state(0, "a", "ejected"), state(5, "b", "ready")]
     every += [span(second * S) for second in range(30)]
-    data = bytearray(MARK + b"".join(map(encoder.frame, every)))
-    at = len(MARK)
+    data = bytearray(MAGIC + b"".join(map(encoder.frame, every)))
+    at = len(MAGIC)
     for number in range(len(every)):
         length = int.from_bytes(data[at + 4 : at + 8], "little")
         if number > 2:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -18,10 +18,10 @@
 from loopback import ERROR, OK, Heard, played, stage, until
 
 from micadeck.incidents import frames
-from micadeck.incidents.archive import Found, Start, load
-from micadeck.incidents.frames import MARK, Encoder, NotRecords, read
-from micadeck.incidents.kinds import Attempt, End, Head, Listed, Phase, Record, Span, State, times_of
-from micadeck.incidents.observer import MOST_ATTEMPTS, Observer
+from micadeck.incidents.archive import FileStatus, Start, load
+from micadeck.incidents.frames import MAGIC, Encoder, SegmentError, read
+from micadeck.incidents.kinds import Attempt, End, Head, Listed, Phase, Record, Span, State, unpack_times
+from micadeck.incidents.observer import MAX_ATTEMPT_RECORDS, Observer
 from micadeck.incidents.segments import Limits, Rotation, SegmentName, parse
 from micadeck.policy.events import ServerState
 from micadeck.policy.outcomes import Outcome
@@ -59,7 +59,7 @@
     span = told[-1]
     assert isinstance(span, Span)
     counts = {each.name: each for each in span.classes}
-    assert (counts["look"].arrived, counts["look"].served, len(times_of(counts["look"]))) == (20, 20, 20)
+    assert (counts["look"].arrived, counts["look"].served, len(unpack_times(counts["look"]))) == (20, 20, 20)
     assert (counts["pay"].arrived, counts["pay"].failed) == (1, 1)
     assert sum(each.sent for each in span.servers) == 22
     attempts = [each for each in told if isinstance(each, Attempt)]
@@ -111,15 +111,15 @@
 def test_an_outage_leaves_out_records_and_says_how_many() -> None:
     scene, observer = watched()
     scene.servers(["a", "b", "c"])
-    for _ in range(MOST_ATTEMPTS + 50):
+    for _ in range(MAX_ATTEMPT_RECORDS + 50):
         request = scene.request("pay")
         if scene.sends(request):
             scene.end(request, Outcome.CONNECTION_LOST)
     told = observer.take(scene.now, 0, 0)
     attempts = sum(isinstance(each, Attempt) for each in told)
-    assert attempts <= MOST_ATTEMPTS and isinstance(told[-1], Span)
+    assert attempts <= MAX_ATTEMPT_RECORDS and isinstance(told[-1], Span)
     sent = sum(each.sent for each in told[-1].servers)
-    assert attempts + told[-1].omitted == sent > MOST_ATTEMPTS
+    assert attempts + told[-1].omitted == sent > MAX_ATTEMPT_RECORDS
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -160,7 +160,7 @@
     encoder = Encoder()
     head = Head(1, "n0", "00000000000000aa", 0, 10, 20, [], 500_000, 1)
     more: list[Record] = [Listed(100 + each, each, "changes", each % 7) for each in range(count)]
-    return MARK + b"".join(encoder.frame(each) for each in [head, *more])
+    return MAGIC + b"".join(encoder.frame(each) for each in [head, *more])
 
 
 def test_a_segment_cut_at_any_byte_is_read_to_its_last_whole_record() -> None:
@@ -171,7 +171,7 @@
     for length in range(len(data)):
         try:
             part = read(data[:length])
-        except NotRecords as fault:
+        except SegmentError as fault:
             assert "offset" in str(fault) and length < 120
             continue
         assert part.records == whole.records[: len(part.records)] and len(part.records) >= last
@@ -187,7 +187,7 @@
         spoilt = data[:at] + bytes((data[at] ^ 0x10,)) + data[at + 1 :]
         try:
             part = read(spoilt)
-        except NotRecords:
+        except SegmentError:
             assert at < 120
             continue
         assert part.damages and set(map(repr, part.records)) < set(map(repr, whole))
@@ -195,10 +195,10 @@
 
 @given(st.binary(max_size=300))
 def test_any_bytes_are_read_or_refused(data: bytes) -> None:
-    for tried in (data, MARK + data, segment(3) + data):
+    for tried in (data, MAGIC + data, segment(3) + data):
         try:
             read(tried)
-        except NotRecords as fault:
+        except SegmentError as fault:
             assert str(fault).startswith("offset ")
 
 
@@ -207,9 +207,9 @@
 
     raw = msgspec.msgpack.encode([0, 1, "n0", "aa", 0, 10, 20, [], 5, 6, "a field of tomorrow"])
     number = frames._FRAME.pack(0, len(raw), crc32(raw, crc32(frames._CRC_OF.pack(0, len(raw)))))
-    assert read(MARK + number + raw).head.slow_start_us == 6
+    assert read(MAGIC + number + raw).head.slow_start_us == 6
     monkeypatch.setattr("micadeck.incidents.frames.VERSION", 0)
-    with pytest.raises(NotRecords, match="format 1, where this program reads 0"):
+    with pytest.raises(SegmentError, match="format 1, where this program reads 0"):
         read(segment())
 
 
@@ -217,21 +217,21 @@
 
 
 def test_old_segments_go_and_the_one_at_hand_stays() -> None:
-    rotation = Rotation(Limits(most_bytes=1000, segment_bytes=200), "n 0", "0" * 15 + "b")
+    rotation = Rotation(Limits(max_bytes=1000, segment_bytes=200), "n 0", "0" * 15 + "b")
     assert rotation.is_due(0)
     names = []
     for _ in range(4):
         name = rotation.begin(0)
         assert not rotation.is_due(0)
-        rotation.written(250)
+        rotation.add_written(250)
         assert rotation.is_due(0)  # it is full
         names.append(str(name))
         assert parse(str(name)) == name
     older = str(SegmentName("0" * 15 + "a", 7, "n_0"))
     other = str(SegmentName("0" * 15 + "a", 7, "n1"))
     there = [(older, 250), (other, 9_999), *((each, 250) for each in names), ("notes.txt", 1)]
-    assert rotation.surplus(there) == [older, names[0]]
-    assert rotation.surplus([(names[-1], 9_999)]) == []
+    assert rotation.files_to_delete(there) == [older, names[0]]
+    assert rotation.files_to_delete([(names[-1], 9_999)]) == []
     rotation.begin(0)
     assert not rotation.is_due(599_999_999) and rotation.is_due(600_000_000)
 
@@ -251,7 +251,7 @@
         assert (await scene.ask("lodge", Request_Id="00000000000000aa")).status == 502
     archive = load([tmp_path])
     (start,) = archive.starts
-    assert [each.found for each in archive.files] == [Found.WHOLE]
+    assert [each.found for each in archive.files] == [FileStatus.INTACT]
     counts = [each for span in records_of(start, Span) for each in span.classes]
     assert sum(each.served for each in counts) == 30 and sum(each.failed for each in counts) == 1
     (end,) = records_of(start, End)
@@ -273,7 +273,7 @@
         shutil.rmtree(folder)
         assert (await scene.ask()).status == 200
         writer = scene.sidecar._runtime.recording._writer
-        await until(lambda: writer.is_over)
+        await until(lambda: writer.has_failed)
         assert (await scene.ask()).status == 200
         assert len([each for each in scene.log if each.startswith("records: recording ends: ")]) == 1
 
@@ -285,7 +285,7 @@
         head = Head(1, name, "00000000000000aa", number, 1_000 * number, 0, [], 0, 0)
         more: list[Record] = [Listed(1_000 * number + each, each, "changes", 0) for each in range(count)]
         path = tmp_path / str(SegmentName("00000000000000aa", number, name))
-        path.write_bytes(MARK + b"".join(encoder.frame(each) for each in [head, *more]))
+        path.write_bytes(MAGIC + b"".join(encoder.frame(each) for each in [head, *more]))
         return path
 
     paths = [write(number, 10) for number in range(4)]
@@ -296,7 +296,12 @@
     (tmp_path / "notes.txt").write_text("no records")
     archive = load([tmp_path])
     found = Counter(each.found for each in archive.files)
-    assert found == {Found.WHOLE: 2, Found.TWICE: 1, Found.CUT: 1, Found.FOREIGN: 1}
+    assert found == {
+        FileStatus.INTACT: 2,
+        FileStatus.DUPLICATE: 1,
+        FileStatus.TRUNCATED: 1,
+        FileStatus.FOREIGN: 1,
+    }
     (start,) = archive.starts
     assert start.missing == [(9, 2_000)]  # the second is missing, and nothing is made up for it
     with pytest.raises(OSError):
@@ -321,7 +326,7 @@
 
     said: list[str] = []
     writer = Writer(tmp_path, Rotation(Limits(), "n0", "0" * 16), said.append)
-    writer._waiting = 5 << 20  # as if so much waited
+    writer._pending_bytes = 5 << 20  # as if so much waited
     assert not writer.put(b"x") and writer.put(b"begin", SegmentName("0" * 16, 0, "n0"))
     writer.close()
     assert said == [] and len(list(tmp_path.iterdir())) == 1
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -21,7 +21,7 @@
 from micadeck.fleet.member_records import MemberRecord
 from micadeck.fleet.member_table import MemberTable
 from micadeck.fleet.messages import Message
-from micadeck.incidents.frames import MARK, Encoder, read
+from micadeck.incidents.frames import MAGIC, Encoder, read
 from micadeck.peer_datagrams import PeerDatagrams
 from micadeck.policy.events import Event, RequestCompleted
 from micadeck.traces.format import KINDS, decode, encode
@@ -58,7 +58,7 @@
 def test_stored_records_are_written_again_byte_for_byte(path: Path) -> None:
     data = path.read_bytes()
     segment, encoder = read(data), Encoder()
-    written = MARK + b"".join(encoder.frame(record) for _, record in segment.records)
+    written = MAGIC + b"".join(encoder.frame(record) for _, record in segment.records)
     assert written == data[: segment.length]
     assert len(data) - segment.length < 50  # of a process that was killed, the last record is cut
 
