--- a/benchmarks/incidents.py
+++ b/benchmarks/incidents.py
@@ -20,8 +20,8 @@
 
 from micadeck.incidents.archive import Archive
 from micadeck.incidents.kinds import Span
-from micadeck.incidents.series import ill
-from micadeck.incidents.timeline import Story, tell
+from micadeck.incidents.series import count_bad_attempts
+from micadeck.incidents.timeline import Timeline, build_timeline
 from micadeck.stand_ins.incident_days import BEGIN, QUIET, TROUBLES, Day, S, play
 
 NEAR_S = 5.0
@@ -56,7 +56,7 @@
 def judge(seed: int, kind: str, missing: float) -> Told:
     day = play(seed, kind)
     archive = day.archive(missing, seed)
-    story = tell(archive)
+    story = build_timeline(archive)
     script = day.script
     onset = _on_reference(day, story)
     outer = [each for each in story.incidents if each.within is None]
@@ -78,11 +78,11 @@
         len(claims),
         baseline_near,
         baseline_near and kind in ("crash", "hang", "fails") and blamed == script.where,
-        bool(near) and abs(near[0].onset - onset) <= near[0].doubt,
+        bool(near) and abs(near[0].onset - onset) <= near[0].uncertainty,
     )
 
 
-def _on_reference(day: Day, story: Story) -> int:
+def _on_reference(day: Day, story: Timeline) -> int:
     """The script's onset on the story's clock."""
     true = BEGIN + int(day.script.onset * S)
     if not story.archive.starts:
@@ -107,7 +107,7 @@
                     bad[second] += one.refused + one.failed + one.late
                     ended[second] += one.served + one.refused + one.failed
                 for server in each.servers:
-                    blame[server.server] += ill(server.ended)
+                    blame[server.server] += count_bad_attempts(server.ended)
     claims: list[int] = []
     run = 0
     last = None
--- a/micadeck/incidents/__init__.py
+++ b/micadeck/incidents/__init__.py
@@ -1,5 +1,5 @@
-"""What sidecars record of themselves, and the one story that their records make.
+"""Records sidecars' activity, and analyzes the records for incidents.
 
-A sidecar's part (`observer`, `recording`) is loaded only where it records; all else runs where records are
-read.  Files and threads are in `writer` and `archive`; the rest does no input or output.
+Sidecars load `observer` and `recording` only if they record; the rest runs where records are read.  Only
+`writer` and `archive` use files or threads.
 """
--- a/micadeck/incidents/__main__.py
+++ b/micadeck/incidents/__main__.py
@@ -1,7 +1,7 @@
-"""`micadeck incident`: what sidecars recorded, made one story.
+"""`micadeck incident`: finds incidents in the sidecars' records.
 
-Exit codes: 0; 1 if `check` finds files that are not whole, or records that lack; 2 if nothing can be read, or
-the report not written.
+Exit codes: 0; 1 if `check` finds damaged files or missing records; 2 if nothing can be read, or the report
+can't be written.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from rich.table import Table
 
 from micadeck.incidents.archive import Archive, FileStatus, load
-from micadeck.incidents.timeline import Incident, Story, tell
+from micadeck.incidents.timeline import Incident, Timeline, build_timeline
 
-_FOLDERS = click.argument("given", nargs=-1, required=True, type=click.Path(path_type=Path))
-_WIDE = 200  # where nobody's screen sets a width
+_PATHS = click.argument("given", nargs=-1, required=True, type=click.Path(path_type=Path))
+_DEFAULT_WIDTH = 200  # where the output is not a terminal
 
 
 def _load(given: tuple[Path, ...]) -> Archive:
-    gc.disable()  # millions of records, none of which is part of a cycle
+    gc.disable()  # there may be millions of records, and none is part of a cycle
     try:
         archive = load(given)
-    except OSError as fault:
-        click.echo(f"micadeck: incident: {fault}", err=True)
+    except OSError as error:
+        click.echo(f"micadeck: incident: {error}", err=True)
         raise SystemExit(2) from None
     if not archive.starts:
         click.echo("micadeck: incident: no records were found", err=True)
@@ -43,10 +43,10 @@
     if value is None:
         return None
     try:
-        told = datetime.fromisoformat(value)
+        parsed = datetime.fromisoformat(value)
     except ValueError:
         raise click.BadParameter(f"{value}: YYYY-MM-DDTHH:MM:SS is needed") from None
-    return int((told if told.tzinfo else told.replace(tzinfo=UTC)).timestamp() * 1e6)
+    return int((parsed if parsed.tzinfo else parsed.replace(tzinfo=UTC)).timestamp() * 1e6)
 
 
 _SINCE = click.option("--from", "since", callback=_time, help="Only incidents that end after this (UTC).")
@@ -54,18 +54,18 @@
 
 
 def _console() -> Console:
-    return Console(width=None if sys.stdout.isatty() else _WIDE)
+    return Console(width=None if sys.stdout.isatty() else _DEFAULT_WIDTH)
 
 
 @click.group("incident")
 def command() -> None:
-    """The fleet as its sidecars saw it, from their own records."""
+    """Find incidents in the records of a fleet's sidecars."""
 
 
 @command.command()
-@_FOLDERS
+@_PATHS
 def check(given: tuple[Path, ...]) -> None:
-    """Which records are whole, cut, spoilt, twice or foreign, and where some lack."""
+    """Find files that are cut, spoilt, twice or foreign, and missing records."""
     archive = _load(given)
     table = Table("file", "is", "offset", "why")
     for each in archive.files:
@@ -85,16 +85,16 @@
 
 
 @command.command("list")
-@_FOLDERS
+@_PATHS
 @_SINCE
 @_UNTIL
 def list_(given: tuple[Path, ...], since: int | None, until: int | None) -> None:
-    """The incidents, a line each."""
+    """List the incidents."""
     from micadeck.incidents.report import cause_line, clock, printable
 
-    story = tell(_load(given), since, until)
+    timeline = build_timeline(_load(given), since, until)
     table = Table("no", "from", "to", "± s", "badly", "cause")
-    for each in story.incidents:
+    for each in timeline.incidents:
         number = f"{each.number} in {each.within}" if each.within else str(each.number)
         badly = "contained" if each.is_contained else f"{each.share:.0%}"
         end = clock(each.end) if each.is_over else "goes on"
@@ -102,7 +102,7 @@
             number,
             clock(each.onset),
             end,
-            f"{each.doubt / 1e6:.1f}",
+            f"{each.uncertainty / 1e6:.1f}",
             badly,
             escape(printable(cause_line(each))),
         )
@@ -111,75 +111,77 @@
 
 
 @command.command()
-@_FOLDERS
+@_PATHS
 @click.option("--number", type=int, help="Only this incident.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON, for programs.")
 def show(given: tuple[Path, ...], number: int | None, as_json: bool) -> None:
-    """Incidents with their causes, what speaks for and against them, and whom they hurt."""
+    """Show incidents with their causes, the evidence for and against, and the impact."""
     from micadeck.incidents.report import cause_line, printable, title
 
-    story = tell(_load(given))
-    chosen = [each for each in story.incidents if number in (None, each.number)]
+    timeline = build_timeline(_load(given))
+    chosen = [incident for incident in timeline.incidents if number in (None, incident.number)]
     if as_json:
         click.echo(
-            msgspec.json.format(msgspec.json.encode([_plain(story, each) for each in chosen])).decode()
+            msgspec.json.format(
+                msgspec.json.encode([_as_json(timeline, incident) for incident in chosen])
+            ).decode()
         )
         return
     lines = []
-    for each in chosen:
-        lines += [f"{each.number} {title(each)}", f"  {cause_line(each)}"]
-        for cause in each.causes[:4]:
+    for incident in chosen:
+        lines += [f"{incident.number} {title(incident)}", f"  {cause_line(incident)}"]
+        for cause in incident.causes[:4]:
             lines.append(f"  {cause.kind} {cause.where}: {min(cause.explains, 1.0):.0%}")
-            lines += [f"    + {one.text}" for one in cause.speaks_for]
-            lines += [f"    - {one.text}" for one in cause.speaks_against]
-    lines += [f"rule {breach.rule} broken: {breach.text}" for breach in story.verdict.breaches]
+            lines += [f"    + {one.text}" for one in cause.evidence_for]
+            lines += [f"    - {one.text}" for one in cause.evidence_against]
+    lines += [f"rule {violation.rule} broken: {violation.text}" for violation in timeline.rules.violations]
     for line in lines if chosen else [*lines, "no incident is claimed"]:
         click.echo(printable(line))
 
 
-def _plain(story: Story, each: Incident) -> dict[str, Any]:
+def _as_json(timeline: Timeline, incident: Incident) -> dict[str, Any]:
     return {
-        "number": each.number,
-        "within": each.within,
-        "onset_us": each.onset,
-        "end_us": each.end if each.is_over else None,
-        "doubt_us": each.doubt,
-        "contained": each.is_contained,
-        "usual": each.usual,
-        "share": each.share,
-        "badly": each.bad,
-        "records_missing": each.missing,
+        "number": incident.number,
+        "within": incident.within,
+        "onset_us": incident.onset,
+        "end_us": incident.end if incident.is_over else None,
+        "doubt_us": incident.uncertainty,
+        "contained": incident.is_contained,
+        "usual": incident.baseline,
+        "share": incident.share,
+        "badly": incident.bad,
+        "records_missing": incident.missing,
         "causes": [
             {
                 "kind": cause.kind,
                 "where": cause.where,
                 "explains": min(cause.explains, 1.0),
-                "for": [one.text for one in cause.speaks_for],
-                "against": [one.text for one in cause.speaks_against],
+                "for": [one.text for one in cause.evidence_for],
+                "against": [one.text for one in cause.evidence_against],
             }
-            for cause in each.causes
+            for cause in incident.causes
         ],
-        "classes": {name: dict(counts) for name, counts in each.hurt.by_class.items()},
-        "may_have_run": [one.decode("ascii", "backslashreplace") for one in each.hurt.may_have_run],
-        "clock_of": story.start(story.clocks.reference).name,
+        "classes": {name: dict(counts) for name, counts in incident.impact.by_class.items()},
+        "may_have_run": [one.decode("ascii", "backslashreplace") for one in incident.impact.may_have_run],
+        "clock_of": timeline.start(timeline.clocks.reference).name,
     }
 
 
 @command.command()
-@_FOLDERS
+@_PATHS
 @click.option(
     "-o", "--output", type=click.Path(path_type=Path), required=True, help="The HTML file to write."
 )
 @_SINCE
 @_UNTIL
 def report(given: tuple[Path, ...], output: Path, since: int | None, until: int | None) -> None:
-    """One HTML file that opens without a network."""
+    """Write the report as one HTML file that needs no network."""
     from micadeck.incidents.report import html
 
     try:
-        output.write_text(html(tell(_load(given), since, until)), encoding="utf-8")
-    except OSError as fault:
-        click.echo(f"micadeck: incident: {output}: {fault}", err=True)
+        output.write_text(html(build_timeline(_load(given), since, until)), encoding="utf-8")
+    except OSError as error:
+        click.echo(f"micadeck: incident: {output}: {error}", err=True)
         raise SystemExit(2) from None
     click.echo(f"{output}")
 
--- a/micadeck/incidents/console.py
+++ b/micadeck/incidents/console.py
@@ -1,4 +1,4 @@
-"""`micadeck console`: the fleet as its sidecars saw it, at a moment that can be moved through time."""
+"""`micadeck console`: shows the state of the fleet, by its records, at any second."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 from textual.widgets import DataTable, Footer, Static
 
 from micadeck.incidents.archive import list_files, load
-from micadeck.incidents.console_model import Board
+from micadeck.incidents.console_model import ConsoleModel
 from micadeck.incidents.report import cause_line, clock, printable, title
-from micadeck.incidents.timeline import tell
+from micadeck.incidents.timeline import build_timeline
 
-_LOOK_AGAIN_S = 2.0
+_RELOAD_INTERVAL_S = 2.0
 
-Known = frozenset[tuple[str, int, int]]
+FileVersions = frozenset[tuple[str, int, int]]
 
 
 def _cell(text: str) -> str:
-    """Text from outside as a cell shows it."""
+    """Escape text from the records for a table cell."""
     return escape(printable(text))
 
 
-def _known(given: tuple[Path, ...]) -> Known:
-    """What the files look like: as long as it is the same, they need not be read again."""
-    told = set()
-    for each in list_files(given):
+def _file_versions(given: tuple[Path, ...]) -> FileVersions:
+    """Sizes and modification times of the files, to detect changes."""
+    versions = set()
+    for path in list_files(given):
         try:
-            state = each.stat()
+            stat = path.stat()
         except OSError:
-            continue  # rotated away while we looked
-        told.add((str(each), state.st_size, state.st_mtime_ns))
-    return frozenset(told)
+            continue  # deleted by rotation meanwhile
+        versions.add((str(path), stat.st_size, stat.st_mtime_ns))
+    return frozenset(versions)
 
 
 class ConsoleApp(App[None]):
-    """Three tables in turn (servers, one server, incidents) under a line of the seconds around."""
+    """Shows a table (servers, one server or incidents) below a sparkline."""
 
     CSS = """
     #head { height: 2 } #line { height: 2 } #what { height: 1 } DataTable { height: 1fr }
@@ -63,11 +63,11 @@
         super().__init__()
         self._given = given
         self._plain = plain
-        self._files = _known(given)
-        self.board = Board(tell(load(given)))
-        self.second = self.board.seconds - 1
+        self._files = _file_versions(given)
+        self.model = ConsoleModel(build_timeline(load(given)))
+        self.second = self.model.seconds - 1
         self.follows = True
-        self.shows = "servers"  # or "incidents", or a server's name behind "server "
+        self.shows = "servers"  # or "incidents", or "server NAME"
 
     def compose(self) -> ComposeResult:
         with Vertical():
@@ -78,36 +78,36 @@
         yield Footer()
 
     def on_mount(self) -> None:
-        outer = [each for each in self.board.story.incidents if each.within is None]
+        outer = [each for each in self.model.timeline.incidents if each.within is None]
         if outer:
-            self.second, self.follows = self.board.story.series.second(outer[0].onset), False
+            self.second, self.follows = self.model.timeline.series.second(outer[0].onset), False
         self.draw()
-        self.set_interval(_LOOK_AGAIN_S, self.look_again)
+        self.set_interval(_RELOAD_INTERVAL_S, self.reload_changed)
 
     @work(thread=True, exclusive=True)
-    def look_again(self) -> None:
-        """Read again what has grown; off the screen's thread, since it may take a while."""
-        files = _known(self._given)
+    def reload_changed(self) -> None:
+        """Reload changed files, on a worker thread since it may take long."""
+        files = _file_versions(self._given)
         if files == self._files:
             return
-        board = Board(tell(load(self._given)))
-        self.call_from_thread(self._take, files, board)
+        model = ConsoleModel(build_timeline(load(self._given)))
+        self.call_from_thread(self._show_reloaded, files, model)
 
-    def _take(self, files: Known, board: Board) -> None:
-        at = self.board.at(self.second)
-        self._files, self.board = files, board
-        self.second = board.seconds - 1 if self.follows else board.story.series.second(at)
+    def _show_reloaded(self, files: FileVersions, model: ConsoleModel) -> None:
+        at = self.model.at(self.second)
+        self._files, self.model = files, model
+        self.second = model.seconds - 1 if self.follows else model.timeline.series.second(at)
         self.draw()
 
-    # What keys do
+    # Key bindings
 
     def action_move(self, seconds: int) -> None:
-        self.second = self.board.clamp(self.second + seconds)
+        self.second = self.model.clamp(self.second + seconds)
         self.follows = False
         self.draw()
 
     def action_incident(self, step: int) -> None:
-        found = self.board.next_incident(self.second, step)
+        found = self.model.next_incident(self.second, step)
         if found is not None:
             self.second, self.follows = found, False
             self.draw()
@@ -121,7 +121,7 @@
         self.draw()
 
     def action_follow(self) -> None:
-        self.follows, self.second = True, self.board.seconds - 1
+        self.follows, self.second = True, self.model.seconds - 1
         self.draw()
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
@@ -129,28 +129,28 @@
         if self.shows == "servers":
             self.shows = f"server {key}"
         elif self.shows == "incidents":
-            each = self.board.story.incidents[int(key)]
-            self.second, self.follows = self.board.story.series.second(each.onset), False
+            each = self.model.timeline.incidents[int(key)]
+            self.second, self.follows = self.model.timeline.series.second(each.onset), False
             self.shows = "servers"
         self.draw()
 
-    # The screen
+    # Drawing
 
     def draw(self) -> None:
-        board, second = self.board, self.second
-        now = board.totals(second)
-        silent = f", {now.silent} whose records lack" if now.silent else ""
-        here = board.incident_at(second)
-        what = (
-            f"incident {here.number}: {printable(cause_line(here))}"
-            if here is not None
+        model, second = self.model, self.second
+        now = model.totals(second)
+        silent = f", {now.not_reporting} whose records lack" if now.not_reporting else ""
+        incident = model.incident_at(second)
+        description = (
+            f"incident {incident.number}: {printable(cause_line(incident))}"
+            if incident is not None
             else "no incident claimed here"
         )
         counts = f"{now.ended} ended, {now.late} late, {now.refused} refused, {now.failed} failed"
         self.query_one("#head", Static).update(
-            f"{clock(now.at)} UTC  {counts}  ({now.speaking} sidecars{silent})\n{what}"
+            f"{clock(now.at)} UTC  {counts}  ({now.reporting} sidecars{silent})\n{description}"
         )
-        marks, at = board.line(second, max(self.size.width - 2, 10), self._plain)
+        marks, at = model.sparkline(second, max(self.size.width - 2, 10), self._plain)
         self.query_one("#line", Static).update(f"{marks}\n{' ' * at}^")
         self.query_one("#what", Static).update(f"[b]{_cell(self.shows)}[/b]")
         table = self.query_one(DataTable)
@@ -158,16 +158,23 @@
         table.clear(columns=True)
         if self.shows == "servers":
             table.add_columns("server", "zone", "held to be", "tried", "badly", "sidecars disagree")
-            for row in board.rows(second):
-                cells = (row.name, row.zone, row.state, str(row.tried), str(row.ill), row.split)
+            for row in model.rows(second):
+                cells = (
+                    row.name,
+                    row.zone,
+                    row.state,
+                    str(row.attempts),
+                    str(row.bad_attempts),
+                    row.disagreement,
+                )
                 table.add_row(*map(_cell, cells), key=row.name)
         elif self.shows == "incidents":
             table.add_columns("no", "when, and how bad", "cause")
-            for number, each in enumerate(board.story.incidents):
+            for number, each in enumerate(model.timeline.incidents):
                 table.add_row(str(each.number), _cell(title(each)), _cell(cause_line(each)), key=str(number))
         else:
             table.add_columns("sidecar", "holds it to be", "why", "since")
-            for view in board.server(self.shows.removeprefix("server "), second):
+            for view in model.server(self.shows.removeprefix("server "), second):
                 since = clock(view.since) if view.since is not None else ""
                 table.add_row(*map(_cell, (view.sidecar, view.state, view.why, since)))
         if table.row_count:
@@ -178,13 +185,13 @@
 @click.argument("given", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("--plain", is_flag=True, help="Marks of plain ASCII, for terminals without more.")
 def command(given: tuple[Path, ...], plain: bool) -> None:
-    """Walk through what sidecars recorded; folders that grow are followed."""
+    """Browse the records of sidecars; follows folders that grow."""
     try:
         app = ConsoleApp(given, plain)
-    except OSError as fault:
-        click.echo(f"micadeck: console: {fault}", err=True)
+    except OSError as error:
+        click.echo(f"micadeck: console: {error}", err=True)
         raise SystemExit(2) from None
-    if not app.board.story.archive.starts:
+    if not app.model.timeline.archive.starts:
         click.echo("micadeck: console: no records were found", err=True)
         raise SystemExit(2)
     app.run()
--- a/micadeck/incidents/endpoint_states.py
+++ b/micadeck/incidents/endpoint_states.py
@@ -1,4 +1,4 @@
-"""What each sidecar held each server to be, at every moment; where they disagree.  No input or output."""
+"""The state that each sidecar assigned to each server over time.  No input or output."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from micadeck.incidents.kinds import State
 
 UNKNOWN = "unknown"
-MOST_LEAST = 2  # sidecars that must hold a server ejected, however few there are
-AGREE = 0.8  # of the sidecars that know of a server: less is disagreement
+MIN_EJECTING_SIDECARS = 2  # even in a small fleet
+MIN_AGREEMENT = 0.8  # fraction of the sidecars that know a server; below it they disagree
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """From this moment on a sidecar held a server to be that."""
+class StateChange:
+    """A sidecar assigned a state to a server, from this moment on."""
 
     moment: Moment
     start: int
@@ -30,31 +30,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """What the sidecars together held a server to be."""
+class Consensus:
+    """The sidecars' combined view of a server."""
 
-    state: str  # what most of them held, or "unknown"
+    state: str  # the most frequent one, or "unknown"
     counts: Counter[str]
 
     @property
-    def doubt(self) -> float:
-        """The part of them that held something else."""
+    def disagreement(self) -> float:
+        """The fraction of sidecars that differ from it."""
         known = sum(self.counts.values()) - self.counts[UNKNOWN]
         return 1.0 - self.counts[self.state] / known if known else 1.0
 
     @property
     def disagrees(self) -> bool:
-        return self.doubt > 1.0 - AGREE
+        return self.disagreement > 1.0 - MIN_AGREEMENT
 
 
 @dataclass(slots=True)
-class States:
-    """All that was held, by sidecar and server."""
+class EndpointStates:
+    """All state changes, by sidecar and server."""
 
-    news: list[Held] = field(default_factory=list)  # in order of the common clock
+    changes: list[StateChange] = field(default_factory=list)  # in order of the common clock
     zones: dict[str, str] = field(default_factory=dict)
-    _held: dict[tuple[int, str], tuple[list[int], list[Held]]] = field(default_factory=dict)
-    _until: dict[int, int] = field(default_factory=dict)  # when each sidecar's records end
+    _histories: dict[tuple[int, str], tuple[list[int], list[StateChange]]] = field(default_factory=dict)
+    _ends: dict[int, int] = field(default_factory=dict)  # when each sidecar's records end
     _gaps: dict[int, list[tuple[int, int]]] = field(default_factory=dict)
 
     @property
@@ -62,78 +62,89 @@
         return sorted(self.zones)
 
     def at(self, start: int, server: str, when: int) -> str:
-        """What one sidecar held; unknown before it spoke of it, and where its records lack."""
-        if when > self._until.get(start, -1) or any(a < when < b for a, b in self._gaps.get(start, ())):
+        """One sidecar's state of a server; unknown before its first record and in gaps."""
+        if when > self._ends.get(start, -1) or any(a < when < b for a, b in self._gaps.get(start, ())):
             return UNKNOWN
-        times, held = self._held.get((start, server), ([], []))
-        place = bisect_right(times, when)
-        return held[place - 1].state if place else UNKNOWN
+        times, changes = self._histories.get((start, server), ([], []))
+        index = bisect_right(times, when)
+        return changes[index - 1].state if index else UNKNOWN
 
-    def view(self, server: str, when: int, starts: list[int]) -> View:
+    def consensus(self, server: str, when: int, starts: list[int]) -> Consensus:
         counts = Counter(self.at(start, server, when) for start in starts)
         known = [(count, state) for state, count in counts.items() if state != UNKNOWN]
-        return View(max(known)[1] if known else UNKNOWN, counts)
+        return Consensus(max(known)[1] if known else UNKNOWN, counts)
 
-    def line(self, start: int, server: str) -> list[Held]:
-        """All that one sidecar held of one server, in order."""
-        return self._held.get((start, server), ([], []))[1]
+    def history(self, start: int, server: str) -> list[StateChange]:
+        """One sidecar's state changes of one server, in order."""
+        return self._histories.get((start, server), ([], []))[1]
 
 
-def outcasts(held: States, which: list[int]) -> list[tuple[str, int, int]]:
-    """Servers that at least half of the sidecars that know of them held ejected at once: from when to when.
+def widely_ejected(states: EndpointStates, which: list[int]) -> list[tuple[str, int, int]]:
+    """Servers, with begin and end, that at least half of the sidecars that know them ejected at once.
 
-    From the first ejection of such a time, since what comes before is the same sickness seen by fewer.
+    An interval begins with the first ejection, since fewer sidecars saw the same fault earlier.
     """
-    told: list[tuple[str, int, int]] = []
-    for server in held.servers:
+    ejected: list[tuple[str, int, int]] = []
+    for server in states.servers:
         changes = sorted(
-            (each.moment.at, number, each.state) for number in which for each in held.line(number, server)
+            (each.moment.at, number, each.state)
+            for number in which
+            for each in states.history(number, server)
         )
-        knows = {number for _, number, _ in changes}
-        need = max(MOST_LEAST, (len(knows) + 1) // 2)
-        out: set[int] = set()
+        aware = {number for _, number, _ in changes}
+        quorum = max(MIN_EJECTING_SIDECARS, (len(aware) + 1) // 2)
+        ejecting: set[int] = set()
         first: int | None = None
         since: int | None = None
         for at, number, state in changes:
             if state == "ejected":
-                if not out:
+                if not ejecting:
                     first = at
-                out.add(number)
-                if len(out) >= need and since is None:
+                ejecting.add(number)
+                if len(ejecting) >= quorum and since is None:
                     since = first
             else:
-                out.discard(number)
-                if len(out) < need and since is not None:
-                    told.append((server, since, at))
+                ejecting.discard(number)
+                if len(ejecting) < quorum and since is not None:
+                    ejected.append((server, since, at))
                     since = None
         if since is not None:
-            told.append((server, since, max(held._until.values(), default=since)))
-    return told
+            ejected.append((server, since, max(states._ends.values(), default=since)))
+    return ejected
 
 
-def states(starts: list[Start], clocks: Clocks, which: list[int], ends: dict[int, int]) -> States:
-    """Read the states off the records; `ends` tells until when each start's records reach."""
-    told = States(_until=dict(ends))
-    rows: dict[tuple[int, str], list[Held]] = defaultdict(list)
+def collect_states(
+    starts: list[Start], clocks: Clocks, which: list[int], ends: dict[int, int]
+) -> EndpointStates:
+    """Collect states from the records; `ends` has the end of each start's records."""
+    result = EndpointStates(_ends=dict(ends))
+    rows: dict[tuple[int, str], list[StateChange]] = defaultdict(list)
     for number in which:
         for gap in starts[number].missing:
-            since, until = clocks.place(number, gap[0]), clocks.place(number, gap[1])
+            since, until = clocks.to_common(number, gap[0]), clocks.to_common(number, gap[1])
             if since is not None and until is not None:
-                told._gaps.setdefault(number, []).append((since.at, until.at))
-        for each in starts[number].records:
-            if not isinstance(each, State):
+                result._gaps.setdefault(number, []).append((since.at, until.at))
+        for record in starts[number].records:
+            if not isinstance(record, State):
                 continue
-            moment = clocks.place(number, each.at)
+            moment = clocks.to_common(number, record.at)
             if moment is None:
                 continue
-            held = Held(
-                moment, number, each.server, each.state, each.why, each.zone, each.started_at, each.is_news
+            change = StateChange(
+                moment,
+                number,
+                record.server,
+                record.state,
+                record.why,
+                record.zone,
+                record.started_at,
+                record.is_news,
             )
-            rows[(number, each.server)].append(held)
-            if each.zone or each.server not in told.zones:
-                told.zones[each.server] = each.zone
-            if each.is_news:
-                told.news.append(held)
-    told._held = {key: ([each.moment.at for each in row], row) for key, row in rows.items()}
-    told.news.sort(key=lambda each: each.moment.at)
-    return told
+            rows[(number, record.server)].append(change)
+            if record.zone or record.server not in result.zones:
+                result.zones[record.server] = record.zone
+            if record.is_news:
+                result.changes.append(change)
+    result._histories = {key: ([change.moment.at for change in row], row) for key, row in rows.items()}
+    result.changes.sort(key=lambda change: change.moment.at)
+    return result
--- a/micadeck/incidents/recording.py
+++ b/micadeck/incidents/recording.py
@@ -1,4 +1,4 @@
-"""A sidecar's recording: writes what the observer collected once a second."""
+"""A sidecar's recording: writes the observer's records each second."""
 
 from __future__ import annotations
 
--- a/micadeck/incidents/series.py
+++ b/micadeck/incidents/series.py
@@ -1,6 +1,6 @@
-"""Counts over time on the common clock, from the spans of all sidecars.  No input or output.
+"""Counts per second on the common clock, from the spans of all sidecars.  No input or output.
 
-What is missing is no zero: for each second it is known how many of the sidecars that should have spoken did.
+Missing data is not zero: each second has the number of sidecars that reported, and of those that did not.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class PlacedSpan:
     """A span on the common clock."""
 
     start: int
     begin: int
     end: int
-    doubt: int
+    uncertainty: int
     span: Span
 
 
 @dataclass(slots=True)
 class Series:
-    """Seconds from `begin` on; each array has one number a second."""
+    """Counts from `begin` on; each array has one value per second."""
 
     begin: int
     seconds: int
     arrived: Counts
-    served: Counts  # late ones among them
+    served: Counts  # including late ones
     late: Counts
     refused: Counts
     failed: Counts
-    tried: Counts  # attempts that ended
-    ill: Counts  # of these, those that say something against a server or the way to it
-    speaking: Counts  # sidecars whose records cover the second
-    silent: Counts  # sidecars that ran before and after, and whose records lack it
-    spans: list[Placed]
+    attempts: Counts  # attempts that ended
+    bad_attempts: Counts  # of these, those that indicate a fault of the server or of the network path to it
+    reporting: Counts  # sidecars whose records cover the second
+    not_reporting: Counts  # sidecars with records before and after the second, but none for it
+    spans: list[PlacedSpan]
 
     @property
     def ended(self) -> Counts:
@@ -61,96 +61,98 @@
         return self.late + self.refused + self.failed
 
     def second(self, at: int) -> int:
-        """The second that a time falls into, within the series."""
+        """The index of the second that contains a time, clamped to the series."""
         return min(max((at - self.begin) // BIN_US, 0), max(self.seconds - 1, 0))
 
     def at(self, second: int) -> int:
         return self.begin + second * BIN_US
 
-    def between(self, since: int, until: int) -> Iterator[Placed]:
-        """The spans that lie in these times by their middle."""
+    def between(self, since: int, until: int) -> Iterator[PlacedSpan]:
+        """The spans whose middle lies in this interval."""
         for each in self.spans:
             if since <= (each.begin + each.end) // 2 < until:
                 yield each
 
 
-def placed(starts: list[Start], clocks: Clocks, which: list[int]) -> list[Placed]:
+def place_spans(starts: list[Start], clocks: Clocks, which: list[int]) -> list[PlacedSpan]:
     """These starts' spans on the common clock, in order."""
-    told: list[Placed] = []
+    spans: list[PlacedSpan] = []
     for number in which:
-        for each in starts[number].records:
-            if isinstance(each, Span) and each.until > each.at:
-                begin, end = clocks.place(number, each.at), clocks.place(number, each.until)
+        for record in starts[number].records:
+            if isinstance(record, Span) and record.until > record.at:
+                begin, end = clocks.to_common(number, record.at), clocks.to_common(number, record.until)
                 if begin is not None and end is not None:
-                    told.append(Placed(number, begin.at, end.at, end.doubt, each))
-    return sorted(told, key=lambda each: each.begin)
+                    spans.append(PlacedSpan(number, begin.at, end.at, end.uncertainty, record))
+    return sorted(spans, key=lambda span: span.begin)
 
 
-def series(starts: list[Start], clocks: Clocks, which: list[int]) -> Series:
-    """Add up what these starts counted."""
-    spans = placed(starts, clocks, which)
+def build_series(starts: list[Start], clocks: Clocks, which: list[int]) -> Series:
+    """Sum the counts of these starts."""
+    spans = place_spans(starts, clocks, which)
     begin = min((each.begin for each in spans), default=0) // BIN_US * BIN_US
     end = max((each.end for each in spans), default=0)
     seconds = max((end - begin + BIN_US - 1) // BIN_US, 0)
     rows = np.zeros((7, seconds))
-    speaks: dict[int, set[int]] = defaultdict(set)
+    reported: dict[int, set[int]] = defaultdict(set)
     for each in spans:
         totals = [0] * len(rows)
-        for one in each.span.classes:
-            for row, count in enumerate((one.arrived, one.served, one.late, one.refused, one.failed)):
-                totals[row] += count
+        for counts in each.span.classes:
+            for row, value in enumerate(
+                (counts.arrived, counts.served, counts.late, counts.refused, counts.failed)
+            ):
+                totals[row] += value
         for server in each.span.servers:
-            totals[5] += tried(server.ended)
-            totals[6] += ill(server.ended)
+            totals[5] += count_attempts(server.ended)
+            totals[6] += count_bad_attempts(server.ended)
         first = (each.begin - begin) // BIN_US
         last = min((each.end - 1 - begin) // BIN_US, seconds - 1)
         for second in range(first, last + 1):
-            low = max(each.begin, begin + second * BIN_US)
-            high = min(each.end, begin + (second + 1) * BIN_US)
-            part = (high - low) / (each.end - each.begin)
-            rows[:, second] += np.array(totals) * part
-            if 2 * (high - low) >= min(BIN_US, each.end - each.begin):
-                speaks[each.start].add(second)
-    speaking, silent = np.zeros(seconds), np.zeros(seconds)
-    for those in speaks.values():
-        for second in those:
-            speaking[second] += 1
-        for second in range(min(those), max(those) + 1):
-            silent[second] += second not in those
-    arrived, served, late, refused, failed, out, ill_ones = rows
-    counted = (arrived, served, late, refused, failed, out, ill_ones)
-    return Series(begin, seconds, *counted, speaking, silent, spans)
+            overlap_begin = max(each.begin, begin + second * BIN_US)
+            overlap_end = min(each.end, begin + (second + 1) * BIN_US)
+            fraction = (overlap_end - overlap_begin) / (each.end - each.begin)
+            rows[:, second] += np.array(totals) * fraction
+            if 2 * (overlap_end - overlap_begin) >= min(BIN_US, each.end - each.begin):
+                reported[each.start].add(second)
+    reporting, not_reporting = np.zeros(seconds), np.zeros(seconds)
+    for seconds_reported in reported.values():
+        for second in seconds_reported:
+            reporting[second] += 1
+        for second in range(min(seconds_reported), max(seconds_reported) + 1):
+            not_reporting[second] += second not in seconds_reported
+    arrived, served, late, refused, failed, attempts, bad_attempts = rows
+    counted = (arrived, served, late, refused, failed, attempts, bad_attempts)
+    return Series(begin, seconds, *counted, reporting, not_reporting, spans)
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
-    """From when to when a start is known to have run, on the common clock."""
+class RunInterval:
+    """When a start is known to have run, on the common clock."""
 
     begin: int
     end: int
-    ended_in_order: bool
+    ended_cleanly: bool
 
 
-def ran(start: Start, spans: list[Placed]) -> Ran | None:
+def run_interval(start: Start, spans: list[PlacedSpan]) -> RunInterval | None:
     """From the spans of one start; None if there are none."""
     if not spans:
         return None
-    in_order = any(isinstance(each, Phase) and each.phase == "ended" for each in start.records)
-    return Ran(spans[0].begin, spans[-1].end, in_order)
+    ended_cleanly = any(isinstance(each, Phase) and each.phase == "ended" for each in start.records)
+    return RunInterval(spans[0].begin, spans[-1].end, ended_cleanly)
 
 
-def tried(counts: list[int]) -> int:
-    """Attempts that went out."""
-    told = sum(counts)
-    return told - counts[_UNSENT] if len(counts) > _UNSENT else told
+def count_attempts(counts: list[int]) -> int:
+    """Attempts that were sent."""
+    total = sum(counts)
+    return total - counts[_UNSENT] if len(counts) > _UNSENT else total
 
 
-def ill(counts: list[int]) -> int:
-    """Attempts that say something against the server, or the way to it; called off ones were overdue."""
+def count_bad_attempts(counts: list[int]) -> int:
+    """Attempts that indicate a fault of the server or the path; cancelled ones were overdue."""
     length = len(counts)
     if length <= _DELIVERED + 1:
-        return 0  # nearly all are: only delivered ones
-    told = sum(counts) - counts[_DELIVERED]
+        return 0  # fast path: only delivered ones
+    bad = sum(counts) - counts[_DELIVERED]
     if length > _UNSENT:
-        told -= counts[_UNSENT]
-    return told - counts[_REJECTED] if length > _REJECTED else told
+        bad -= counts[_UNSENT]
+    return bad - counts[_REJECTED] if length > _REJECTED else bad
--- a/micadeck/incidents/timeline.py
+++ b/micadeck/incidents/timeline.py
@@ -1,4 +1,4 @@
-"""One story of many records: what happened, when, whom it hurt, why, and what is not known.
+"""Builds the timeline of a fleet: incidents, their impact, causes and unknowns.
 
 No input or output.
 """
@@ -9,235 +9,251 @@
 from dataclasses import dataclass, field, replace
 
 from micadeck.incidents.archive import Archive, FileStatus, Start
-from micadeck.incidents.causes import Cause, Scene, causes
-from micadeck.incidents.changes import Episode, episodes
+from micadeck.incidents.causes import Cause, IncidentContext, find_causes
+from micadeck.incidents.changes import Episode, find_episodes
 from micadeck.incidents.clocks import Clocks, align
-from micadeck.incidents.endpoint_states import States, outcasts, states
+from micadeck.incidents.endpoint_states import EndpointStates, collect_states, widely_ejected
 from micadeck.incidents.kinds import End
-from micadeck.incidents.rule_check import Verdict, audit
-from micadeck.incidents.series import BIN_US, Ran, Series, placed, ran, series
+from micadeck.incidents.rule_check import RuleReport, check_rules
+from micadeck.incidents.series import BIN_US, RunInterval, Series, build_series, place_spans, run_interval
 
-MOST_DAMAGES = 3  # of a file, that are told one by one
-LEAD_S = 6  # attempts that go badly no longer than this before clients feel it belong to the same incident
+MAX_LISTED_DAMAGES = 3  # per file; the rest are summarized
+MAX_LEAD_S = 6  # bad attempts up to this long before the first bad requests belong to the same incident
 
 
 @dataclass(slots=True)
-class Hurt:
-    """Whom it hurt."""
+class Impact:
+    """The requests and sidecars affected."""
 
     by_class: dict[str, Counter[str]] = field(default_factory=dict)  # "late", "refused", "failed", "ended"
-    may_have_run: list[bytes] = field(default_factory=list)  # unsafe requests that failed, and may have run
+    may_have_run: list[bytes] = field(default_factory=list)  # non-idempotent requests that failed
     by_sidecar: Counter[int] = field(default_factory=Counter)
 
 
 @dataclass(slots=True)
 class Incident:
-    """One incident; one within another names the outer's number."""
+    """An incident; `within` is the number of the one that contains it."""
 
     number: int
     within: int | None
     onset: int
     end: int
-    doubt: int  # of onset and end, in microseconds
-    is_contained: bool  # attempts went badly, and clients hardly felt it
-    is_over: bool  # whether the records go on after it
-    usual: float
+    uncertainty: int  # of onset and end, in microseconds
+    is_contained: bool  # attempts failed, but hardly any requests, thanks to retries
+    is_over: bool  # whether the records continue after it
+    baseline: float
     share: float
     bad: float
     causes: list[Cause]
-    hurt: Hurt
-    missing: float  # part of the sidecars' seconds within it that no record covers
+    impact: Impact
+    missing: float  # fraction of the sidecars' seconds in it without records
 
     @property
-    def is_known(self) -> bool:
+    def has_cause(self) -> bool:
         """Whether a cause explains enough of it."""
         return bool(self.causes)
 
 
 @dataclass(slots=True)
-class Story:
-    """What the records of a fleet tell."""
+class Timeline:
+    """What the records of a fleet show."""
 
     archive: Archive
     clocks: Clocks
     linked: list[int]  # starts on the common clock
     series: Series
-    states: States
-    ran: dict[int, Ran]
+    states: EndpointStates
+    runs: dict[int, RunInterval]
     incidents: list[Incident]
-    verdict: Verdict
-    alone: dict[int, list[Incident]]  # of starts that are apart, each by itself on its own clock
-    not_known: list[str]
+    rules: RuleReport
+    unlinked_incidents: dict[int, list[Incident]]  # by unlinked start, on its own clock
+    unknowns: list[str]
 
     def start(self, number: int) -> Start:
         return self.archive.starts[number]
 
 
-def tell(archive: Archive, since: int | None = None, until: int | None = None) -> Story:
-    """Make the story; between these times of the common clock, where they are given."""
+def build_timeline(archive: Archive, since: int | None = None, until: int | None = None) -> Timeline:
+    """Build the timeline, optionally limited to an interval of the common clock."""
     starts = archive.starts
     clocks = align(starts)
-    left_out = {*clocks.apart, *clocks.contradictory}
-    linked = [number for number in range(len(starts)) if number not in left_out]
-    counts, held, alive = _gather(starts, clocks, linked)
-    incidents = _incidents(starts, clocks, linked, counts, held, alive, since, until)
-    alone: dict[int, list[Incident]] = {}
-    for number in clocks.apart:
+    excluded = {*clocks.unlinked, *clocks.contradictory}
+    linked = [number for number in range(len(starts)) if number not in excluded]
+    series, states, runs = _collect(starts, clocks, linked)
+    incidents = _incidents(starts, clocks, linked, series, states, runs, since, until)
+    unlinked_incidents: dict[int, list[Incident]] = {}
+    for number in clocks.unlinked:
         own = Clocks(number)
-        some = _gather(starts, own, [number])
-        found = _incidents(starts, own, [number], *some, since, until)
+        collected = _collect(starts, own, [number])
+        found = _incidents(starts, own, [number], *collected, since, until)
         if found:
-            alone[number] = found
-    verdict = audit(starts, clocks)
-    return Story(
-        archive, clocks, linked, counts, held, alive, incidents, verdict, alone, _gaps(archive, clocks)
+            unlinked_incidents[number] = found
+    rules = check_rules(starts, clocks)
+    return Timeline(
+        archive,
+        clocks,
+        linked,
+        series,
+        states,
+        runs,
+        incidents,
+        rules,
+        unlinked_incidents,
+        _unknowns(archive, clocks),
     )
 
 
-def _gather(starts: list[Start], clocks: Clocks, which: list[int]) -> tuple[Series, States, dict[int, Ran]]:
-    counts = series(starts, clocks, which)
-    alive: dict[int, Ran] = {}
+def _collect(
+    starts: list[Start], clocks: Clocks, which: list[int]
+) -> tuple[Series, EndpointStates, dict[int, RunInterval]]:
+    series = build_series(starts, clocks, which)
+    runs: dict[int, RunInterval] = {}
     for number in which:
-        found = ran(starts[number], placed(starts, clocks, [number]))
-        if found is not None:
-            alive[number] = found
-    ends = {number: each.end for number, each in alive.items()}
-    return counts, states(starts, clocks, which, ends), alive
+        interval = run_interval(starts[number], place_spans(starts, clocks, [number]))
+        if interval is not None:
+            runs[number] = interval
+    ends = {number: each.end for number, each in runs.items()}
+    return series, collect_states(starts, clocks, which, ends), runs
 
 
 def _incidents(
     starts: list[Start],
     clocks: Clocks,
     which: list[int],
-    counts: Series,
-    held: States,
-    alive: dict[int, Ran],
+    series: Series,
+    states: EndpointStates,
+    runs: dict[int, RunInterval],
     since: int | None,
     until: int | None,
 ) -> list[Incident]:
-    told: list[Incident] = []
+    incidents: list[Incident] = []
 
     def add(
         episode: Episode,
         first: int,
         last: int,
         within: int | None,
-        usual: float,
+        baseline: float,
         share: float,
         contained: bool,
     ) -> int:
-        onset, end = counts.at(first), counts.at(last)
-        scene = Scene(starts, clocks, which, counts, held, alive, onset, end)
-        doubts = [each.doubt for each in counts.between(onset - 5 * BIN_US, end + 5 * BIN_US)]
-        doubts.sort()
-        covered = counts.speaking[first:last].sum()
-        lacks = counts.silent[first:last].sum()
-        number = len(told) + 1
-        told.append(
+        onset, end = series.at(first), series.at(last)
+        context = IncidentContext(starts, clocks, which, series, states, runs, onset, end)
+        uncertainties = [each.uncertainty for each in series.between(onset - 5 * BIN_US, end + 5 * BIN_US)]
+        uncertainties.sort()
+        reporting = series.reporting[first:last].sum()
+        not_reporting = series.not_reporting[first:last].sum()
+        number = len(incidents) + 1
+        incidents.append(
             Incident(
                 number,
                 within,
                 onset,
                 end,
-                BIN_US + (doubts[len(doubts) // 2] if doubts else 0),
+                BIN_US + (uncertainties[len(uncertainties) // 2] if uncertainties else 0),
                 contained,
-                last < counts.seconds - 2,
-                usual,
+                last < series.seconds - 2,
+                baseline,
                 share,
-                float(counts.bad[first:last].sum()),
-                causes(scene),
-                _hurt(starts, clocks, which, counts, onset, end),
-                float(lacks / (covered + lacks)) if covered + lacks else 0.0,
+                float(series.bad[first:last].sum()),
+                find_causes(context),
+                _measure_impact(starts, clocks, which, series, onset, end),
+                float(not_reporting / (reporting + not_reporting)) if reporting + not_reporting else 0.0,
             )
         )
         return number
 
-    for episode, contained in _episodes(counts, held, which):
-        if since is not None and counts.at(episode.last) < since:
+    for episode, contained in _episodes(series, states, which):
+        if since is not None and series.at(episode.last) < since:
             continue
-        if until is not None and counts.at(episode.first) > until:
+        if until is not None and series.at(episode.first) > until:
             continue
         first, last = episode.first, episode.last
-        outer = add(episode, first, last, None, episode.usual, episode.share, contained)
+        outer = add(episode, first, last, None, episode.baseline, episode.share, contained)
         for inner in episode.inner:
             add(episode, inner.first, inner.last, outer, episode.share, inner.share, contained)
-    return told
+    return incidents
 
 
-def _episodes(counts: Series, held: States, which: list[int]) -> list[tuple[Episode, bool]]:
-    """What clients felt; and what only the sidecars did, where further attempts made up for it.
+def _episodes(series: Series, states: EndpointStates, which: list[int]) -> list[tuple[Episode, bool]]:
+    """Episodes of bad requests, or only of bad attempts, which retries made up for.
 
-    Attempts go badly sooner than requests do, so that an incident begins with the first of both.
+    Attempts fail before requests do, so an incident begins with the earlier of both.
     """
-    if not counts.seconds:
-        return []  # states alone, with no counts, say nothing of harm
-    felt = episodes(counts.bad, counts.ended)
-    told = [(each, False) for each in felt]
-    for each in episodes(counts.ill, counts.tried):
-        over = [
-            n for n, (one, _) in enumerate(told) if one.first <= each.last + 2 and each.first <= one.last + 2
+    if not series.seconds:
+        return []  # states without counts show no impact
+    by_requests = find_episodes(series.bad, series.ended)
+    found = [(episode, False) for episode in by_requests]
+    for episode in find_episodes(series.bad_attempts, series.attempts):
+        overlapping = [
+            n
+            for n, (one, _) in enumerate(found)
+            if one.first <= episode.last + 2 and episode.first <= one.last + 2
         ]
-        if not over:
-            told.append((each, True))
+        if not overlapping:
+            found.append((episode, True))
             continue
-        for number in over:
-            one, contained = told[number]
-            if one.first - LEAD_S <= each.first < one.first:
-                told[number] = (replace(one, first=each.first), contained)
-    for _, since, until in sorted(outcasts(held, which), key=lambda each: each[1]):
-        one = _of_outcast(counts, counts.second(since), counts.second(until) + 1)
-        if not any(other.first <= one.last + 2 and one.first <= other.last + 2 for other, _ in told):
-            told.append((one, True))
-    return sorted(told, key=lambda pair: pair[0].first)
-
-
-def _of_outcast(counts: Series, first: int, last: int) -> Episode:
-    """The time in which most sidecars keep off a server, as an episode of their attempts."""
-    bad, tried = float(counts.ill[first:last].sum()), float(counts.tried[first:last].sum())
-    others, all_tried = float(counts.ill.sum()) - bad, float(counts.tried.sum()) - tried
-    usual = others / all_tried if all_tried else 0.0
-    return Episode(first, last, usual, bad / tried if tried else 0.0, bad, tried, (), ())
-
-
-def _hurt(
-    starts: list[Start], clocks: Clocks, which: list[int], counts: Series, onset: int, end: int
-) -> Hurt:
-    told = Hurt()
-    for each in counts.between(onset, end + BIN_US):
-        for one in each.span.classes:
-            row = told.by_class.setdefault(one.name, Counter())
-            row["ended"] += one.served + one.refused + one.failed
-            row["late"] += one.late
-            row["refused"] += one.refused
-            row["failed"] += one.failed
-            told.by_sidecar[each.start] += one.late + one.refused + one.failed
-    unsafe = {each.name for start in starts for each in start.head.kinds if each.repeat == "unsafe"}
+        for number in overlapping:
+            one, contained = found[number]
+            if one.first - MAX_LEAD_S <= episode.first < one.first:
+                found[number] = (replace(one, first=episode.first), contained)
+    for _, since, until in sorted(widely_ejected(states, which), key=lambda ejected: ejected[1]):
+        one = _ejection_episode(series, series.second(since), series.second(until) + 1)
+        if not any(other.first <= one.last + 2 and one.first <= other.last + 2 for other, _ in found):
+            found.append((one, True))
+    return sorted(found, key=lambda pair: pair[0].first)
+
+
+def _ejection_episode(series: Series, first: int, last: int) -> Episode:
+    """The interval in which most sidecars ejected a server, as an episode of attempts."""
+    bad, attempts = float(series.bad_attempts[first:last].sum()), float(series.attempts[first:last].sum())
+    others, all_attempts = float(series.bad_attempts.sum()) - bad, float(series.attempts.sum()) - attempts
+    baseline = others / all_attempts if all_attempts else 0.0
+    return Episode(first, last, baseline, bad / attempts if attempts else 0.0, bad, attempts, (), ())
+
+
+def _measure_impact(
+    starts: list[Start], clocks: Clocks, which: list[int], series: Series, onset: int, end: int
+) -> Impact:
+    impact = Impact()
+    for placed in series.between(onset, end + BIN_US):
+        for class_counts in placed.span.classes:
+            row = impact.by_class.setdefault(class_counts.name, Counter())
+            row["ended"] += class_counts.served + class_counts.refused + class_counts.failed
+            row["late"] += class_counts.late
+            row["refused"] += class_counts.refused
+            row["failed"] += class_counts.failed
+            impact.by_sidecar[placed.start] += class_counts.late + class_counts.refused + class_counts.failed
+    unsafe = {kind.name for start in starts for kind in start.head.kinds if kind.repeat == "unsafe"}
     for number in which:
         for record in starts[number].records:
             if isinstance(record, End) and record.how == "failed" and record.may_have_run:
-                moment = clocks.place(number, record.at)
+                moment = clocks.to_common(number, record.at)
                 is_here = moment is not None and onset <= moment.at <= end + BIN_US
                 if is_here and record.service_class in unsafe and record.ident:
-                    told.may_have_run.append(record.ident)
-    return told
+                    impact.may_have_run.append(record.ident)
+    return impact
 
 
-def _gaps(archive: Archive, clocks: Clocks) -> list[str]:
-    """What can't be known, in words."""
-    told = [f"{each.path.name}: {each.why}" for each in archive.files if each.found is FileStatus.FOREIGN]
+def _unknowns(archive: Archive, clocks: Clocks) -> list[str]:
+    """Describe what the records don't show."""
+    unknowns = [f"{each.path.name}: {each.why}" for each in archive.files if each.found is FileStatus.FOREIGN]
     for each in archive.files:
-        told += [
-            f"{each.path.name}: offset {one.offset}: {one.reason}" for one in each.damages[:MOST_DAMAGES]
+        unknowns += [
+            f"{each.path.name}: offset {one.offset}: {one.reason}"
+            for one in each.damages[:MAX_LISTED_DAMAGES]
         ]
-        if len(each.damages) > MOST_DAMAGES:
-            told.append(f"{each.path.name}: {len(each.damages) - MOST_DAMAGES} more places can't be read")
-    told += [
+        if len(each.damages) > MAX_LISTED_DAMAGES:
+            unknowns.append(
+                f"{each.path.name}: {len(each.damages) - MAX_LISTED_DAMAGES} more places can't be read"
+            )
+    unknowns += [
         f"{archive.starts[number].name} shares nothing with the others: its times are its own"
-        for number in clocks.apart
+        for number in clocks.unlinked
     ]
-    told += [
+    unknowns += [
         f"{archive.starts[number].name}: its records contradict each other and are left out of the story"
         for number in clocks.contradictory
     ]
-    told += clocks.notes
-    return told
+    unknowns += clocks.notes
+    return unknowns
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -61,10 +61,10 @@
         widest = 0
         for number in range(len(self.records)):
             for true in range(TRUE_BEGIN, TRUE_BEGIN + seconds * S, 7 * S):
-                moment = clocks.place(number, self.local(number, true))
+                moment = clocks.to_common(number, self.local(number, true))
                 assert moment is not None
-                assert abs(moment.at - self.local(clocks.reference, true)) <= moment.doubt + 1
-                widest = max(widest, moment.doubt)
+                assert abs(moment.at - self.local(clocks.reference, true)) <= moment.uncertainty + 1
+                widest = max(widest, moment.uncertainty)
         return widest / S
 
 
@@ -89,9 +89,9 @@
     clocks = align(world.starts())
     one, two = (next(n for n in range(3) if n != clocks.reference and n != skip) for skip in (-1, 1))
     true = TRUE_BEGIN + 30 * S
-    first = clocks.place(one, world.local(one, true))
-    soon = clocks.place(two, world.local(two, true + S // 10))
-    far = clocks.place(two, world.local(two, true + 10 * S))
+    first = clocks.to_common(one, world.local(one, true))
+    soon = clocks.to_common(two, world.local(two, true + S // 10))
+    far = clocks.to_common(two, world.local(two, true + 10 * S))
     assert first is not None and soon is not None and far is not None
     assert not first.is_before(soon) and not soon.is_before(first) and first.is_before(far)
 
@@ -101,11 +101,11 @@
     world.messages(60, range(4))
     world.messages(60, range(4, 7))
     clocks = align(world.starts())
-    assert clocks.reference in range(4) and clocks.apart == [4, 5, 6]
-    assert clocks.place(5, TRUE_BEGIN) is None
+    assert clocks.reference in range(4) and clocks.unlinked == [4, 5, 6]
+    assert clocks.to_common(5, TRUE_BEGIN) is None
     alone = align(World(1, 1).starts())
-    assert alone.place(0, 17) is not None and not alone.apart
-    assert align([]).apart == []
+    assert alone.to_common(0, 17) is not None and not alone.unlinked
+    assert align([]).unlinked == []
 
 
 def test_a_list_that_came_late_is_noticed_and_spoils_nobody_s_clock() -> None:
@@ -130,11 +130,11 @@
         world.records[3].remove(each)
         world.records[3].append(Message(each.at - 60 * S, each.was_heard, each.name))
     clocks = align(world.starts())
-    assert clocks.contradictory == [3] and clocks.place(3, TRUE_BEGIN) is None
+    assert clocks.contradictory == [3] and clocks.to_common(3, TRUE_BEGIN) is None
     for number in (0, 1, 2, 4, 5):
-        moment = clocks.place(number, world.local(number, TRUE_BEGIN + 50 * S))
+        moment = clocks.to_common(number, world.local(number, TRUE_BEGIN + 50 * S))
         assert moment is not None
-        assert abs(moment.at - world.local(clocks.reference, TRUE_BEGIN + 50 * S)) <= moment.doubt + 1
+        assert abs(moment.at - world.local(clocks.reference, TRUE_BEGIN + 50 * S)) <= moment.uncertainty + 1
 
 
 def test_a_step_of_the_system_s_clock_is_noticed() -> None:
@@ -165,5 +165,5 @@
     world.lists(3_600, every_s=30.0)
     began = time.process_time()
     clocks = align(world.starts())
-    assert time.process_time() - began < 20.0 and not clocks.apart
-    assert clocks.place(7, world.local(7, TRUE_BEGIN + 1_000 * S)) is not None
+    assert time.process_time() - began < 20.0 and not clocks.unlinked
+    assert clocks.to_common(7, world.local(7, TRUE_BEGIN + 1_000 * S)) is not None
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -14,9 +14,9 @@
 from micadeck.cli import main
 from micadeck.incidents.archive import Archive, Start
 from micadeck.incidents.console import ConsoleApp
-from micadeck.incidents.console_model import Board
+from micadeck.incidents.console_model import ConsoleModel
 from micadeck.incidents.kinds import ClassCount, Head, Listed, Record, ServerCount, Span, State
-from micadeck.incidents.timeline import tell
+from micadeck.incidents.timeline import build_timeline
 
 S = 1_000_000
 
@@ -33,7 +33,7 @@
         await pilot.pause()
         assert "incident 1: zone" in shown(app, "head")  # it begins where the first incident does
         table = app.query_one(DataTable)
-        assert table.row_count == len(app.board.servers) and table.size.height >= 10
+        assert table.row_count == len(app.model.servers) and table.size.height >= 10
         second = app.second
         await pilot.press("right", "right", "left", "]")
         assert app.second == second + 11
@@ -44,11 +44,11 @@
         await pilot.press("enter")
         assert app.shows.startswith("server s-") and table.row_count == 6
         await pilot.press("escape", "i")
-        assert app.shows == "incidents" and table.row_count == len(app.board.story.incidents)
+        assert app.shows == "incidents" and table.row_count == len(app.model.timeline.incidents)
         await pilot.press("right", "enter")
         assert app.shows == "servers" and app.second == second
         await pilot.press("f")
-        assert app.second == app.board.seconds - 1 and app.follows
+        assert app.second == app.model.seconds - 1 and app.follows
 
 
 @played
@@ -61,35 +61,35 @@
     async with app.run_test(size=(80, 24)) as pilot:
         await pilot.pause()
         await pilot.press("f")
-        before = app.board.seconds
+        before = app.model.seconds
         for each, data in whole.items():
             each.write_bytes(data)
-        app.look_again()
+        app.reload_changed()
         await app.workers.wait_for_complete()
         await pilot.pause()
-        assert app.board.seconds > 2 * before and app.second == app.board.seconds - 1
-        assert app.board.story.incidents
+        assert app.model.seconds > 2 * before and app.second == app.model.seconds - 1
+        assert app.model.timeline.incidents
 
 
 def test_a_board_s_servers_are_what_the_states_say() -> None:
-    story = tell(day(2, "crash").archive())
-    board = Board(story)
+    story = build_timeline(day(2, "crash").archive())
+    board = ConsoleModel(story)
     for second in range(0, board.seconds, 7):
         for row in board.rows(second):
             # Within the second: a state that changed in it may show as before or after.
             near = {
-                story.states.view(row.name, board.at(second) + part * S // 4, story.linked).state
+                story.states.consensus(row.name, board.at(second) + part * S // 4, story.linked).state
                 for part in range(5)
             }
             assert row.state in near
-    assert sum(row.tried for second in range(board.seconds) for row in board.rows(second)) > 1_000
+    assert sum(row.attempts for second in range(board.seconds) for row in board.rows(second)) > 1_000
 
 
 def test_seconds_without_a_word_are_marked_as_such() -> None:
-    story = tell(day(2, "calm").archive())
-    board = Board(story)
-    story.series.speaking[10:13] = 0
-    marks, at = board.line(11, 40)
+    story = build_timeline(day(2, "calm").archive())
+    board = ConsoleModel(story)
+    story.series.reporting[10:13] = 0
+    marks, at = board.sparkline(11, 40)
     assert marks[10:13] == "???" and "?" not in marks[:10] and at == 11
 
 
@@ -105,13 +105,13 @@
             counts = ClassCount("look", 5, 5, 0, 0, 0, 0, b"")
             records.append(Span(second * S, (second + 1) * S, 0, 0, 1, None, 0.0, None, [counts], servers, 0))
         starts.append(Start(head, records))
-    board = Board(tell(Archive(starts, [])))
-    assert not board.story.clocks.apart
+    board = ConsoleModel(build_timeline(Archive(starts, [])))
+    assert not board.timeline.clocks.unlinked
     began = time.process_time()
     for second in range(20):
         assert len(board.rows(second)) == 200
         board.server("s-7", second)
-        board.line(second, 80)
+        board.sparkline(second, 80)
     assert (time.process_time() - began) / 20 < 0.1
 
 
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("width", [20, 200])
 def test_the_line_keeps_to_its_width_and_to_its_seconds(width: int) -> None:
     told = day(2, "zone")
-    board = Board(tell(told.archive()))
+    board = ConsoleModel(build_timeline(told.archive()))
     for second in (0, board.seconds // 2, board.seconds - 1):
-        marks, at = board.line(second, width)
+        marks, at = board.sparkline(second, width)
         assert len(marks) <= width and 0 <= at < len(marks)
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -17,9 +17,9 @@
 
 from micadeck.cli import main
 from micadeck.incidents.archive import Archive, Start, load
-from micadeck.incidents.changes import episodes
+from micadeck.incidents.changes import find_episodes
 from micadeck.incidents.clocks import Clocks
-from micadeck.incidents.console_model import Board
+from micadeck.incidents.console_model import ConsoleModel
 from micadeck.incidents.endpoint_states import UNKNOWN
 from micadeck.incidents.frames import MAGIC, Encoder, read
 from micadeck.incidents.kinds import (
@@ -36,9 +36,9 @@
     State,
 )
 from micadeck.incidents.report import html
-from micadeck.incidents.rule_check import audit
+from micadeck.incidents.rule_check import check_rules
 from micadeck.incidents.segments import SegmentName
-from micadeck.incidents.timeline import Story, tell
+from micadeck.incidents.timeline import Timeline, build_timeline
 from micadeck.policy.events import ListedServer, ListKind
 from micadeck.stand_ins.incident_days import BEGIN, Day, S, play
 
@@ -50,7 +50,7 @@
     for seed in range(40):
         drawn = np.random.default_rng(seed)
         ended = drawn.poisson(per_s, 300).astype(float)
-        assert episodes(drawn.binomial(ended.astype(int), 0.01).astype(float), ended) == []
+        assert find_episodes(drawn.binomial(ended.astype(int), 0.01).astype(float), ended) == []
 
 
 @pytest.mark.parametrize(("first", "last", "share"), [(100, 130, 0.3), (60, 190, 0.08), (150, 153, 0.9)])
@@ -60,7 +60,7 @@
         ended = drawn.poisson(100, 300).astype(float)
         shares = np.full(300, 0.005)
         shares[first:last] = share
-        (one,) = episodes(drawn.binomial(ended.astype(int), shares).astype(float), ended)
+        (one,) = find_episodes(drawn.binomial(ended.astype(int), shares).astype(float), ended)
         assert abs(one.first - first) <= 2 and abs(one.last - last) <= 2
         assert abs(one.share - share) < 0.3 * share + 0.02
 
@@ -70,7 +70,7 @@
     ended = drawn.poisson(100, 300).astype(float)
     shares = np.full(300, 0.004)
     shares[100:200], shares[140:150] = 0.1, 0.8
-    (one,) = episodes(drawn.binomial(ended.astype(int), shares).astype(float), ended)
+    (one,) = find_episodes(drawn.binomial(ended.astype(int), shares).astype(float), ended)
     (inner,) = one.inner
     assert abs(one.first - 100) <= 2 and abs(one.last - 200) <= 2
     assert abs(inner.first - 140) <= 2 and abs(inner.last - 150) <= 2
@@ -81,7 +81,7 @@
     ended[::20] = 1.0
     bad = np.zeros(300)
     bad[100:160:20] = 1.0
-    assert episodes(bad, ended) == [] == episodes(np.zeros(2), np.ones(2))
+    assert find_episodes(bad, ended) == [] == find_episodes(np.zeros(2), np.ones(2))
 
 
 # Scripted days
@@ -92,7 +92,7 @@
     return play(seed, kind)
 
 
-def onset(told: Day, story: Story) -> int:
+def onset(told: Day, story: Timeline) -> int:
     head = story.start(story.clocks.reference).head
     for number, data in enumerate(told.sidecars):
         own = read(data).head
@@ -115,34 +115,34 @@
 )
 def test_a_scripted_day_s_story_matches_its_script(kind: str, cause: str) -> None:
     told = day(2, kind)
-    story = tell(told.archive())
+    story = build_timeline(told.archive())
     (one,) = [each for each in story.incidents if each.within is None]
-    assert abs(one.onset - onset(told, story)) <= one.doubt
+    assert abs(one.onset - onset(told, story)) <= one.uncertainty
     assert one.causes[0].kind == cause and one.causes[0].where.split("@")[0] == told.script.where
-    assert one.causes[0].speaks_for and one.is_known
+    assert one.causes[0].evidence_for and one.has_cause
 
 
 @pytest.mark.parametrize("kind", ["calm", "drain", "restart"])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_on_a_day_without_trouble_nothing_is_claimed(kind: str, seed: int) -> None:
-    story = tell(day(seed, kind).archive())
-    assert story.incidents == [] and not story.alone and story.verdict.breaches == []
+    story = build_timeline(day(seed, kind).archive())
+    assert story.incidents == [] and not story.unlinked_incidents and story.rules.violations == []
     assert "No incident is claimed" in html(story)
 
 
 def test_records_that_lack_are_missing_and_not_quiet() -> None:
     told = day(2, "zone")
-    whole, story = tell(told.archive()), tell(told.archive(missing=0.3, seed=4))
-    assert whole.series.silent.sum() == 0 < story.series.silent.sum()
+    whole, story = build_timeline(told.archive()), build_timeline(told.archive(missing=0.3, seed=4))
+    assert whole.series.not_reporting.sum() == 0 < story.series.not_reporting.sum()
     gap = next(start for start in story.archive.starts if start.missing)
     number = story.archive.starts.index(gap)
     since, until = gap.missing[0]
-    middle = story.clocks.place(number, (since + until) // 2)
+    middle = story.clocks.to_common(number, (since + until) // 2)
     assert middle is not None
     assert until - since < 2 * S or story.states.at(number, "s-0", middle.at) == UNKNOWN
     (one,) = [each for each in story.incidents if each.within is None]
     assert one.causes[0].kind == "zone" and one.missing > 0.0
-    assert any("records lack" in each for each in story.verdict.cannot_say)
+    assert any("records lack" in each for each in story.rules.undetermined)
 
 
 # Records made by hand
@@ -173,22 +173,22 @@
     drains, late = state(2 * S, "a", "draining"), span(4 * S, servers=(count("a", 4 * S + 100),))
     good: list[Record] = [state(0, "a", "ready"), span(0, servers=(count("a", 500_000),)), drains]
     in_grace = span(2 * S, servers=(count("a", 2 * S + 400_000),))
-    assert audit([start("n0", [*good, in_grace, ENDED])], Clocks(0)).breaches == []
-    (breach,) = audit([start("n0", [*good, in_grace, late, ENDED])], Clocks(0)).breaches
-    assert breach.rule == 3 and breach.one == (0, drains) and breach.other == (0, late)
+    assert check_rules([start("n0", [*good, in_grace, ENDED])], Clocks(0)).violations == []
+    (breach,) = check_rules([start("n0", [*good, in_grace, late, ENDED])], Clocks(0)).violations
+    assert breach.rule == 3 and breach.first == (0, drains) and breach.second == (0, late)
     back: list[Record] = [*good, state(3 * S, "a", "ready"), late, ENDED]
-    assert audit([start("n0", back)], Clocks(0)).breaches == []
+    assert check_rules([start("n0", back)], Clocks(0)).violations == []
 
 
 def test_an_unsafe_request_that_may_have_run_at_two_servers_is_named_across_sidecars() -> None:
     one = Attempt(S, b"id", "pay", 0, "a", 2 * S, "dropped", True)
     two = Attempt(3 * S, b"id", "pay", 0, "b", 4 * S, "dropped", True)
     never = Attempt(3 * S, b"id", "pay", 0, "b", 4 * S, "dial_failed", False)
-    (breach,) = audit([start("n0", [one, ENDED]), start("n1", [two, ENDED])], Clocks(0)).breaches
-    assert breach.rule == 2 and breach.one == (0, one) and breach.other == (1, two)
-    assert audit([start("n0", [one, ENDED]), start("n1", [never, ENDED])], Clocks(0)).breaches == []
+    (breach,) = check_rules([start("n0", [one, ENDED]), start("n1", [two, ENDED])], Clocks(0)).violations
+    assert breach.rule == 2 and breach.first == (0, one) and breach.second == (1, two)
+    assert check_rules([start("n0", [one, ENDED]), start("n1", [never, ENDED])], Clocks(0)).violations == []
     safe = [start("n0", [one, ENDED], repeat="safe"), start("n1", [two, ENDED], repeat="safe")]
-    assert audit(safe, Clocks(0)).breaches == []
+    assert check_rules(safe, Clocks(0)).violations == []
 
 
 def test_two_final_answers_are_named_and_what_breaks_off_can_t_be_told() -> None:
@@ -196,15 +196,15 @@
         End(2 * S, b"id", "pay", S, "failed", False, 1),
         End(3 * S, b"id", "pay", S, "served", True, 1),
     ]
-    verdict = audit([start("n0", list(ends))], Clocks(0))
-    (breach,) = verdict.breaches
-    assert breach.rule == 1 and any("break off" in each for each in verdict.cannot_say)
+    verdict = check_rules([start("n0", list(ends))], Clocks(0))
+    (breach,) = verdict.violations
+    assert breach.rule == 1 and any("break off" in each for each in verdict.undetermined)
     later: list[Record] = [
         ends[0],
         End(6 * S, b"id", "pay", 5 * S, "served", True, 1),
         ENDED,
     ]  # the client asked again
-    assert audit([start("n0", list(later))], Clocks(0)).breaches == []
+    assert check_rules([start("n0", list(later))], Clocks(0)).violations == []
 
 
 def test_a_cause_that_explains_too_little_is_not_known() -> None:
@@ -217,9 +217,9 @@
             servers = tuple(count(f"s-{each}", second * S, 3) for each in range(6))
             records.append(span(second * S, 12, failed, servers))
         starts.append(start(f"n{number}", records))
-    story = tell(Archive(starts, []))
-    assert story.clocks.apart  # they share nothing: each is told alone
-    alone = [each for several in story.alone.values() for each in several] + story.incidents
+    story = build_timeline(Archive(starts, []))
+    assert story.clocks.unlinked  # they share nothing: each is told alone
+    alone = [each for several in story.unlinked_incidents.values() for each in several] + story.incidents
     assert alone and all(not each.causes for each in alone)
     assert "cause not known" in html(story)
 
@@ -281,7 +281,7 @@
         records.append(span(second * S, 10 - failed, failed, (bad, count("b", second * S, 10))))
     records.append(End(31 * S, nasty.encode(), "pay", 30 * S, "failed", True, 1))
     told = start("n0", records)
-    page = html(tell(Archive([told], [])))
+    page = html(build_timeline(Archive([told], [])))
     assert "<script>alert" not in page and "&lt;script&gt;alert" in page
     path = tmp_path / str(SegmentName("0" * 16, 0, "n0"))
     encoder = Encoder()
@@ -314,22 +314,22 @@
 
 
 def test_of_two_hundred_sidecars_twenty_suffice_to_claim_an_incident() -> None:
-    story = tell(Archive(fleet(200, range(20)), []))
+    story = build_timeline(Archive(fleet(200, range(20)), []))
     (one,) = story.incidents
     assert len(story.linked) == 200 and 13 * S <= one.end - one.onset <= 17 * S
-    assert {number for number, count in one.hurt.by_sidecar.items() if count} == set(range(20))
+    assert {number for number, count in one.impact.by_sidecar.items() if count} == set(range(20))
     reference = story.start(story.clocks.reference).head.at
-    assert abs(one.onset - (reference + 60 * S)) <= one.doubt
-    assert tell(Archive(fleet(30, range(0)), [])).incidents == []
+    assert abs(one.onset - (reference + 60 * S)) <= one.uncertainty
+    assert build_timeline(Archive(fleet(30, range(0)), [])).incidents == []
 
 
 def test_two_starts_of_one_name_are_two_and_one_that_broke_off_is_said_to() -> None:
-    story = tell(day(2, "restart").archive())
+    story = build_timeline(day(2, "restart").archive())
     names = [each.head.sidecar for each in story.archive.starts]
     assert len(names) == 9 and len(set(names)) == 6
-    broke = [number for number, each in story.ran.items() if not each.ended_in_order]
+    broke = [number for number, each in story.runs.items() if not each.ended_cleanly]
     assert len(broke) == len(story.archive.starts)  # the script kills three, and the day ends for the rest
-    assert sum("break off" in each for each in story.verdict.cannot_say) == 9
+    assert sum("break off" in each for each in story.rules.undetermined) == 9
 
 
 def test_a_partition_in_which_each_half_holds_the_other_s_servers_for_dead_is_disagreement() -> None:
@@ -340,14 +340,14 @@
         ejected = State(at, lost, "ejected", "silent", "east", 1, True)
         each.records.append(ejected)
         each.records.sort(key=lambda record: getattr(record, "until", record.at))
-    story = tell(Archive(starts, []))
+    story = build_timeline(Archive(starts, []))
     when = story.start(story.clocks.reference).head.at + 100 * S
     for server in ("a", "b"):
-        view = story.states.view(server, when, story.linked)
+        view = story.states.consensus(server, when, story.linked)
         assert view.disagrees and view.counts == {"ready": 3, "ejected": 3}
-    before = story.states.view("a", when - 80 * S, story.linked)
+    before = story.states.consensus("a", when - 80 * S, story.linked)
     assert not before.disagrees and before.state == "ready"
-    assert [each.split for each in Board(story).rows(100)] == ["3 ready, 3 ejected"] * 2
+    assert [each.disagreement for each in ConsoleModel(story).rows(100)] == ["3 ready, 3 ejected"] * 2
 
 
 def test_a_process_that_took_over_a_server_s_name_is_another() -> None:
@@ -370,7 +370,7 @@
         paths.append(path)
     for path in paths[:2]:
         path.unlink()
-    story = tell(load([tmp_path]))
+    story = build_timeline(load([tmp_path]))
     assert story.series.seconds == 120 and len(story.incidents) == 1 and not story.archive.starts[0].missing
 
 
@@ -387,6 +387,6 @@
             data[at + 12] ^= 0xFF
         at += 12 + length
     (tmp_path / "n0.records").write_bytes(bytes(data))
-    story = tell(load([tmp_path]))
-    assert story.incidents == [] and sum("n0.records" in each for each in story.not_known) == 4
+    story = build_timeline(load([tmp_path]))
+    assert story.incidents == [] and sum("n0.records" in each for each in story.unknowns) == 4
     assert "No records that can be laid on one clock" in html(story)
