--- a/micadeck/incidents/causes.py
+++ b/micadeck/incidents/causes.py
@@ -21,11 +21,11 @@
 
 BEFORE_US = 8_000_000  # how long before the onset a cause may have occurred
 AFTER_US = 2_000_000  # how much later it may be recorded: spans are a second long
-MAX_BODY_US = 20_000_000  # first part of an incident, in which the impact is counted
+IMPACT_WINDOW_US = 20_000_000  # first part of an incident, in which the impact is counted
 MIN_EXPLAINED = 0.35  # fraction of the impact
 MIN_LAG_US = 150_000  # of an event loop that lacks processor time
 MIN_UTILIZATION = 0.85  # of the servers' cores
-MIN_SURGE = 1.25  # of the arrival rate to that before
+MIN_SURGE_RATIO = 1.25  # of the arrival rate to that before the onset
 MIN_RELEASE_SERVERS = 3  # servers replaced around the onset
 MIN_RELEASE_FRACTION = 0.2  # of all servers
 _STALE_US = 4_000_000  # age of the list when requests for it fail
@@ -81,8 +81,8 @@
 
 def _count_impact(series: Series, since: int, until: int) -> _ImpactCounts:
     counts = _ImpactCounts(seconds=max((until - since) / 1e6, 1e-9))
-    for each in series.between(since, until):
-        span, number = each.span, each.start
+    for placed in series.between(since, until):
+        span, number = placed.span, placed.start
         counts.spans[number] += 1
         counts.lags[number].append(span.lag_us)
         if span.cores is not None:
@@ -110,7 +110,7 @@
 
     starts: list[Start]
     clocks: Clocks
-    which: list[int]
+    included: list[int]
     series: Series
     states: EndpointStates
     runs: dict[int, RunInterval]
@@ -120,9 +120,9 @@
 
 def find_causes(context: IncidentContext) -> list[Cause]:
     """The candidates that explain enough, by rank."""
-    until = min(context.end, context.onset + MAX_BODY_US)
+    until = min(context.end, context.onset + IMPACT_WINDOW_US)
     during = _count_impact(context.series, context.onset - BIN_US, until + BIN_US)
-    before = _count_impact(context.series, context.onset - MAX_BODY_US, context.onset - BIN_US)
+    before = _count_impact(context.series, context.onset - IMPACT_WINDOW_US, context.onset - BIN_US)
     candidates: list[Cause] = []
     candidates += _by_sidecar(context, during, before)
     candidates += _by_list(context, during)  # before releases: late lists also remove many at once
@@ -132,8 +132,8 @@
     candidates += zones or servers
     candidates += _by_restart(context, during)
     candidates += _by_load(during, before)
-    sufficient = [each for each in candidates if each.explains >= MIN_EXPLAINED]
-    return sorted(sufficient, key=lambda each: -each.rank)
+    sufficient = [cause for cause in candidates if cause.explains >= MIN_EXPLAINED]
+    return sorted(sufficient, key=lambda cause: -cause.rank)
 
 
 def _excess(bad: float, sent: float, usual: float) -> float:
@@ -161,16 +161,16 @@
             Evidence(f"of {sent} attempts there: {outcomes}; the others' usual is {usual:.0%} bad")
         )
         ejected = [
-            each
-            for each in context.states.changes
-            if each.server == name
-            and each.state == "ejected"
-            and context.onset - BEFORE_US <= each.moment.at <= context.end + AFTER_US
+            change
+            for change in context.states.changes
+            if change.server == name
+            and change.state == "ejected"
+            and context.onset - BEFORE_US <= change.moment.at <= context.end + AFTER_US
         ]
         if ejected:
-            by = len({each.start for each in ejected})
+            by = len({change.start for change in ejected})
             first = ejected[0]
-            text = f"{by} of {len(context.which)} sidecars ejected it, first for: {first.why}"
+            text = f"{by} of {len(context.included)} sidecars ejected it, first for: {first.why}"
             cause.evidence_for.append(Evidence(text, first.moment.at, first.start))
         if before.sent[name] >= 5 and before.rate(name) > 0.5 * during.rate(name):
             cause.evidence_against.append(Evidence("it did as badly before the onset"))
@@ -179,15 +179,15 @@
 
 def _failure_kind(during: _ImpactCounts, name: str) -> str:
     counts = during.outcomes[name]
-    quick = sum(
+    connection_errors = sum(
         counts[each.value]
         for each in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_REFUSED, Outcome.CONNECTION_LOST)
     )
     errors = counts[Outcome.ERROR.value] + counts[Outcome.MALFORMED.value]
-    silent = counts[Outcome.TIMED_OUT.value] + counts[Outcome.CANCELLED.value]
-    if max(quick, errors, silent) == silent:
+    unanswered = counts[Outcome.TIMED_OUT.value] + counts[Outcome.CANCELLED.value]
+    if max(connection_errors, errors, unanswered) == unanswered:
         return "server hangs"
-    return "server crashed" if quick >= errors else "server fails"
+    return "server crashed" if connection_errors >= errors else "server fails"
 
 
 def _by_zone(context: IncidentContext, during: _ImpactCounts, servers: list[Cause]) -> Iterator[Cause]:
@@ -199,8 +199,8 @@
             by_zone[zones.get(name, "")].append(name)
     if len(by_zone) < 2:
         return
-    usual = sorted(during.rate(name) for names in by_zone.values() for name in names)
-    typical = usual[len(usual) // 3]
+    rates = sorted(during.rate(name) for names in by_zone.values() for name in names)
+    typical = rates[len(rates) // 3]
     total = sum(_excess(during.bad_attempts[name], count, typical) for name, count in during.sent.items())
     for zone, names in by_zone.items():
         failing = [name for name in names if during.rate(name) > max(3 * typical, typical + 0.2)]
@@ -215,17 +215,18 @@
         outside = f"{failing_elsewhere} of {len(elsewhere)} elsewhere"
         text = f"{len(failing)} of its {len(names)} servers do badly, and {outside}"
         cause.evidence_for.append(Evidence(text))
-        for each in servers:
-            if each.where in failing:
+        for candidate in servers:
+            if candidate.where in failing:
                 cause.evidence_for += [
-                    Evidence(f"{each.where}: {one.text}", one.at, one.start) for one in each.evidence_for[:1]
+                    Evidence(f"{candidate.where}: {evidence.text}", evidence.at, evidence.start)
+                    for evidence in candidate.evidence_for[:1]
                 ]
         yield cause
 
 
 def _by_release(context: IncidentContext, during: _ImpactCounts, servers: list[Cause]) -> Iterator[Cause]:
     """More servers that drain, leave or restart around the onset than otherwise."""
-    since, until = context.onset - BEFORE_US, min(context.end, context.onset + MAX_BODY_US)
+    since, until = context.onset - BEFORE_US, min(context.end, context.onset + IMPACT_WINDOW_US)
     replaced: dict[str, int] = {}
     restarted: set[str] = set()
     all_replaced: set[str] = set()
@@ -238,7 +239,7 @@
             if is_near:
                 replaced.setdefault(each.server, each.moment.at)
         elif is_near and each.state == "ready" and each.started_at is not None:
-            if abs(each.started_at - each.moment.at) < 2 * MAX_BODY_US:
+            if abs(each.started_at - each.moment.at) < 2 * IMPACT_WINDOW_US:
                 restarted.add(each.server)
     known = len(context.states.servers)
     recorded_us = context.series.seconds * BIN_US
@@ -311,13 +312,13 @@
 
 def _by_list(context: IncidentContext, during: _ImpactCounts) -> Iterator[Cause]:
     """Failed or late lists while servers changed."""
-    since, until = context.onset - BEFORE_US, min(context.end, context.onset + MAX_BODY_US)
+    since, until = context.onset - BEFORE_US, min(context.end, context.onset + IMPACT_WINDOW_US)
     failed: Counter[int] = Counter()
     first: int | None = None
-    for number in context.which:
-        for each in context.starts[number].records:
-            if isinstance(each, Listed) and each.kind == "failed":
-                moment = context.clocks.to_common(number, each.at)
+    for number in context.included:
+        for record in context.starts[number].records:
+            if isinstance(record, Listed) and record.kind == "failed":
+                moment = context.clocks.to_common(number, record.at)
                 if moment is not None and since <= moment.at <= until:
                     failed[number] += 1
                     first = moment.at if first is None else min(first, moment.at)
@@ -326,11 +327,11 @@
     removed = _removed_late(context, until)
     total = sum(during.bad_attempts.values())
     at_removed = sum(during.bad_attempts[name] for name in removed)
-    part = len(failed) / max(len(context.which), 1)
-    explains = (at_removed / total if total else 0.0) * min(part + 0.3, 1.0)
-    cause = Cause("list of servers", "", max(explains, 0.3 * part))
+    fraction = len(failed) / max(len(context.included), 1)
+    explains = (at_removed / total if total else 0.0) * min(fraction + 0.3, 1.0)
+    cause = Cause("list of servers", "", max(explains, 0.3 * fraction))
     cause.evidence_for.append(
-        Evidence(f"{len(failed)} of {len(context.which)} sidecars' calls for the list failed", first)
+        Evidence(f"{len(failed)} of {len(context.included)} sidecars' calls for the list failed", first)
     )
     if removed:
         text = f"{at_removed} of {total} bad attempts went to servers that the list took away only later: "
@@ -341,11 +342,11 @@
 def _removed_late(context: IncidentContext, until: int) -> set[str]:
     """Servers that the list removed after the onset."""
     return {
-        each.server
-        for each in context.states.changes
-        if each.why == "list"
-        and each.state in ("draining", "gone")
-        and context.onset + BIN_US <= each.moment.at <= until + 2 * MAX_BODY_US
+        change.server
+        for change in context.states.changes
+        if change.why == "list"
+        and change.state in ("draining", "gone")
+        and context.onset + BIN_US <= change.moment.at <= until + 2 * IMPACT_WINDOW_US
     }
 
 
@@ -354,16 +355,16 @@
     since, until = context.onset - BEFORE_US, context.onset + AFTER_US
     new = [
         number
-        for number, each in context.runs.items()
-        if since <= each.begin <= until and each.begin > context.series.begin + 3 * BIN_US
+        for number, run in context.runs.items()
+        if since <= run.begin <= until and run.begin > context.series.begin + 3 * BIN_US
     ]
     last = context.series.at(context.series.seconds)
     ended = [
         number
-        for number, each in context.runs.items()
-        if since <= each.end <= until and each.end < last - 3 * BIN_US
+        for number, run in context.runs.items()
+        if since <= run.end <= until and run.end < last - 3 * BIN_US
     ]
-    if len(new) + len(ended) < max(1, 0.1 * len(context.which)):
+    if len(new) + len(ended) < max(1, 0.1 * len(context.included)):
         return
     all_bad = sum(during.bad_requests.values())
     own_bad = sum(during.bad_requests[number] for number in new)
@@ -389,7 +390,7 @@
     growth = (during.arrived / during.seconds) / (before.arrived / before.seconds)
     busy = sorted(during.cores)[len(during.cores) // 2]
     refused, all_bad = sum(during.refused.values()), sum(during.bad_requests.values())
-    if growth < MIN_SURGE or busy < MIN_UTILIZATION:
+    if growth < MIN_SURGE_RATIO or busy < MIN_UTILIZATION:
         return
     cause = Cause("load", "", min(0.45 + 0.5 * (growth - 1.0), 0.95))
     cause.evidence_for.append(Evidence(f"{growth:.1f} times the requests of before"))
--- a/micadeck/incidents/changes.py
+++ b/micadeck/incidents/changes.py
@@ -67,27 +67,27 @@
     recording; beyond that the counts alone don't show what is normal.  Intervals are sorted rather than
     seconds, since the quietest of many seconds are quiet by chance.
     """
-    intervals = [each for each in best_intervals(bad, ended, 1.0) if each.ended > 0]
+    intervals = [interval for interval in best_intervals(bad, ended, 1.0) if interval.ended > 0]
     if not intervals:
         return 0.0, 1.0
-    intervals.sort(key=lambda each: each.share)
-    half = sum(each.last - each.first for each in intervals) * QUIET_FRACTION
+    intervals.sort(key=lambda interval: interval.share)
+    half = sum(interval.last - interval.first for interval in intervals) * QUIET_FRACTION
     share, seconds = intervals[-1].share, 0
-    for each in intervals:
-        seconds += each.last - each.first
+    for interval in intervals:
+        seconds += interval.last - interval.first
         if seconds >= half:
-            share = each.share
+            share = interval.share
             break
-    quiet = [each for each in intervals if each.share <= share]
-    total_bad, total = sum(each.bad for each in quiet), sum(each.ended for each in quiet)
+    quiet = [interval for interval in intervals if interval.share <= share]
+    total_bad, total = sum(interval.bad for interval in quiet), sum(interval.ended for interval in quiet)
     if total:
         share = max(share, total_bad / total)
     squares, count = 0.0, 0
-    for each in quiet:
-        seconds_slice = slice(each.first, each.last)
-        expected = ended[seconds_slice] * max(each.share, 1e-3)
+    for interval in quiet:
+        seconds_slice = slice(interval.first, interval.last)
+        expected = ended[seconds_slice] * max(interval.share, 1e-3)
         squares += float(((bad[seconds_slice] - expected) ** 2 / np.maximum(expected, 0.25)).sum())
-        count += each.last - each.first
+        count += interval.last - interval.first
     return (share * total + 0.5) / (total + 1.0), min(max(squares / max(count, 1), 1.0), 6.0)
 
 
@@ -155,16 +155,16 @@
 
 
 def _episode(parts: list[Interval], share: float, dispersion: float) -> Episode:
-    bad, ended = sum(each.bad for each in parts), sum(each.ended for each in parts)
+    bad, ended = sum(part.bad for part in parts), sum(part.ended for part in parts)
     inner = []
-    for each in parts:
-        rest_bad, rest = bad - each.bad, ended - each.ended
+    for part in parts:
+        rest_bad, rest = bad - part.bad, ended - part.ended
         rest_share = rest_bad / rest if rest else 1.0
         if (
             len(parts) > 1
-            and each.share > INNER_SHARE_RATIO * rest_share
-            and _is_elevated(each, rest_share, dispersion)
+            and part.share > INNER_SHARE_RATIO * rest_share
+            and _is_elevated(part, rest_share, dispersion)
         ):
-            inner.append(each)
+            inner.append(part)
     overall = bad / ended if ended else 0.0
     return Episode(parts[0].first, parts[-1].last, share, overall, bad, ended, tuple(parts), tuple(inner))
--- a/micadeck/incidents/clocks.py
+++ b/micadeck/incidents/clocks.py
@@ -92,13 +92,13 @@
     dropped: set[str] = set()  # assumptions
     while True:
         graph = _Graph(starts, excluded)
-        bounds = [each for each in graph.bounds() if each.assumed not in dropped]
+        bounds = [bound for bound in graph.bounds() if bound.assumed not in dropped]
         cycle = _negative_cycle(graph.count, bounds)
         if cycle is None:
             break
-        assumed = [each for each in cycle if each.assumed]
+        assumed = [bound for bound in cycle if bound.assumed]
         if assumed and len(dropped) < _MAX_DROPPED_ASSUMPTIONS:
-            tightest = min(assumed, key=lambda each: each.limit)
+            tightest = min(assumed, key=lambda bound: bound.limit)
             dropped.add(tightest.assumed)
             notes.append(tightest.assumed)
             continue
@@ -111,7 +111,7 @@
 
 def _clock_steps(start: Start) -> Iterator[str]:
     """Describe steps of the system's clock; the records' times are monotonic."""
-    spans = [each for each in start.records if isinstance(each, Span)]
+    spans = [record for record in start.records if isinstance(record, Span)]
     for before, after in pairwise(spans):
         step = (after.wall - after.until) - (before.wall - before.until)
         if abs(step) > MIN_STEP_US + MAX_DRIFT * (after.until - before.until):
@@ -129,7 +129,7 @@
         self.epochs: list[int] = []
         self.count = 0
         for number, start in enumerate(starts):
-            times = [record_time(each) for each in start.records] or [start.head.at]
+            times = [record_time(record) for record in start.records] or [start.head.at]
             begin, end = min(*times, start.head.at), max(*times, start.head.at)
             self.begin.append(begin)
             self.first.append(self.count)
@@ -170,14 +170,14 @@
         received: dict[int, dict[int, tuple[int, bool]]] = defaultdict(dict)
         for number in included:
             is_following = False
-            for each in self.starts[number].records:
-                if not isinstance(each, Listed):
+            for record in self.starts[number].records:
+                if not isinstance(record, Listed):
                     continue
-                if each.kind in ("complete", "changes"):
-                    is_change = is_following and each.kind == "changes" and each.changed > 0
-                    received[each.version].setdefault(number, (each.at, is_change))
+                if record.kind in ("complete", "changes"):
+                    is_change = is_following and record.kind == "changes" and record.changed > 0
+                    received[record.version].setdefault(number, (record.at, is_change))
                     is_following = True
-                elif each.kind == "failed":
+                elif record.kind == "failed":
                     is_following = False
         shared = sorted(version for version, receivers in received.items() if len(receivers) > 1)
         for version in shared:
@@ -200,9 +200,9 @@
         sent: dict[bytes, list[tuple[int, int]]] = defaultdict(list)
         received: dict[bytes, list[tuple[int, int]]] = defaultdict(list)
         for number in included:
-            for each in self.starts[number].records:
-                if isinstance(each, Message):
-                    (received if each.was_heard else sent)[each.name].append((number, each.at))
+            for record in self.starts[number].records:
+                if isinstance(record, Message):
+                    (received if record.was_heard else sent)[record.name].append((number, record.at))
         for name, senders in sent.items():
             if len(senders) != 1:
                 continue  # of identical messages it is unknown which was received
@@ -231,9 +231,9 @@
 
 
 def _arrays(bounds: list[_Bound]) -> tuple[npt.NDArray[np.int64], ...]:
-    sources = np.array([each.source for each in bounds], dtype=np.int64)
-    targets = np.array([each.target for each in bounds], dtype=np.int64)
-    limits = np.array([each.limit for each in bounds], dtype=np.int64)
+    sources = np.array([bound.source for bound in bounds], dtype=np.int64)
+    targets = np.array([bound.target for bound in bounds], dtype=np.int64)
+    limits = np.array([bound.limit for bound in bounds], dtype=np.int64)
     return sources, targets, limits
 
 
@@ -354,10 +354,10 @@
         return unknown
 
     weight: dict[int, int] = defaultdict(int)
-    for each in bounds:
-        parent[root(each.source)] = root(each.target)
-        weight[each.source] += 1
-        weight[each.target] += 1
+    for bound in bounds:
+        parent[root(bound.source)] = root(bound.target)
+        weight[bound.source] += 1
+        weight[bound.target] += 1
     included = [number for number in range(len(graph.starts)) if graph.epochs[number]]
     if not included:
         return 0
--- a/micadeck/incidents/console_model.py
+++ b/micadeck/incidents/console_model.py
@@ -71,9 +71,9 @@
         for number in timeline.linked:
             self._add_states(number)
         self._state_counts = np.cumsum(self._state_counts, axis=2)
-        for each in timeline.series.spans:
-            second = timeline.series.second((each.begin + each.end) // 2)
-            for server in each.span.servers:
+        for placed in timeline.series.spans:
+            second = timeline.series.second((placed.begin + placed.end) // 2)
+            for server in placed.span.servers:
                 row = self._row.get(server.server)
                 if row is not None:
                     self._attempts[row, second] += sum(server.ended)
--- a/micadeck/incidents/endpoint_states.py
+++ b/micadeck/incidents/endpoint_states.py
@@ -11,7 +11,7 @@
 from micadeck.incidents.kinds import State
 
 UNKNOWN = "unknown"
-MIN_EJECTING_SIDECARS = 2  # even in a small fleet
+MIN_EJECTING_SIDECARS = 2  # that must eject a server, even in a small fleet
 MIN_AGREEMENT = 0.8  # fraction of the sidecars that know a server; below it they disagree
 
 
@@ -79,7 +79,7 @@
         return self._histories.get((start, server), ([], []))[1]
 
 
-def widely_ejected(states: EndpointStates, which: list[int]) -> list[tuple[str, int, int]]:
+def widely_ejected(states: EndpointStates, included: list[int]) -> list[tuple[str, int, int]]:
     """Servers, with begin and end, that at least half of the sidecars that know them ejected at once.
 
     An interval begins with the first ejection, since fewer sidecars saw the same fault earlier.
@@ -87,9 +87,9 @@
     ejected: list[tuple[str, int, int]] = []
     for server in states.servers:
         changes = sorted(
-            (each.moment.at, number, each.state)
-            for number in which
-            for each in states.history(number, server)
+            (change.moment.at, number, change.state)
+            for number in included
+            for change in states.history(number, server)
         )
         aware = {number for _, number, _ in changes}
         quorum = max(MIN_EJECTING_SIDECARS, (len(aware) + 1) // 2)
@@ -114,12 +114,12 @@
 
 
 def collect_states(
-    starts: list[Start], clocks: Clocks, which: list[int], ends: dict[int, int]
+    starts: list[Start], clocks: Clocks, included: list[int], ends: dict[int, int]
 ) -> EndpointStates:
     """Collect states from the records; `ends` has the end of each start's records."""
     result = EndpointStates(_ends=dict(ends))
     rows: dict[tuple[int, str], list[StateChange]] = defaultdict(list)
-    for number in which:
+    for number in included:
         for gap in starts[number].missing:
             since, until = clocks.to_common(number, gap[0]), clocks.to_common(number, gap[1])
             if since is not None and until is not None:
--- a/micadeck/incidents/kinds.py
+++ b/micadeck/incidents/kinds.py
@@ -68,7 +68,7 @@
     at: int  # its start
     until: int
     wall: int  # the system's clock at its end, to detect steps
-    lag_us: int  # how late the event loop ran this timer
+    lag_us: int  # how late the event loop ran the timer that ends the span
     load: int
     window: float | None  # None: no limit
     late: float
--- a/micadeck/incidents/observer.py
+++ b/micadeck/incidents/observer.py
@@ -247,10 +247,8 @@
         open_request[_RESULT] = how
         if self._attempts < MAX_ATTEMPT_RECORDS:
             may_have_run = any(map(self._may_have_run, open_request[_FIRST_ATTEMPT + 3 :: _ATTEMPT_FIELDS]))
-            name, count = (
-                self._engine.request_id(request),
-                (len(open_request) - _FIRST_ATTEMPT) // _ATTEMPT_FIELDS,
-            )
+            name = self._engine.request_id(request)
+            count = (len(open_request) - _FIRST_ATTEMPT) // _ATTEMPT_FIELDS
             self._pending.append(
                 End(now, name, class_counts.name, open_request[_ARRIVED_AT], how, may_have_run, count)
             )
--- a/micadeck/incidents/recording.py
+++ b/micadeck/incidents/recording.py
@@ -70,9 +70,7 @@
             return
         self._write(max(int((self._network.time() - self._due_at_s) * 1e6), 0))
         if self._writer.has_failed:
-            self._timer = (
-                None  # the observer keeps counting; its memory stays bounded by the limits of a span
-            )
+            self._timer = None  # nothing is written any more, but the observer keeps counting
         else:
             self._schedule_tick()
 
--- a/micadeck/incidents/report.py
+++ b/micadeck/incidents/report.py
@@ -69,11 +69,11 @@
 def quantiles(timeline: Timeline, onset: int, end: int) -> dict[str, tuple[int, float, float]]:
     """By class: number of answers, median and 99th percentile in milliseconds."""
     histograms: dict[str, HdrHistogram] = {}
-    for each in timeline.series.between(onset, end):
-        for one in each.span.classes:
-            times = unpack_times(one)
+    for placed in timeline.series.between(onset, end):
+        for class_counts in placed.span.classes:
+            times = unpack_times(class_counts)
             if times:
-                histogram = histograms.setdefault(one.name, HdrHistogram(1, _MAX_LATENCY_US, 2))
+                histogram = histograms.setdefault(class_counts.name, HdrHistogram(1, _MAX_LATENCY_US, 2))
                 for latency_us in times:
                     histogram.record_value(min(max(latency_us, 1), _MAX_LATENCY_US))
     return {
@@ -118,14 +118,14 @@
         f" {len(timeline.states.servers)} servers, {ended:.0f} requests ended, {bad:.0f} of them badly"
         f"{share}: late, refused or failed.</p>"
     ]
-    outer = [each for each in timeline.incidents if each.within is None]
+    outer = [incident for incident in timeline.incidents if incident.within is None]
     if not outer:
         parts.append("<p><b>No incident is claimed.</b></p>")
     else:
         rows = "".join(
-            f"<li><a href='#incident-{each.number}'>{escape(title(each))}</a>;"
-            f" {escape(cause_line(each))}</li>"
-            for each in outer
+            f"<li><a href='#incident-{incident.number}'>{escape(title(incident))}</a>;"
+            f" {escape(cause_line(incident))}</li>"
+            for incident in outer
         )
         parts.append(f"<ol>{rows}</ol>")
     return "".join(parts)
@@ -222,10 +222,13 @@
     for cause in incident.causes[:5]:
         place = f" <b>{escape(cause.where)}</b>" if cause.where else ""
         parts.append(f"<div class=cause>{escape(cause.kind)}{place}: {min(cause.explains, 1.0):.0%}<ul>")
-        for one in cause.evidence_for:
-            when = f" ({clock(one.at)})" if one.at is not None else ""
-            parts.append(f"<li>{escape(one.text)}{when}</li>")
-        parts += [f"<li class=against>against it: {escape(one.text)}</li>" for one in cause.evidence_against]
+        for evidence in cause.evidence_for:
+            when = f" ({clock(evidence.at)})" if evidence.at is not None else ""
+            parts.append(f"<li>{escape(evidence.text)}{when}</li>")
+        parts += [
+            f"<li class=against>against it: {escape(evidence.text)}</li>"
+            for evidence in cause.evidence_against
+        ]
         parts.append("</ul></div>")
     parts.append("<h3>Whom it hurt</h3>" + _impact(timeline, incident))
     parts.append("<h3>What servers were held to be</h3>" + _state_changes(timeline, incident))
--- a/micadeck/incidents/rule_check.py
+++ b/micadeck/incidents/rule_check.py
@@ -40,17 +40,17 @@
     undetermined: list[str] = []
     ends: dict[tuple[int, bytes], list[End]] = defaultdict(list)
     may_have_run: dict[bytes, list[tuple[int, Attempt]]] = defaultdict(list)
-    kinds = {each.name: each.repeat for start in starts for each in start.head.kinds}
+    idempotency = {kind.name: kind.repeat for start in starts for kind in start.head.kinds}
     for number, start in enumerate(starts):
         violations += _sends_after_drain(number, start)
         omitted = 0
-        for each in start.records:
-            if isinstance(each, End) and each.ident:
-                ends[(number, each.ident)].append(each)
-            elif isinstance(each, Attempt) and each.ident and each.may_have_run:
-                may_have_run[each.ident].append((number, each))
-            elif isinstance(each, Span):
-                omitted += each.omitted
+        for record in start.records:
+            if isinstance(record, End) and record.ident:
+                ends[(number, record.ident)].append(record)
+            elif isinstance(record, Attempt) and record.ident and record.may_have_run:
+                may_have_run[record.ident].append((number, record))
+            elif isinstance(record, Span):
+                omitted += record.omitted
         if start.missing:
             places = len(start.missing)
             undetermined.append(
@@ -60,16 +60,16 @@
             undetermined.append(
                 f"{start.name}: {omitted} attempts were left out while too much went wrong at once"
             )
-        if not any(getattr(each, "phase", "") == "ended" for each in start.records):
+        if not any(getattr(record, "phase", "") == "ended" for record in start.records):
             undetermined.append(f"{start.name}: its records break off; requests open then may have run")
     for (number, ident), several in ends.items():
-        several.sort(key=lambda each: each.at)
+        several.sort(key=lambda end: end.at)
         for first, second in pairwise(several):
             if second.arrived_at <= first.arrived_at and second.how != "gone" != first.how:
                 text = f"request {_printable(ident)} got two final answers: {first.how}, then {second.how}"
                 violations.append(RuleViolation(1, text, (number, first), (number, second)))
     for ident, attempts in may_have_run.items():
-        if len(attempts) > 1 and kinds.get(attempts[0][1].service_class) == "unsafe":
+        if len(attempts) > 1 and idempotency.get(attempts[0][1].service_class) == "unsafe":
             (one_at, one), (other_at, other) = attempts[0], attempts[1]
             text = (
                 f"request {_printable(ident)} of the unsafe class {one.service_class} may have run twice:"
@@ -91,20 +91,20 @@
     violations: list[RuleViolation] = []
     since: dict[str, State] = {}
     grace = start.head.grace_us
-    for each in start.records:
-        if isinstance(each, Head):
-            grace = each.grace_us
-        elif isinstance(each, State):
-            if each.state in ("draining", "gone"):
-                since.setdefault(each.server, each)
-            elif each.state == "ready":
-                since.pop(each.server, None)
-        elif isinstance(each, Span):
-            for count in each.servers:
+    for record in start.records:
+        if isinstance(record, Head):
+            grace = record.grace_us
+        elif isinstance(record, State):
+            if record.state in ("draining", "gone"):
+                since.setdefault(record.server, record)
+            elif record.state == "ready":
+                since.pop(record.server, None)
+        elif isinstance(record, Span):
+            for count in record.servers:
                 state = since.get(count.server)
                 if state is not None and count.last_sent_at > state.at + grace + _SLACK_US:
                     late = (count.last_sent_at - state.at) / 1e6
                     text = f"{start.name} sent to {count.server} {late:.3f} s after it heard of {state.state}"
-                    violations.append(RuleViolation(3, text, (number, state), (number, each)))
+                    violations.append(RuleViolation(3, text, (number, state), (number, record)))
                     del since[count.server]
     return violations
--- a/micadeck/incidents/series.py
+++ b/micadeck/incidents/series.py
@@ -69,15 +69,15 @@
 
     def between(self, since: int, until: int) -> Iterator[PlacedSpan]:
         """The spans whose middle lies in this interval."""
-        for each in self.spans:
-            if since <= (each.begin + each.end) // 2 < until:
-                yield each
+        for placed in self.spans:
+            if since <= (placed.begin + placed.end) // 2 < until:
+                yield placed
 
 
-def place_spans(starts: list[Start], clocks: Clocks, which: list[int]) -> list[PlacedSpan]:
+def place_spans(starts: list[Start], clocks: Clocks, included: list[int]) -> list[PlacedSpan]:
     """These starts' spans on the common clock, in order."""
     spans: list[PlacedSpan] = []
-    for number in which:
+    for number in included:
         for record in starts[number].records:
             if isinstance(record, Span) and record.until > record.at:
                 begin, end = clocks.to_common(number, record.at), clocks.to_common(number, record.until)
@@ -86,33 +86,33 @@
     return sorted(spans, key=lambda span: span.begin)
 
 
-def build_series(starts: list[Start], clocks: Clocks, which: list[int]) -> Series:
+def build_series(starts: list[Start], clocks: Clocks, included: list[int]) -> Series:
     """Sum the counts of these starts."""
-    spans = place_spans(starts, clocks, which)
-    begin = min((each.begin for each in spans), default=0) // BIN_US * BIN_US
-    end = max((each.end for each in spans), default=0)
+    spans = place_spans(starts, clocks, included)
+    begin = min((placed.begin for placed in spans), default=0) // BIN_US * BIN_US
+    end = max((placed.end for placed in spans), default=0)
     seconds = max((end - begin + BIN_US - 1) // BIN_US, 0)
     rows = np.zeros((7, seconds))
     reported: dict[int, set[int]] = defaultdict(set)
-    for each in spans:
+    for placed in spans:
         totals = [0] * len(rows)
-        for counts in each.span.classes:
+        for counts in placed.span.classes:
             for row, value in enumerate(
                 (counts.arrived, counts.served, counts.late, counts.refused, counts.failed)
             ):
                 totals[row] += value
-        for server in each.span.servers:
+        for server in placed.span.servers:
             totals[5] += count_attempts(server.ended)
             totals[6] += count_bad_attempts(server.ended)
-        first = (each.begin - begin) // BIN_US
-        last = min((each.end - 1 - begin) // BIN_US, seconds - 1)
+        first = (placed.begin - begin) // BIN_US
+        last = min((placed.end - 1 - begin) // BIN_US, seconds - 1)
         for second in range(first, last + 1):
-            overlap_begin = max(each.begin, begin + second * BIN_US)
-            overlap_end = min(each.end, begin + (second + 1) * BIN_US)
-            fraction = (overlap_end - overlap_begin) / (each.end - each.begin)
+            overlap_begin = max(placed.begin, begin + second * BIN_US)
+            overlap_end = min(placed.end, begin + (second + 1) * BIN_US)
+            fraction = (overlap_end - overlap_begin) / (placed.end - placed.begin)
             rows[:, second] += np.array(totals) * fraction
-            if 2 * (overlap_end - overlap_begin) >= min(BIN_US, each.end - each.begin):
-                reported[each.start].add(second)
+            if 2 * (overlap_end - overlap_begin) >= min(BIN_US, placed.end - placed.begin):
+                reported[placed.start].add(second)
     reporting, not_reporting = np.zeros(seconds), np.zeros(seconds)
     for seconds_reported in reported.values():
         for second in seconds_reported:
@@ -137,7 +137,7 @@
     """From the spans of one start; None if there are none."""
     if not spans:
         return None
-    ended_cleanly = any(isinstance(each, Phase) and each.phase == "ended" for each in start.records)
+    ended_cleanly = any(isinstance(record, Phase) and record.phase == "ended" for record in start.records)
     return RunInterval(spans[0].begin, spans[-1].end, ended_cleanly)
 
 
--- a/micadeck/incidents/timeline.py
+++ b/micadeck/incidents/timeline.py
@@ -104,22 +104,22 @@
 
 
 def _collect(
-    starts: list[Start], clocks: Clocks, which: list[int]
+    starts: list[Start], clocks: Clocks, included: list[int]
 ) -> tuple[Series, EndpointStates, dict[int, RunInterval]]:
-    series = build_series(starts, clocks, which)
+    series = build_series(starts, clocks, included)
     runs: dict[int, RunInterval] = {}
-    for number in which:
+    for number in included:
         interval = run_interval(starts[number], place_spans(starts, clocks, [number]))
         if interval is not None:
             runs[number] = interval
-    ends = {number: each.end for number, each in runs.items()}
-    return series, collect_states(starts, clocks, which, ends), runs
+    ends = {number: run.end for number, run in runs.items()}
+    return series, collect_states(starts, clocks, included, ends), runs
 
 
 def _incidents(
     starts: list[Start],
     clocks: Clocks,
-    which: list[int],
+    included: list[int],
     series: Series,
     states: EndpointStates,
     runs: dict[int, RunInterval],
@@ -138,8 +138,10 @@
         contained: bool,
     ) -> int:
         onset, end = series.at(first), series.at(last)
-        context = IncidentContext(starts, clocks, which, series, states, runs, onset, end)
-        uncertainties = [each.uncertainty for each in series.between(onset - 5 * BIN_US, end + 5 * BIN_US)]
+        context = IncidentContext(starts, clocks, included, series, states, runs, onset, end)
+        uncertainties = [
+            placed.uncertainty for placed in series.between(onset - 5 * BIN_US, end + 5 * BIN_US)
+        ]
         uncertainties.sort()
         reporting = series.reporting[first:last].sum()
         not_reporting = series.not_reporting[first:last].sum()
@@ -157,13 +159,13 @@
                 share,
                 float(series.bad[first:last].sum()),
                 find_causes(context),
-                _measure_impact(starts, clocks, which, series, onset, end),
+                _measure_impact(starts, clocks, included, series, onset, end),
                 float(not_reporting / (reporting + not_reporting)) if reporting + not_reporting else 0.0,
             )
         )
         return number
 
-    for episode, contained in _episodes(series, states, which):
+    for episode, contained in _episodes(series, states, included):
         if since is not None and series.at(episode.last) < since:
             continue
         if until is not None and series.at(episode.first) > until:
@@ -175,7 +177,7 @@
     return incidents
 
 
-def _episodes(series: Series, states: EndpointStates, which: list[int]) -> list[tuple[Episode, bool]]:
+def _episodes(series: Series, states: EndpointStates, included: list[int]) -> list[tuple[Episode, bool]]:
     """Episodes of bad requests, or only of bad attempts, which retries made up for.
 
     Attempts fail before requests do, so an incident begins with the earlier of both.
@@ -197,7 +199,7 @@
             one, contained = found[number]
             if one.first - MAX_LEAD_S <= episode.first < one.first:
                 found[number] = (replace(one, first=episode.first), contained)
-    for _, since, until in sorted(widely_ejected(states, which), key=lambda ejected: ejected[1]):
+    for _, since, until in sorted(widely_ejected(states, included), key=lambda ejected: ejected[1]):
         one = _ejection_episode(series, series.second(since), series.second(until) + 1)
         if not any(other.first <= one.last + 2 and one.first <= other.last + 2 for other, _ in found):
             found.append((one, True))
@@ -213,7 +215,7 @@
 
 
 def _measure_impact(
-    starts: list[Start], clocks: Clocks, which: list[int], series: Series, onset: int, end: int
+    starts: list[Start], clocks: Clocks, included: list[int], series: Series, onset: int, end: int
 ) -> Impact:
     impact = Impact()
     for placed in series.between(onset, end + BIN_US):
@@ -225,7 +227,7 @@
             row["failed"] += class_counts.failed
             impact.by_sidecar[placed.start] += class_counts.late + class_counts.refused + class_counts.failed
     unsafe = {kind.name for start in starts for kind in start.head.kinds if kind.repeat == "unsafe"}
-    for number in which:
+    for number in included:
         for record in starts[number].records:
             if isinstance(record, End) and record.how == "failed" and record.may_have_run:
                 moment = clocks.to_common(number, record.at)
@@ -237,15 +239,15 @@
 
 def _unknowns(archive: Archive, clocks: Clocks) -> list[str]:
     """Describe what the records don't show."""
-    unknowns = [f"{each.path.name}: {each.why}" for each in archive.files if each.found is FileStatus.FOREIGN]
-    for each in archive.files:
+    unknowns = [f"{file.path.name}: {file.why}" for file in archive.files if file.found is FileStatus.FOREIGN]
+    for file in archive.files:
         unknowns += [
-            f"{each.path.name}: offset {one.offset}: {one.reason}"
-            for one in each.damages[:MAX_LISTED_DAMAGES]
+            f"{file.path.name}: offset {damage.offset}: {damage.reason}"
+            for damage in file.damages[:MAX_LISTED_DAMAGES]
         ]
-        if len(each.damages) > MAX_LISTED_DAMAGES:
+        if len(file.damages) > MAX_LISTED_DAMAGES:
             unknowns.append(
-                f"{each.path.name}: {len(each.damages) - MAX_LISTED_DAMAGES} more places can't be read"
+                f"{file.path.name}: {len(file.damages) - MAX_LISTED_DAMAGES} more places can't be read"
             )
     unknowns += [
         f"{archive.starts[number].name} shares nothing with the others: its times are its own"
