--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -46,12 +46,15 @@
 
 
 def _is_no_request(item: pytest.Item) -> bool:
-    if not isinstance(item, pytest.Function) or item.function.__name__ not in embedding_parity.RAW:
+    if (
+        not isinstance(item, pytest.Function)
+        or item.function.__name__ not in embedding_parity.RAW_INPUT_TESTS
+    ):
         return False
     given = item.callspec.params
     raw = given["raw"]
     assert isinstance(raw, bytes)
-    return not embedding_parity.takes(str(given["way"]), raw)
+    return not embedding_parity.reaches_balancer(str(given["way"]), raw)
 
 
 @pytest.fixture(autouse=True)  # a name added to a test's fixtures at collection is not set up
--- a/tests/embedding_parity.py
+++ b/tests/embedding_parity.py
@@ -1,6 +1,6 @@
-"""The ways in which the same balancer is reached: the daemon, the library, the middleware under uvicorn.
+"""Runs the daemon's tests unchanged against the daemon, the library and the middleware under uvicorn.
 
-The daemon's own tests run unchanged against all three; `HTTP_ONLY` lists those that can't, and why.
+`HTTP_ONLY` lists the tests that only the daemon can run, and why.
 """
 
 from __future__ import annotations
@@ -24,35 +24,35 @@
 
 WAYS = ("daemon", "library", "middleware")
 SUITE = ("test_frontend", "test_program", "test_idle_connections", "test_sidecar", "test_upstream")
-# The daemon's tests that meet the list of servers run again with Consul in the roster's place, and beside it.
+# The daemon's tests that use the endpoint list also run with Consul instead of the roster, and with both.
 CONSUL_WAYS = ("daemon by consul", "daemon by both")
 WITH_CONSUL = ("test_sidecar", "test_upstream")
 ROSTER_ONLY = {
-    "test_idle_connections_are_closed_the_list_is_fetched_and_lines_are_logged": "how the roster is asked",
+    "test_idle_connections_are_closed_the_list_is_fetched_and_lines_are_logged": "requests to the roster",
 }
 
-_ROOM = "connections of clients, their number and rest: the host's server holds them"
-_BYTES = "bytes of HTTP that no parsed request can stand for: the host's server reads them"
-_TIME = "time limits of clients' connections: the host's server keeps them"
-_PROCESS = "the daemon's process: its signals, exit codes and lines"
+_CONNECTIONS = "number and idle time of client connections: the host's server owns them"
+_RAW_BYTES = "bytes that are no complete valid request: the host's server parses HTTP"
+_TIMEOUTS = "timeouts of client connections: the host's server enforces them"
+_PROCESS = "the daemon's process: its signals, exit codes and log lines"
 
 HTTP_ONLY = {
-    "test_the_connection_longest_at_rest_makes_room_for_a_new_one": _ROOM,
-    "test_requests_that_stall_half_sent_make_room_for_new_ones": _ROOM,
-    "test_letting_go_of_idle_connections_spares_one_with_a_request_unread": _ROOM,
-    "test_hundreds_that_connect_and_say_nothing_leave_room_for_those_that_ask": _ROOM,
-    "test_when_every_connection_is_owed_an_answer_a_further_one_is_closed": _ROOM,
-    "test_clients_that_ask_once_and_keep_leave_room_for_others": _ROOM,
-    "test_clients_that_reuse_keep_their_connections_beside_those_that_ask_once": _ROOM,
-    "test_a_connection_with_a_request_unread_is_not_closed_for_room": _ROOM,
-    "test_health_is_answered_here": "a path of the daemon's own; the host has its own",
-    "test_what_can_be_read_in_two_ways_is_turned_away_with_all_that_follows": _BYTES,
-    "test_what_half_sent_requests_hold_in_memory_is_bounded": _BYTES,
-    "test_what_comes_behind_an_open_request_is_left_in_the_socket": _BYTES,
-    "test_what_a_client_that_was_turned_away_sent_is_freed_at_once": _BYTES,
-    "test_any_bytes_from_clients_and_servers_leave_the_sidecar_alive": _BYTES,
-    "test_a_client_that_sends_no_whole_request_in_time_is_let_go": _TIME,
-    "test_a_connection_at_rest_is_closed_in_the_end_and_one_that_waits_is_not": _TIME,
+    "test_the_connection_longest_at_rest_makes_room_for_a_new_one": _CONNECTIONS,
+    "test_requests_that_stall_half_sent_make_room_for_new_ones": _CONNECTIONS,
+    "test_letting_go_of_idle_connections_spares_one_with_a_request_unread": _CONNECTIONS,
+    "test_hundreds_that_connect_and_say_nothing_leave_room_for_those_that_ask": _CONNECTIONS,
+    "test_when_every_connection_is_owed_an_answer_a_further_one_is_closed": _CONNECTIONS,
+    "test_clients_that_ask_once_and_keep_leave_room_for_others": _CONNECTIONS,
+    "test_clients_that_reuse_keep_their_connections_beside_those_that_ask_once": _CONNECTIONS,
+    "test_a_connection_with_a_request_unread_is_not_closed_for_room": _CONNECTIONS,
+    "test_health_is_answered_here": "a path that only the daemon serves",
+    "test_what_can_be_read_in_two_ways_is_turned_away_with_all_that_follows": _RAW_BYTES,
+    "test_what_half_sent_requests_hold_in_memory_is_bounded": _RAW_BYTES,
+    "test_what_comes_behind_an_open_request_is_left_in_the_socket": _RAW_BYTES,
+    "test_what_a_client_that_was_turned_away_sent_is_freed_at_once": _RAW_BYTES,
+    "test_any_bytes_from_clients_and_servers_leave_the_sidecar_alive": _RAW_BYTES,
+    "test_a_client_that_sends_no_whole_request_in_time_is_let_go": _TIMEOUTS,
+    "test_a_connection_at_rest_is_closed_in_the_end_and_one_that_waits_is_not": _TIMEOUTS,
     "test_a_bad_configuration_is_one_line_that_names_the_key": _PROCESS,
     "test_sigterm_answers_what_was_taken_and_what_still_comes_then_exits_0": _PROCESS,
     "test_sigterm_with_a_silent_server_still_answers_in_time": _PROCESS,
@@ -61,35 +61,35 @@
     "test_a_second_process_takes_over_and_no_request_is_lost": _PROCESS,
     "test_either_process_may_be_killed_while_both_run_and_the_other_serves_on": _PROCESS,
 }
-# Tests whose `raw` is sometimes no HTTP request at all: those of them stay with the daemon.
-RAW = ("test_bad_input_gets_400_and_reaches_no_server",)
+# Tests whose parameter `raw` is in some cases not an HTTP request: only the daemon runs those cases.
+RAW_INPUT_TESTS = ("test_bad_input_gets_400_and_reaches_no_server",)
 
 
-def parsed(raw: bytes) -> list[Request]:
-    """The requests in these bytes; none if they are not HTTP."""
+def parse_requests(raw: bytes) -> list[Request]:
+    """Return the requests; none if they are not HTTP."""
     reader = RequestReader(max_body=1 << 26)
     reader.feed(raw)
     return [] if reader.error_status is not None else list(reader.requests)
 
 
-def takes(way: str, raw: bytes) -> bool:
-    """Whether these bytes come to the balancer at all, reached in this way."""
+def reaches_balancer(way: str, raw: bytes) -> bool:
+    """Whether the balancer gets these bytes as requests."""
     if way == "daemon":
         return True
-    requests = parsed(raw)
+    requests = parse_requests(raw)
     if way == "library":
         return bool(requests)
-    # The host's server takes HTTP/1.0 and absolute targets itself, and the middleware leaves to the
-    # application what names none of its headers.
-    if b" HTTP/1.1" not in raw or any(not each.target.startswith(b"/") for each in requests):
+    # The host's server handles HTTP/1.0 and absolute targets itself, and the middleware passes requests
+    # without any of its headers to the application.
+    if b" HTTP/1.1" not in raw or any(not request.target.startswith(b"/") for request in requests):
         return False
-    return any(name.startswith(b"request-") for each in requests for name, _ in each.headers)
+    return any(name.startswith(b"request-") for request in requests for name, _ in request.headers)
 
 
 class Way(Protocol):
     """A started balancer, and how its clients reach it."""
 
-    sidecar: Any  # open_requests, close(); the daemon's has more
+    sidecar: Any  # open_requests and close(); more for the daemon
 
     async def client(self) -> Any: ...
 
@@ -118,7 +118,7 @@
 
 
 class _NoConnections:
-    """What the daemon has of its clients' connections; here to set their number does nothing."""
+    """Stands for the daemon's client connections; setting their maximum has no effect."""
 
     max_connections = 0
 
@@ -127,8 +127,8 @@
     connections = _NoConnections()
 
 
-class _Facade:
-    """What tests ask of a sidecar, asked of a library's balancer."""
+class _SidecarFacade:
+    """A library's balancer with the interface of a sidecar."""
 
     def __init__(self, balancer: Micadeck) -> None:
         self._balancer = balancer
@@ -144,44 +144,46 @@
 
 class _NoWriter:
     async def drain(self) -> None:
-        """All is handed over already."""
+        """Return: nothing is buffered."""
 
 
 class LibraryClient:
-    """Words requests as a client of the daemon does, and hands them to the library one after the other."""
+    """Parses requests as sent to the daemon and passes them to the library one at a time."""
 
     def __init__(self, balancer: Micadeck) -> None:
         self._balancer = balancer
         self._requests: asyncio.Queue[Request] = asyncio.Queue()
         self._answers: asyncio.Queue[Answer] = asyncio.Queue()
-        self._work = asyncio.get_running_loop().create_task(self._hand_over())
+        self._worker = asyncio.get_running_loop().create_task(self._exchange_requests())
         self.writer = _NoWriter()
 
     def send(self, raw: bytes) -> None:
-        requests = parsed(raw)
+        requests = parse_requests(raw)
         assert requests, f"no HTTP request: {raw!r:.200}"
-        for each in requests:
-            self._requests.put_nowait(each)
+        for request in requests:
+            self._requests.put_nowait(request)
 
-    async def _hand_over(self) -> None:
+    async def _exchange_requests(self) -> None:
         while True:
             request = await self._requests.get()
-            got = await self._balancer.exchange(request.method, request.target, request.headers, request.body)
-            headers = {name.decode(): value.decode("latin-1") for name, value in got.headers}
-            self._answers.put_nowait(Answer(got.status, headers, got.body))
+            answer = await self._balancer.exchange(
+                request.method, request.target, request.headers, request.body
+            )
+            headers = {name.decode(): value.decode("latin-1") for name, value in answer.headers}
+            self._answers.put_nowait(Answer(answer.status, headers, answer.body))
 
     async def answer(self) -> Answer:
-        waiting = asyncio.ensure_future(self._answers.get())
-        await soon(asyncio.wait((waiting, self._work), return_when=asyncio.FIRST_COMPLETED))
-        if not waiting.done():
-            waiting.cancel()
-            self._work.result()  # raises what went wrong
-        return waiting.result()
+        next_answer = asyncio.ensure_future(self._answers.get())
+        await soon(asyncio.wait((next_answer, self._worker), return_when=asyncio.FIRST_COMPLETED))
+        if not next_answer.done():
+            next_answer.cancel()
+            self._worker.result()  # raises the error that ended it
+        return next_answer.result()
 
     ask = Client.ask
 
     def close(self) -> None:
-        self._work.cancel()
+        self._worker.cancel()
 
 
 class LibraryWay:
@@ -194,11 +196,11 @@
         way = LibraryWay()
         way.balancer = Micadeck(config, log=log)
         way.balancer.start()
-        way.sidecar = _Facade(way.balancer)
+        way.sidecar = _SidecarFacade(way.balancer)
         return way
 
     balancer: Micadeck
-    sidecar: _Facade
+    sidecar: _SidecarFacade
 
     async def client(self) -> LibraryClient:
         return LibraryClient(self.balancer)
@@ -213,18 +215,20 @@
 class _Uvicorn(uvicorn.Server):
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        yield  # the test's process keeps its own
+        yield  # leaves the test process's signal handlers in place
 
 
-async def no_such_page(scope: Any, receive: Callable[[], Awaitable[Any]], send: Callable[[Any], Any]) -> None:
-    """An application that knows nothing; whatever is not balanced ends here."""
+async def not_found_app(
+    scope: Any, receive: Callable[[], Awaitable[Any]], send: Callable[[Any], Any]
+) -> None:
+    """An application that answers 404 to all that is not balanced."""
     assert scope["type"] == "http"
     await send({"type": "http.response.start", "status": 404, "headers": [(b"content-length", b"0")]})
     await send({"type": "http.response.body", "body": b""})
 
 
 class Host:
-    """An ASGI application under uvicorn, on a port of its own."""
+    """An ASGI application under uvicorn, on a free port."""
 
     def __init__(self, app: Any) -> None:
         self._socket = socket.socket()
@@ -232,23 +236,23 @@
         self.port = self._socket.getsockname()[1]
         config = uvicorn.Config(app, http="httptools", ws="none", log_config=None, lifespan="on")
         self.server = _Uvicorn(config)
-        self._serving = asyncio.get_running_loop().create_task(self.server.serve(sockets=[self._socket]))
+        self._server_task = asyncio.get_running_loop().create_task(self.server.serve(sockets=[self._socket]))
 
     async def started(self) -> Host:
-        while not self.server.started and not self._serving.done():
+        while not self.server.started and not self._server_task.done():
             await asyncio.sleep(0.001)
         return self
 
     async def stop(self) -> None:
         self.server.should_exit = True
-        await self._serving
+        await self._server_task
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection(HOST, self.port))
 
 
 class MiddlewareWay:
-    """The middleware before an application that knows nothing, under uvicorn in this process."""
+    """The middleware before `not_found_app`, under uvicorn in this process."""
 
     @staticmethod
     async def start(
@@ -256,12 +260,12 @@
     ) -> MiddlewareWay:
         way = MiddlewareWay()
         balancer = Micadeck(config, log=log)
-        way.sidecar = _Facade(balancer)
-        way.host = await Host(MicadeckMiddleware(no_such_page, balancer, prefix="/")).started()
+        way.sidecar = _SidecarFacade(balancer)
+        way.host = await Host(MicadeckMiddleware(not_found_app, balancer, prefix="/")).started()
         return way
 
     host: Host
-    sidecar: _Facade
+    sidecar: _SidecarFacade
 
     async def client(self) -> Client:
         return await self.host.client()
@@ -272,7 +276,7 @@
         await self.host.stop()
 
 
-STARTED: dict[str, Callable[..., Awaitable[Way]]] = {
+STARTERS: dict[str, Callable[..., Awaitable[Way]]] = {
     "daemon": DaemonWay.start,
     "library": LibraryWay.start,
     "middleware": MiddlewareWay.start,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -431,7 +431,7 @@
         if members == "consul":
             del config["discovery"]
     log: list[str] = []
-    from embedding_parity import STARTED  # it is made of what stands here
+    from embedding_parity import STARTERS  # it is made of what stands here
 
     made = parse(config)
     if "consul" in config:
@@ -441,7 +441,7 @@
         if not text.startswith("consul: agent "):  # of the daemon's start, not of what is tested
             log.append(text)
 
-    started = await STARTED[way](made, noted, client_limits)
+    started = await STARTERS[way](made, noted, client_limits)
     scene = Stage(started, discovery, servers, log)
     try:
         yield scene
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -1,4 +1,4 @@
-"""The middleware's own part: what it balances, what it passes on, and the host's lifespan."""
+"""The ASGI middleware: what it balances, what it passes on, and lifespan."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from micadeck import Kind, Micadeck
 from micadeck.asgi import MicadeckMiddleware
 
-Play = Callable[[Host, ScriptedServer], Awaitable[None]]
+Scenario = Callable[[Host, ScriptedServer], Awaitable[None]]
 
 
 async def _page(request: Request) -> PlainTextResponse:
@@ -27,7 +27,7 @@
 
 
 async def _quote(request: Request) -> PlainTextResponse:
-    """A handler of the application that sends a request by itself."""
+    """A handler that sends a request itself."""
     answer = await request.state.micadeck.request("check", "/api/from-a-handler")
     assert isinstance(answer.body, bytes)
     return PlainTextResponse(answer.body)
@@ -42,25 +42,25 @@
     )
 
 
-async def _hosted(make: Callable[[Micadeck], Any], play_it: Play, script: Any) -> None:
+async def _run_hosted(make_app: Callable[[Micadeck], Any], scenario: Scenario, script: Any) -> None:
     server, discovery = await ScriptedServer(script).start(), ScriptedDiscovery()
     discovery.servers = [line("s-0", server.address)]
     await discovery.start()
     known = {"version": 1, "full": True, "servers": discovery.servers}
     balancer = Micadeck({**GOOD, "discovery": discovery.address, "known": known}, log=print)
-    host = await Host(make(balancer)).started()
+    host = await Host(make_app(balancer)).started()
     try:
-        await play_it(host, server)
+        await scenario(host, server)
     finally:
         await host.stop()
         server.stop()
         discovery.stop()
-    assert "micadeck-engine" not in {each.name for each in threading.enumerate()}
+    assert "micadeck-engine" not in {thread.name for thread in threading.enumerate()}
 
 
-def hosted(make: Callable[[Micadeck], Any], play_it: Play, script: Any = OK) -> None:
-    """Play against an application under uvicorn, with one server behind its balancer."""
-    play(lambda: _hosted(make, play_it, script))
+def run_hosted(make_app: Callable[[Micadeck], Any], scenario: Scenario, script: Any = OK) -> None:
+    """Run a scenario against an application under uvicorn, with one server."""
+    play(lambda: _run_hosted(make_app, scenario, script))
 
 
 async def _send(host: Host, raw: bytes) -> Answer:
@@ -72,49 +72,49 @@
         client.close()
 
 
-def test_what_carries_the_headers_under_the_prefix_is_balanced_and_all_else_is_the_applications() -> None:
-    async def play_it(host: Host, server: ScriptedServer) -> None:
+def test_requests_with_the_headers_under_the_prefix_are_balanced_and_others_passed_on() -> None:
+    async def scenario(host: Host, server: ScriptedServer) -> None:
         assert (await _send(host, request(target="/api/1"))).body == b"served"
         assert (await _send(host, request("lodge", target="/api/2", body=b"x"))).body == b"served"
-        plain = b"GET /api/3 HTTP/1.1\r\nHost: x\r\n\r\n"
-        assert (await _send(host, plain)).body == b"page /api/3"
+        without_headers = b"GET /api/3 HTTP/1.1\r\nHost: x\r\n\r\n"
+        assert (await _send(host, without_headers)).body == b"page /api/3"
         assert (await _send(host, request(target="/elsewhere"))).body == b"page /elsewhere"
-        # One that is meant for the servers but lacks a header is not passed to the application.
+        # A request of the protocol that lacks a header is rejected, not passed to the application.
         assert (await _send(host, request(target="/api/4", Request_Class=""))).status == 400
-        assert [each.target for each in server.heard] == ["/api/1", "/api/2"]
+        assert [received.target for received in server.heard] == ["/api/1", "/api/2"]
 
-    hosted(lambda balancer: MicadeckMiddleware(application(), balancer), play_it)
+    run_hosted(lambda balancer: MicadeckMiddleware(application(), balancer), scenario)
 
 
 def test_handlers_reach_the_balancer_from_the_requests_state() -> None:
-    async def play_it(host: Host, server: ScriptedServer) -> None:
+    async def scenario(host: Host, server: ScriptedServer) -> None:
         assert (await _send(host, b"GET /quote HTTP/1.1\r\nHost: x\r\n\r\n")).body == b"served"
-        assert [each.target for each in server.heard] == ["/api/from-a-handler"]
+        assert [received.target for received in server.heard] == ["/api/from-a-handler"]
 
-    def made(balancer: Micadeck) -> Starlette:
+    def make_app(balancer: Micadeck) -> Starlette:
         app = application()
         app.add_middleware(MicadeckMiddleware, balancer=balancer)
         return app
 
-    hosted(made, play_it)
+    run_hosted(make_app, scenario)
 
 
-async def _knows_no_lifespan(scope: Any, receive: Any, send: Any) -> None:
+async def _app_without_lifespan(scope: Any, receive: Any, send: Any) -> None:
     if scope["type"] != "http":
-        raise RuntimeError("what is a lifespan?")
+        raise RuntimeError("unsupported scope type")
     await send({"type": "http.response.start", "status": 204, "headers": []})
     await send({"type": "http.response.body"})
 
 
-def test_an_application_without_lifespan_gets_a_balancer_all_the_same() -> None:
-    async def play_it(host: Host, server: ScriptedServer) -> None:
+def test_the_balancer_starts_for_an_application_without_lifespan() -> None:
+    async def scenario(host: Host, server: ScriptedServer) -> None:
         assert (await _send(host, request(target="/api/1"))).body == b"served"
 
-    hosted(lambda balancer: MicadeckMiddleware(_knows_no_lifespan, balancer), play_it)
+    run_hosted(lambda balancer: MicadeckMiddleware(_app_without_lifespan, balancer), scenario)
 
 
-def test_an_application_that_fails_to_start_leaves_no_engine_behind() -> None:
-    async def failing(scope: Any, receive: Any, send: Any) -> None:
+def test_the_engine_ends_if_the_application_fails_to_start() -> None:
+    async def fails_to_start(scope: Any, receive: Any, send: Any) -> None:
         await receive()
         await send({"type": "lifespan.startup.failed", "message": "no"})
 
@@ -127,10 +127,10 @@
         async def send(message: Any) -> None:
             sent.append(message["type"])
 
-        middleware = MicadeckMiddleware(failing, Micadeck(GOOD, log=print))
+        middleware = MicadeckMiddleware(fails_to_start, Micadeck(GOOD, log=print))
         await middleware({"type": "lifespan"}, receive, send)
         assert sent == ["lifespan.startup.failed"]
-        assert "micadeck-engine" not in {each.name for each in threading.enumerate()}
+        assert "micadeck-engine" not in {thread.name for thread in threading.enumerate()}
 
     play(work)
 
@@ -141,38 +141,38 @@
             host = await Host(MicadeckMiddleware(application(), balancer)).started()
             await host.stop()
             assert (await balancer.request("check", "/api/1")).kind is Kind.REFUSED  # no server is listed
-            assert "micadeck-engine" in {each.name for each in threading.enumerate()}
+            assert "micadeck-engine" in {thread.name for thread in threading.enumerate()}
 
     play(work)
 
 
-def test_shutdown_mid_request_answers_what_was_taken() -> None:
+def test_shutdown_answers_accepted_requests() -> None:
     async def slow(_request: Heard) -> bytes:
         await asyncio.sleep(0.4)
         return OK
 
-    async def play_it(host: Host, server: ScriptedServer) -> None:
+    async def scenario(host: Host, server: ScriptedServer) -> None:
         client = await host.client()
         client.send(request("lodge", target="/api/1"))
         await until(lambda: len(server.heard) == 1)
         host.server.should_exit = True
         assert (await client.answer()).status == 200
 
-    hosted(lambda balancer: MicadeckMiddleware(application(), balancer), play_it, slow)
+    run_hosted(lambda balancer: MicadeckMiddleware(application(), balancer), scenario, slow)
 
 
 def test_a_client_that_disconnects_before_its_body_is_complete_sends_no_request() -> None:
-    async def play_it(host: Host, server: ScriptedServer) -> None:
+    async def scenario(host: Host, server: ScriptedServer) -> None:
         client: Client = await host.client()
         client.send(request("lodge", target="/api/1", body=b"x" * 10)[:-1])
         await asyncio.sleep(0.05)
         client.close()
         assert (await _send(host, request(target="/api/2"))).status == 200
-        assert [each.target for each in server.heard] == ["/api/2"]
+        assert [received.target for received in server.heard] == ["/api/2"]
 
-    hosted(lambda balancer: MicadeckMiddleware(application(), balancer), play_it)
+    run_hosted(lambda balancer: MicadeckMiddleware(application(), balancer), scenario)
 
 
-def test_a_prefix_that_is_no_path_is_refused() -> None:
+def test_a_prefix_that_is_not_a_path_is_rejected() -> None:
     with pytest.raises(ValueError, match="prefix"):
         MicadeckMiddleware(application(), GOOD, prefix="api")
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -1,4 +1,4 @@
-"""Which form of the decisions is loaded: the compiled one of exactly these sources, or the sources."""
+"""Which policy modules are loaded: those compiled from exactly these sources, or the sources."""
 
 from __future__ import annotations
 
@@ -24,56 +24,56 @@
     return tmp_path
 
 
-def told(tree: Path, probe: str, **environ: str) -> str:
-    """What a new process prints that has the tree's package."""
-    given = {key: value for key, value in os.environ.items() if key not in VARIABLES}
+def run_probe(tree: Path, probe: str, **environ: str) -> str:
+    """Return what the probe prints in a new process."""
+    inherited = {key: value for key, value in os.environ.items() if key not in VARIABLES}
     return subprocess.run(
         [sys.executable, "-c", probe],
         cwd=tree,
-        env={**given, **environ},
+        env={**inherited, **environ},
         capture_output=True,
         text=True,
         check=True,
     ).stdout.strip()
 
 
-def put(tree: Path) -> Path:
-    """Something in place of a compiled form, where that of these sources belongs."""
-    folder = Path(told(tree, "from micadeck.policy import compiled; print(compiled.folder())"))
+def put_stand_in(tree: Path) -> Path:
+    """Put stand-ins where the modules compiled from these sources belong."""
+    folder = Path(run_probe(tree, "from micadeck.policy import compiled; print(compiled.folder())"))
     (folder / "micadeck" / "policy").mkdir(parents=True)
     for name in ("balancer", "settings"):
         (folder / "micadeck" / "policy" / f"{name}.py").write_text(STAND_IN)
     return folder
 
 
-WHICH = "import micadeck.policy; print(micadeck.policy.IS_COMPILED, micadeck.policy.Balancer == 'compiled')"
+PROBE = "import micadeck.policy; print(micadeck.policy.IS_COMPILED, micadeck.policy.Balancer == 'compiled')"
 
 
-def test_without_a_compiled_form_the_sources_run(tree: Path) -> None:
-    assert told(tree, WHICH) == "False False"
+def test_without_compiled_modules_the_sources_are_loaded(tree: Path) -> None:
+    assert run_probe(tree, PROBE) == "False False"
 
 
 @pytest.mark.parametrize("variable", VARIABLES)
-def test_the_compiled_form_of_these_sources_is_taken_up(tree: Path, variable: str) -> None:
-    put(tree)
-    assert told(tree, WHICH) == "True True"
-    assert told(tree, WHICH, **{variable: "1"}) == "False False"
+def test_modules_compiled_from_these_sources_are_loaded(tree: Path, variable: str) -> None:
+    put_stand_in(tree)
+    assert run_probe(tree, PROBE) == "True True"
+    assert run_probe(tree, PROBE, **{variable: "1"}) == "False False"
 
 
 @pytest.mark.parametrize("name", ["balancer", "settings", "decaying_rate"])
-def test_what_was_compiled_of_other_sources_is_left(tree: Path, name: str) -> None:
-    put(tree)
+def test_modules_compiled_from_other_sources_are_not_loaded(tree: Path, name: str) -> None:
+    put_stand_in(tree)
     with (tree / "micadeck" / "policy" / f"{name}.py").open("a") as file:
         file.write("\n# changed\n")
-    assert told(tree, WHICH) == "False False"
+    assert run_probe(tree, PROBE) == "False False"
 
 
-def test_a_build_without_a_compiler_says_so_and_goes_on(tree: Path) -> None:
+def test_a_build_without_a_compiler_reports_it_and_succeeds(tree: Path) -> None:
     (tree / "deploy" / "compile-requirements.txt").write_text("")
     environ = {**os.environ, "CC": "/nowhere/cc", "PATH": "/nowhere"}
-    ended = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "deploy/compile.py"], cwd=tree, env=environ, capture_output=True, text=True
     )
-    assert ended.returncode == 0 and "the decisions run interpreted: " in ended.stderr
-    assert told(tree, WHICH) == "False False"
+    assert process.returncode == 0 and "the decisions run interpreted: " in process.stderr
+    assert run_probe(tree, PROBE) == "False False"
     assert not any((tree / ".compiled").iterdir())
--- a/tests/test_embedding_parity.py
+++ b/tests/test_embedding_parity.py
@@ -1,4 +1,4 @@
-"""The list of tests that the three ways do not share is true, short, and no longer than it says."""
+"""The list of tests that only the daemon runs names existing tests and stays short."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 import embedding_parity
 
 
-def test_every_name_on_the_list_is_a_test_of_the_suite() -> None:
-    there = {name for module in embedding_parity.SUITE for name in vars(importlib.import_module(module))}
-    assert set(embedding_parity.HTTP_ONLY) | set(embedding_parity.RAW) <= there
+def test_every_listed_name_is_a_test_of_the_suite() -> None:
+    known_names = {
+        name for module in embedding_parity.SUITE for name in vars(importlib.import_module(module))
+    }
+    assert set(embedding_parity.HTTP_ONLY) | set(embedding_parity.RAW_INPUT_TESTS) <= known_names
 
 
 def test_most_of_the_suite_is_shared() -> None:
--- a/tests/test_httpx.py
+++ b/tests/test_httpx.py
@@ -1,4 +1,4 @@
-"""The httpx transports: a client's requests reach a server as through the daemon."""
+"""The httpx transports: requests reach the servers as through the daemon."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from micadeck.httpx import AsyncMicadeckTransport, MicadeckTransport
 
 
-def _given(server: ScriptedServer, **settings: Any) -> dict[str, Any]:
+def _config(server: ScriptedServer, **settings: Any) -> dict[str, Any]:
     known = {"version": 1, "full": True, "servers": [line("s-0", server.address)]}
     return {**GOOD, "known": known, "settings": {**GOOD["settings"], **settings}}
 
@@ -28,94 +28,95 @@
     return answer
 
 
-def test_an_async_client_is_balanced_with_no_other_change() -> None:
+def test_an_async_client_is_balanced_by_its_transport_alone() -> None:
     async def work() -> None:
         server = await ScriptedServer(OK).start()
-        async with Micadeck(_given(server), log=print) as balancer:
+        async with Micadeck(_config(server), log=print) as balancer:
             transport = AsyncMicadeckTransport(balancer)
             async with httpx.AsyncClient(transport=transport, base_url="http://origin.svc") as client:
-                got = await client.get("/api/7", params={"x": "1 2"}, headers={"Tenant": "acme"})
-                assert (got.status_code, got.text) == (200, "served")
+                checked = await client.get("/api/7", params={"x": "1 2"}, headers={"Tenant": "acme"})
+                assert (checked.status_code, checked.text) == (200, "served")
                 amended = await client.post("/api/8", json={"a": 1}, headers={"Idempotency-Key": "5c0f"})
                 lodged = await client.post("/api/9", content=b"{}")
-                assert [_answer(each).kind for each in (got, amended, lodged)] == [Kind.SERVED] * 3
+                responses = (checked, amended, lodged)
+                assert [_answer(response).kind for response in responses] == [Kind.SERVED] * 3
         first, second, third = server.heard
         assert first.target == "/api/7?x=1+2" and first.headers["host"] == "origin.svc"
-        classes = [each.headers["request-class"] for each in (first, second, third)]
+        classes = [received.headers["request-class"] for received in (first, second, third)]
         assert classes == ["check", "amend", "lodge"]
         assert second.headers["content-type"] == "application/json"
         assert second.headers["idempotency-key"] == "5c0f"
-        assert len({each.headers["request-id"] for each in server.heard}) == 3
+        assert len({received.headers["request-id"] for received in server.heard}) == 3
         server.stop()
 
     play(work)
 
 
-def test_a_plain_client_on_a_thread_is_balanced_too() -> None:
-    with world(1) as there, Micadeck(there.config(), log=print) as balancer:
+def test_a_synchronous_client_is_balanced() -> None:
+    with world(1) as stand_ins, Micadeck(stand_ins.config(), log=print) as balancer:
         with httpx.Client(transport=MicadeckTransport(balancer), base_url="http://x") as client:
             assert client.get("/api/1").text == "served"
-            there.do("mode", "s-0", mode="turns away")
+            stand_ins.do("mode", "s-0", mode="turns away")
             refused = client.post("/api/2", content=b"x")
             assert refused.status_code == 503 and _answer(refused).kind is Kind.REFUSED
-            there.do("mode", "s-0", mode="hangs")
+            stand_ins.do("mode", "s-0", mode="hangs")
             late = client.post("/api/3", content=b"x", timeout=0.3)
             assert late.status_code == 504 and _answer(late).may_have_run
-        assert [each["target"] for each in there.heard()] == ["/api/1", "/api/2", "/api/3"]
+        assert [received["target"] for received in stand_ins.heard()] == ["/api/1", "/api/2", "/api/3"]
 
 
-def test_bodies_that_come_in_pieces_are_joined_and_those_over_the_bound_reach_no_server() -> None:
+def test_streamed_bodies_are_joined_and_those_over_the_limit_reach_no_server() -> None:
     async def work() -> None:
         server = await ScriptedServer(OK).start()
         sent = 0
 
-        async def pieces(count: int) -> AsyncIterator[bytes]:
+        async def chunks(count: int) -> AsyncIterator[bytes]:
             nonlocal sent
             for _ in range(count):
                 sent += 1
                 yield b"x" * 100_000
 
-        async with Micadeck(_given(server), log=print) as balancer:
+        async with Micadeck(_config(server), log=print) as balancer:
             async with httpx.AsyncClient(transport=AsyncMicadeckTransport(balancer)) as client:
-                assert (await client.post("http://x/api/1", content=pieces(7))).status_code == 200
-                assert (await client.post("http://x/api/2", content=pieces(500))).status_code == 413
-                assert sent < 400  # it is not read to its end
+                assert (await client.post("http://x/api/1", content=chunks(7))).status_code == 200
+                assert (await client.post("http://x/api/2", content=chunks(500))).status_code == 413
+                assert sent < 400  # the rest of the body is not read
                 large = await client.post("http://x/api/3", content=b"x" * (MAX_BODY_BYTES + 1))
                 assert large.status_code == 413
-        (heard,) = server.heard
-        assert heard.body == b"x" * 700_000 and heard.headers["content-length"] == "700000"
-        assert "transfer-encoding" not in heard.headers
+        (received,) = server.heard
+        assert received.body == b"x" * 700_000 and received.headers["content-length"] == "700000"
+        assert "transfer-encoding" not in received.headers
         server.stop()
 
     play(work)
 
 
-def test_a_plain_clients_iterator_is_joined_too() -> None:
-    def pieces() -> Iterator[bytes]:
+def test_a_synchronous_streamed_body_over_the_limit_is_rejected() -> None:
+    def chunks() -> Iterator[bytes]:
         yield from (b"x" * 1_000_000 for _ in range(40))
 
-    with world(1) as there, Micadeck(there.config(), log=print) as balancer:
+    with world(1) as stand_ins, Micadeck(stand_ins.config(), log=print) as balancer:
         with httpx.Client(transport=MicadeckTransport(balancer)) as client:
-            assert client.post("http://x/api/1", content=pieces()).status_code == 413
-        assert there.heard() == []
+            assert client.post("http://x/api/1", content=chunks()).status_code == 413
+        assert stand_ins.heard() == []
 
 
 @pytest.mark.parametrize("method", ["HEAD", "PUT", "DELETE", "OPTIONS"])
-def test_methods_that_no_class_has_are_answered_as_the_daemon_does(method: str) -> None:
-    with world(1) as there, Micadeck(there.config(), log=print) as balancer:
+def test_methods_of_no_class_are_rejected_as_by_the_daemon(method: str) -> None:
+    with world(1) as stand_ins, Micadeck(stand_ins.config(), log=print) as balancer:
         with httpx.Client(transport=MicadeckTransport(balancer)) as client:
             response = client.request(method, "http://x/api/1", headers={"Request-Class": "check"})
             assert response.status_code == 400
             assert client.request(method, "http://x/api/1").status_code == 400
-        assert there.heard() == []
+        assert stand_ins.heard() == []
 
 
-def test_a_class_that_nobody_can_guess_must_be_named() -> None:
-    two = [*CLASSES, {**CLASSES[0], "name": "list"}]
+def test_the_class_must_be_named_if_several_match() -> None:
+    ambiguous = [*CLASSES, {**CLASSES[0], "name": "list"}]
 
     async def work() -> None:
         server = await ScriptedServer(OK).start()
-        async with Micadeck(_given(server, lanes=two), log=print) as balancer:
+        async with Micadeck(_config(server, lanes=ambiguous), log=print) as balancer:
             async with httpx.AsyncClient(transport=AsyncMicadeckTransport(balancer)) as client:
                 assert (await client.get("http://x/api/1")).status_code == 400
                 named = await client.get("http://x/api/2", headers={"Request-Class": "list"})
@@ -125,20 +126,20 @@
                 assert (await client.get("http://x/api/3")).status_code == 200
             with pytest.raises(ValueError, match="service_class"):
                 AsyncMicadeckTransport(balancer, service_class="unheard-of")
-        assert [each.headers["request-class"] for each in server.heard] == ["list", "check"]
+        assert [received.headers["request-class"] for received in server.heard] == ["list", "check"]
         server.stop()
 
     play(work)
 
 
-def test_a_clients_read_timeout_is_the_requests_time() -> None:
+def test_the_clients_read_timeout_is_the_requests_timeout() -> None:
     async def work() -> None:
         server = await ScriptedServer(OK).start()
-        async with Micadeck(_given(server), log=print) as balancer:
+        async with Micadeck(_config(server), log=print) as balancer:
             async with httpx.AsyncClient(transport=AsyncMicadeckTransport(balancer)) as client:
                 await client.get("http://x/api/1", timeout=0.75)
                 await client.get("http://x/api/2", timeout=None)
-        first, second = (float(each.headers["request-timeout"]) for each in server.heard)
+        first, second = (float(received.headers["request-timeout"]) for received in server.heard)
         assert 0.4 < first <= 0.75 and 2.0 < second <= 3.0
         server.stop()
 
@@ -148,7 +149,7 @@
 def test_a_cancelled_call_withdraws_its_request() -> None:
     async def work() -> None:
         server = await ScriptedServer(None).start()
-        async with Micadeck(_given(server), log=print) as balancer:
+        async with Micadeck(_config(server), log=print) as balancer:
             async with httpx.AsyncClient(transport=AsyncMicadeckTransport(balancer)) as client:
                 with pytest.raises(TimeoutError):
                     async with asyncio.timeout(0.2):
@@ -161,12 +162,12 @@
     play(work)
 
 
-def test_answers_keep_what_describes_their_body() -> None:
-    packed = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Own: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
+def test_responses_keep_the_headers_that_describe_their_body() -> None:
+    chunked = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Own: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 
     async def work() -> None:
-        server = await ScriptedServer(packed + b"3\r\nser\r\n3\r\nved\r\n0\r\n\r\n").start()
-        async with Micadeck(_given(server), log=print) as balancer:
+        server = await ScriptedServer(chunked + b"3\r\nser\r\n3\r\nved\r\n0\r\n\r\n").start()
+        async with Micadeck(_config(server), log=print) as balancer:
             async with httpx.AsyncClient(transport=AsyncMicadeckTransport(balancer)) as client:
                 response = await client.get(f"http://{HOST}/api/1")
                 assert (response.text, response.headers["content-type"]) == ("served", "text/plain")
--- a/tests/test_library_request_validation.py
+++ b/tests/test_library_request_validation.py
@@ -1,4 +1,4 @@
-"""The library's fast path to a validated request gives what the full validation gives, if it applies."""
+"""Where it applies, the library's fast path gives the same request as the full validation."""
 
 from __future__ import annotations
 
@@ -38,29 +38,29 @@
 
 
 @given(options, st.sampled_from(SETTINGS.classes))
-def test_the_fast_path_gives_what_the_full_validation_gives(
-    request: RequestOptions, kind: ServiceClass
+def test_the_fast_path_equals_the_full_validation(
+    request: RequestOptions, service_class: ServiceClass
 ) -> None:
-    method, target, headers = to_http(kind, request)
-    if not _is_on_fast_path(kind, request):
+    method, target, headers = to_http(service_class, request)
+    if not _is_on_fast_path(service_class, request):
         return
-    fast = _build_directly(kind, request, VALIDATOR.tenants)
+    fast = _build_directly(service_class, request, VALIDATOR.tenants)
     assert fast == VALIDATOR.validate(method, target, headers, request.body)
 
 
-@pytest.mark.parametrize("kind", SETTINGS.classes, ids=lambda kind: str(kind.name))
-def test_an_ordinary_request_is_on_the_fast_path(kind: ServiceClass) -> None:
-    key = "5c0f" if kind.name == "amend" else None
+@pytest.mark.parametrize("service_class", SETTINGS.classes, ids=lambda service_class: str(service_class.name))
+def test_an_ordinary_request_is_on_the_fast_path(service_class: ServiceClass) -> None:
+    key = "5c0f" if service_class.name == "amend" else None
     request = RequestOptions("/api/7", b"", 1.5, "acme", key)
-    assert _is_on_fast_path(kind, request)
+    assert _is_on_fast_path(service_class, request)
 
 
 @given(options, st.sampled_from(SETTINGS.classes))
 def test_any_request_is_validated_or_rejected_with_a_status(
-    request: RequestOptions, kind: ServiceClass
+    request: RequestOptions, service_class: ServiceClass
 ) -> None:
     try:
-        validated = VALIDATOR.validate_options(kind, request)
+        validated = VALIDATOR.validate_options(service_class, request)
     except BadRequestError as error:
         assert 400 <= error.status < 500
     else:
