--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -348,7 +348,7 @@
         is_answered.set()
 
     pending = background.create_request(request, deliver)
-    overdue_s = request.remaining_us / 1e6 + _ENGINE_OVERDUE_S  # before the engine reduces it
+    overdue_s = request.remaining_us / 1e6 + _ENGINE_OVERDUE_S  # read before the engine reduces `remaining_us`
     background.submit(pending)
     try:
         if not is_answered.wait(overdue_s):
@@ -357,6 +357,6 @@
                 return answer
         is_answered.wait()  # the claimant delivers the answer at once
     except BaseException:
-        background.withdraw(pending)  # raised by a signal handler, such as KeyboardInterrupt
+        background.withdraw(pending)  # a signal handler raised, such as KeyboardInterrupt
         raise
     return answers.on_delivery(received[0], is_late=background.now() > pending.deadline)
