--- a/micadeck/library/balancer.py
+++ b/micadeck/library/balancer.py
@@ -348,7 +348,7 @@
         is_answered.set()
 
     pending = background.create_request(request, deliver)
-    overdue_s = request.remaining_us / 1e6 + _ENGINE_OVERDUE_S  # read before the engine reduces `remaining_us`
+    overdue_s = request.remaining_us / 1e6 + _ENGINE_OVERDUE_S  # before the engine reduces `remaining_us`
     background.submit(pending)
     try:
         if not is_answered.wait(overdue_s):
