--- a/micadeck/simulation/__init__.py
+++ b/micadeck/simulation/__init__.py
@@ -1,5 +1,5 @@
-"""Whole sidecars on a virtual clock and an in-memory network, under faults that follow from a seed.
+"""Deterministic simulation of whole sidecars: a virtual clock, an in-memory network, faults from a seed.
 
-The daemon's own code runs here, unchanged; only `micadeck.network` has another body.  Time moves when nothing
-is left to do, so a day takes milliseconds, and the same seed plays the same day in any process.
+The daemon's own code runs unchanged; only `micadeck.network` is replaced.  The clock advances when no
+callback is ready, so a run takes milliseconds, and a seed gives the same run in any process.
 """
--- a/micadeck/simulation/__main__.py
+++ b/micadeck/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m micadeck.simulation`, and `micadeck simulate`: play days, replay one, make one smaller."""
+"""`python -m micadeck.simulation` and `micadeck simulate`: seed sweeps, replay and shrinking."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from micadeck.simulation.shrink import shrink
 from micadeck.simulation.simulated_day import Result, play
 
-_SHOWN = 20  # failures
+_MAX_SHOWN = 20  # failures
 
 
 @click.group()
@@ -40,7 +40,7 @@
         return seeds
 
 
-def _replay(seed: int) -> str:
+def _replay_command(seed: int) -> str:
     return f"python -m micadeck.simulation replay {seed}"
 
 
@@ -57,37 +57,39 @@
         task = progress.add_task("days", total=seeds[1] - seeds[0])
         shown = 0
 
-        def told(part: Tally) -> None:
+        def on_part(part: Tally) -> None:
             nonlocal shown
             progress.advance(task, part.seeds)
             for failure in part.failures:
                 shown += 1
-                if shown <= _SHOWN:
-                    progress.console.print(_line(failure), highlight=False, markup=False, soft_wrap=True)
-
-        tally = play_many(*seeds, jobs, told)
-        took = progress.tasks[0].elapsed or 0.0
-    _summary(console, tally, took)
+                if shown <= _MAX_SHOWN:
+                    progress.console.print(
+                        _failure_text(failure), highlight=False, markup=False, soft_wrap=True
+                    )
+
+        tally = play_many(*seeds, jobs, on_part)
+        elapsed_s = progress.tasks[0].elapsed or 0.0
+    _summary(console, tally, elapsed_s)
     if tally.failures:
         sys.exit(1)
 
 
-def _line(failure: Failure) -> str:
-    return f"seed {failure.seed}: {failure.first.strip()}\n    {_replay(failure.seed)}"
+def _failure_text(failure: Failure) -> str:
+    return f"seed {failure.seed}: {failure.first.strip()}\n    {_replay_command(failure.seed)}"
 
 
-def _summary(console: Console, tally: Tally, took: float) -> None:
+def _summary(console: Console, tally: Tally, elapsed_s: float) -> None:
     table = Table("occurred", "times", "a day", box=None)
     for key, count in sorted(tally.counts.items()):
         table.add_row(key, f"{count:,}", f"{count / tally.seeds:.2f}")
     console.print(table)
     console.print(
-        f"{tally.seeds:,} days in {took:.1f} s: {tally.seeds / max(took, 1e-9):.1f} a second, "
-        f"{tally.virtual_s / max(took, 1e-9):.0f} virtual seconds a second; a day has "
+        f"{tally.seeds:,} days in {elapsed_s:.1f} s: {tally.seeds / max(elapsed_s, 1e-9):.1f} a second, "
+        f"{tally.virtual_s / max(elapsed_s, 1e-9):.0f} virtual seconds a second; a day has "
         f"{tally.virtual_s / tally.seeds:.1f} s and {tally.counts['requests'] / tally.seeds:.0f} requests"
     )
-    for each in tally.missing():
-        console.print(f"never occurred: {each}")
+    for key in tally.missing():
+        console.print(f"never occurred: {key}")
     if tally.empty:
         console.print(f"days without a request: {tally.empty}")
     console.print(f"{len(tally.failures)} days broke a rule")
@@ -108,8 +110,8 @@
     """Play a day that somebody wrote."""
     try:
         day = read(file)
-    except ValueError as nonsense:
-        raise click.ClickException(str(nonsense)) from None
+    except ValueError as error:
+        raise click.ClickException(str(error)) from None
     _show(play(day, keeps_trace=True), trace)
 
 
@@ -129,7 +131,7 @@
 @main.command("shrink")
 @click.argument("seed", type=click.IntRange(0))
 @click.option("--to", type=click.Path(path_type=Path), help="the file to write; seed-SEED.toml unless said")
-def smaller(seed: int, to: Path | None) -> None:
+def shrink_seed(seed: int, to: Path | None) -> None:
     """Find the smallest day that breaks the same rule as this seed's, and write it as a scenario."""
     first = play(draw(seed))
     if not first.rules:
@@ -148,7 +150,7 @@
     )
 
 
-command = main  # under `micadeck`
+command = main  # the name that `micadeck simulate` imports
 
 if __name__ == "__main__":
     main()
--- a/micadeck/simulation/clients.py
+++ b/micadeck/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Clients of one sidecar: they ask when it is time, wait for one answer, and come again after a refusal."""
+"""Clients of one sidecar: they send requests, wait for one answer each and retry after a refusal."""
 
 from __future__ import annotations
 
@@ -15,80 +15,90 @@
 from micadeck.simulation.streams import VirtualTransport
 from micadeck.simulation.wire import Machine
 
-TIMES_S = {"check": 1.0, "amend": 1.2, "lodge": 1.6}  # a client waits so long
+TIMEOUTS_S = {"check": 1.0, "amend": 1.2, "lodge": 1.6}  # a client's deadline by class
 _METHODS = {"check": "GET", "amend": "POST", "lodge": "POST"}
-PATIENCE_S = 0.3  # beyond that time, before a client leaves
-_LEAVES_WITHIN_US = 40_000  # one that gives up early
-_TRIES = 3  # of an order
-_COME_AGAIN_S = 0.1
-_FIRST_BYTES = 40  # of a request that comes in two parts
+DISCONNECT_DELAY_S = 0.3  # past the deadline, before a client disconnects
+_MAX_EARLY_DISCONNECT_US = 40_000  # for a client that disconnects early
+_MAX_REQUESTS_PER_ORDER = 3  # requests for an order
+_RETRY_DELAY_S = 0.1
+_FIRST_PART_BYTES = 40  # of a request that is written in two parts
 
 
 @dataclass(slots=True)
-class Try:
-    """One request of a client: a part of an order, under an id of its own."""
+class ClientRequest:
+    """One request of an order, with its own id."""
 
     order: Order
     number: int
-    asked_at: float = 0.0  # when its last byte left
-    until: float = 0.0
+    sent_at: float = 0.0  # when its last byte was written
+    deadline: float = 0.0
     status: int | None = None
-    gone: bool = False  # the client left, or its sidecar died: nothing is owed
-    crossed: bool = False  # its sidecar closed the connection while it was on its way
+    is_abandoned: bool = False  # the client left or its sidecar was killed: no answer is due
+    is_crossed: bool = False  # its sidecar closed the connection while it was in flight
 
     @property
     def ident(self) -> str:
         return f"{self.order.number}.{self.number}"
 
 
-class Watcher(Protocol):
-    """What hears of what clients see."""
+class ClientObserver(Protocol):
+    """Observes what clients send and receive."""
 
-    def asked(self, one: Try) -> None: ...
+    def on_sent(self, request: ClientRequest) -> None: ...
 
-    def answered(self, one: Try | None, status: int, body: bytes, accepted_at: float) -> None: ...
+    def on_answer(
+        self, request: ClientRequest | None, status: int, body: bytes, accepted_at: float
+    ) -> None: ...
 
-    def closed(self, one: Try, was_new: bool) -> None: ...
+    def on_connection_closed(self, request: ClientRequest, was_new: bool) -> None: ...
 
-    def left(self, one: Try, accepted_at: float) -> None: ...
+    def on_client_left(self, request: ClientRequest, accepted_at: float) -> None: ...
 
 
 class Clients:
-    """All clients of one sidecar, on connections that they keep."""
+    """All clients of one sidecar, on keep-alive connections."""
 
     def __init__(
-        self, machine: Machine, address: Address, most: int, reconnects: bool, watcher: Watcher
+        self,
+        machine: Machine,
+        address: Address,
+        max_connections: int,
+        reconnects: bool,
+        observer: ClientObserver,
     ) -> None:
         self.machine = machine
         self.address = address
-        self.watcher = watcher
-        self.gives_up: list[float] = []  # odds that a client leaves early
+        self.observer = observer
+        self.early_disconnect_rates: list[float] = []  # probabilities that a client disconnects early
         self.idle: list[Connection] = []
         self.all: dict[Connection, None] = {}
-        self._waiting: deque[Try] = deque()
-        self._most = most
+        self._waiting: deque[ClientRequest] = deque()
+        self._max_connections = max_connections
         self._reconnects = reconnects
-        self._is_over = False
+        self._is_closed = False
 
-    def want(self, order: Order) -> None:
-        self._ask(Try(order, 0))
+    def submit(self, order: Order) -> None:
+        self._send_request(ClientRequest(order, 0))
 
-    def again(self, one: Try, after_s: float) -> None:
-        if one.number + 1 < _TRIES:
+    def retry(self, request: ClientRequest, after_s: float) -> None:
+        if request.number + 1 < _MAX_REQUESTS_PER_ORDER:
             loop = self.machine.wire.loop
-            loop.after_us(
-                int(after_s * 1e6), self._ask, Try(one.order, one.number + 1), host=self.machine.host
+            loop.call_after_us(
+                int(after_s * 1e6),
+                self._send_request,
+                ClientRequest(request.order, request.number + 1),
+                host=self.machine.host,
             )
 
-    def _ask(self, one: Try) -> None:
+    def _send_request(self, request: ClientRequest) -> None:
         if self.idle:
-            self.idle.pop().ask(one)
-        elif len(self.all) < self._most or self._reconnects:
-            self.machine.wire.loop.create_task(self._dial(one))
+            self.idle.pop().send(request)
+        elif len(self.all) < self._max_connections or self._reconnects:
+            self.machine.wire.loop.create_task(self._dial(request))
         else:
-            self._waiting.append(one)
+            self._waiting.append(request)
 
-    async def _dial(self, one: Try) -> None:
+    async def _dial(self, request: ClientRequest) -> None:
         made: list[Connection] = []
 
         def make() -> Connection:
@@ -97,44 +107,44 @@
             return connection
 
         try:
-            async with asyncio.timeout(TIMES_S[one.order.kind]):
+            async with asyncio.timeout(TIMEOUTS_S[request.order.kind]):
                 await self.machine.dial(make, self.address)
-        except OSError as fault:  # nothing listens there for now
-            if fault.errno == errno.ECONNREFUSED:
-                self.again(one, _COME_AGAIN_S)
+        except OSError as error:
+            if error.errno == errno.ECONNREFUSED:
+                self.retry(request, _RETRY_DELAY_S)
             return
-        if self._is_over:
+        if self._is_closed:
             made[0].transport.close()
         else:
-            made[0].ask(one)
+            made[0].send(request)
 
-    def freed(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         if self._waiting:
-            connection.ask(self._waiting.popleft())
+            connection.send(self._waiting.popleft())
         else:
             self.idle.append(connection)
 
-    def lost(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         self.all.pop(connection, None)
         if connection in self.idle:
             self.idle.remove(connection)
-        if self._waiting and len(self.all) < self._most:
-            self._ask(self._waiting.popleft())
+        if self._waiting and len(self.all) < self._max_connections:
+            self._send_request(self._waiting.popleft())
 
     def close(self) -> None:
-        """The day is over: nobody waits for what is still open."""
+        """End the run: close all connections; open requests are due no answer."""
         self._waiting.clear()
-        self._is_over = True
-        for each in list(self.all):
-            each.leave()
+        self._is_closed = True
+        for connection in list(self.all):
+            connection.abandon()
 
 
 class Connection(asyncio.Protocol):
-    """One request at a time; a second one behind it, now and then, before the first has its answer."""
+    """A client's connection, which sends one request at a time."""
 
     def __init__(self, clients: Clients) -> None:
         self._clients = clients
-        self._tries: deque[Try] = deque()  # that wait for their answer here, in order
+        self._requests: deque[ClientRequest] = deque()  # unanswered requests, in order
         self._parser = httptools.HttpResponseParser(self)
         self._body = b""
         self._answers = 0
@@ -145,71 +155,77 @@
         self.transport = cast(VirtualTransport, transport)
         self._clients.all[self] = None
 
-    def ask(self, one: Try) -> None:
-        loop, draws = self._clients.machine.wire.loop, one.order.draws
+    def send(self, request: ClientRequest) -> None:
+        loop, draws = self._clients.machine.wire.loop, request.order.draws
         if self.transport.is_closing():
-            self._clients.again(one, 0.0)  # nothing of it was written
+            self._clients.retry(request, 0.0)  # no byte of it was written
             return
-        raw = request(one)
-        self._tries.append(one)
+        raw = encode_request(request)
+        self._requests.append(request)
         if draws[0] < 0.1:
-            self.transport.write(raw[:_FIRST_BYTES])
-            loop.after_us(int(draws[1] * 60_000), self._rest, one, raw, host=self._clients.machine.host)
+            self.transport.write(raw[:_FIRST_PART_BYTES])
+            loop.call_after_us(
+                int(draws[1] * 60_000), self._write_rest, request, raw, host=self._clients.machine.host
+            )
         else:
             self.transport.write(raw)
-            self._is_written(one)
+            self._on_written(request)
 
-    def _rest(self, one: Try, raw: bytes) -> None:
+    def _write_rest(self, request: ClientRequest, raw: bytes) -> None:
         if not self.transport.is_closing():
-            self.transport.write(raw[_FIRST_BYTES:])
-            self._is_written(one)
+            self.transport.write(raw[_FIRST_PART_BYTES:])
+            self._on_written(request)
 
-    def _is_written(self, one: Try) -> None:
+    def _on_written(self, request: ClientRequest) -> None:
         clients = self._clients
-        loop, host, kind = clients.machine.wire.loop, clients.machine.host, one.order.kind
-        one.asked_at = loop.time()
-        one.until = one.asked_at + TIMES_S[kind]
-        clients.watcher.asked(one)
-        if any(one.order.draws[2] < part for part in clients.gives_up):
-            loop.after_us(int(one.order.draws[1] * _LEAVES_WITHIN_US), self._leave, one, host=host)
+        loop, host, kind = clients.machine.wire.loop, clients.machine.host, request.order.kind
+        request.sent_at = loop.time()
+        request.deadline = request.sent_at + TIMEOUTS_S[kind]
+        clients.observer.on_sent(request)
+        if any(request.order.draws[2] < rate for rate in clients.early_disconnect_rates):
+            loop.call_after_us(
+                int(request.order.draws[1] * _MAX_EARLY_DISCONNECT_US), self._disconnect, request, host=host
+            )
         else:
-            loop.after_us(int((TIMES_S[kind] + PATIENCE_S) * 1e6), self._leave, one, host=host)
+            loop.call_after_us(
+                int((TIMEOUTS_S[kind] + DISCONNECT_DELAY_S) * 1e6), self._disconnect, request, host=host
+            )
 
-    def _leave(self, one: Try) -> None:
-        if one.status is None and one in self._tries:
-            self._clients.watcher.left(one, self._accepted_at)
-            self._tries.remove(one)
+    def _disconnect(self, request: ClientRequest) -> None:
+        if request.status is None and request in self._requests:
+            self._clients.observer.on_client_left(request, self._accepted_at)
+            self._requests.remove(request)
             self.transport.abort()
 
-    def leave(self) -> None:
-        for one in self._tries:
-            one.gone = True
+    def abandon(self) -> None:
+        for request in self._requests:
+            request.is_abandoned = True
         self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._clients.lost(self)
-        tries, self._tries = self._tries, deque()
-        for one in tries:
-            if one.asked_at:
-                self._clients.watcher.closed(one, not self._answers)
+        self._clients.remove(self)
+        requests, self._requests = self._requests, deque()
+        for request in requests:
+            if request.sent_at:
+                self._clients.observer.on_connection_closed(request, not self._answers)
             else:
-                self._clients.again(one, 0.0)
+                self._clients.retry(request, 0.0)
 
     def eof_received(self) -> None:
-        pass  # the connection ends
+        pass  # the transport then closes
 
     def data_received(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._clients.watcher.answered(None, 0, data, 0.0)
+            self._clients.observer.on_answer(None, 0, data, 0.0)
 
     @property
     def _accepted_at(self) -> float:
-        """When the sidecar took the connection; infinite until it does."""
-        return self.transport.out.target.begun_at
+        """When the sidecar accepted the connection; infinite until then."""
+        return self.transport.outbound.target.attached_at
 
-    # What the parser calls
+    # Parser callbacks
 
     def on_message_begin(self) -> None:
         self._body, self._retry_after = b"", b""
@@ -223,43 +239,43 @@
 
     def on_message_complete(self) -> None:
         clients = self._clients
-        one = self._tries.popleft() if self._tries else None
+        request = self._requests.popleft() if self._requests else None
         status = self._parser.get_status_code()
         self._answers += 1
-        clients.watcher.answered(one, status, self._body, self._accepted_at)
-        if one is None:
+        clients.observer.on_answer(request, status, self._body, self._accepted_at)
+        if request is None:
             return
-        one.status = status
+        request.status = status
         if status == 503:
-            clients.again(one, max(float(self._retry_after or b"0"), 0.02))
-        if not self._tries and not self.transport.is_closing() and self._parser.should_keep_alive():
-            clients.freed(self)
+            clients.retry(request, max(float(self._retry_after or b"0"), 0.02))
+        if not self._requests and not self.transport.is_closing() and self._parser.should_keep_alive():
+            clients.release(self)
 
 
-def request(one: Try) -> bytes:
-    """A request as clients word it."""
-    kind = one.order.kind
+def encode_request(request: ClientRequest) -> bytes:
+    """Encode a request."""
+    kind = request.order.kind
     lines = [
-        f"{_METHODS[kind]} /api/{one.order.number} HTTP/1.1",
+        f"{_METHODS[kind]} /api/{request.order.number} HTTP/1.1",
         "Host: origin.svc",
-        f"Request-Id: {one.ident}",
+        f"Request-Id: {request.ident}",
         f"Request-Class: {kind}",
         "Tenant: acme",
-        f"Request-Timeout: {TIMES_S[kind]}",
-        f"Work-Hint: {work_us(one.order)}",
+        f"Request-Timeout: {TIMEOUTS_S[kind]}",
+        f"Work-Hint: {work_us(request.order)}",
     ]
     body = ""
     if kind == "amend":
-        lines.append(f"Idempotency-Key: k{one.order.number}")
+        lines.append(f"Idempotency-Key: k{request.order.number}")
     if kind != "check":
-        body = "x" * (one.order.number % 90)
+        body = "x" * (request.order.number % 90)
         lines.append(f"Content-Length: {len(body)}")
     return "\r\n".join([*lines, "", body]).encode()
 
 
-_MEAN_US = [20_000.0]
+_MEAN_WORK_US = [20_000.0]
 
 
 def work_us(order: Order) -> int:
-    """What the order costs a warm server, in microseconds of one core."""
-    return int(_MEAN_US[0] * (0.4 + 1.2 * order.draws[1]))
+    """The order's CPU time on a warm server, in microseconds."""
+    return int(_MEAN_WORK_US[0] * (0.4 + 1.2 * order.draws[1]))
--- a/micadeck/simulation/consul.py
+++ b/micadeck/simulation/consul.py
@@ -1,4 +1,4 @@
-"""Consul in the virtual world: the project's stand-in, which may be late, lag or be down."""
+"""The simulated Consul: the stand-in with delays, stale answers and outages."""
 
 from __future__ import annotations
 
@@ -13,67 +13,67 @@
 from micadeck.stand_ins.consul import NODE, StandInConsul, State
 
 SERVICE = "tariff"
-_PLACE = ("10.2.1.1", 8500)
-_LAGS_S = 1e6  # a follower that hears of nothing
+_ADDRESS = ("10.2.1.1", 8500)
+_STALE_BY_S = 1e6  # a follower that receives no updates
 
 
 class Registry(StandInConsul):
-    """One agent on a host of its own; its faults are counted, so that they may overlap."""
+    """One agent on its own host; its faults are counted, so that they can overlap."""
 
     def __init__(self, wire: Wire, seed: int) -> None:
         super().__init__()
         self.chance = random.Random(seed)
-        self.late_s: list[float] = []
+        self.delays_s: list[float] = []
         self._wire = wire
-        self._stuck = self._downs = 0
+        self._freezes = self._outages = 0
         self._machine: Machine
 
     @staticmethod
     def config() -> ConsulConfig:
-        """What a sidecar is told of it."""
+        """The configuration of the sidecars."""
         service = {"name": SERVICE, "mode": "stale", "doubt_s": 0}
-        address = f"{_PLACE[0]}:{_PLACE[1]}"
+        address = f"{_ADDRESS[0]}:{_ADDRESS[1]}"
         return parse({"agents": [address], "services": [service], "wait_s": 2.0, "spread_s": 0.0})
 
-    def up(self) -> None:
-        self._machine = self._wire.machine(Host("consul"), _PLACE[0])
+    def start_listening(self) -> None:
+        self._machine = self._wire.machine(Host("consul"), _ADDRESS[0])
 
         def make() -> asyncio.Protocol:
             reader = asyncio.StreamReader(loop=self._wire.loop)
             return asyncio.StreamReaderProtocol(reader, self._serve, loop=self._wire.loop)
 
-        VirtualNetwork(self._machine).listen(make, _PLACE, 64)
+        VirtualNetwork(self._machine).listen(make, _ADDRESS, 64)
 
     def go_down(self) -> None:
-        self._downs += 1
-        if self._downs == 1:
+        self._outages += 1
+        if self._outages == 1:
             self._machine.kill()
             self._writers.clear()
 
-    def come_back(self) -> None:
-        self._downs -= 1
-        if not self._downs:
-            self.up()
+    def recover(self) -> None:
+        self._outages -= 1
+        if not self._outages:
+            self.start_listening()
 
-    def stick(self) -> None:
-        """Tell nothing new from here on, as a follower cut off from its leader."""
-        self._stuck += 1
-        self.stale_by_s = _LAGS_S
+    def freeze(self) -> None:
+        """Serve stale answers until `unfreeze`, as a follower partitioned from its leader."""
+        self._freezes += 1
+        self.stale_by_s = _STALE_BY_S
 
-    def move_on(self) -> None:
-        self._stuck -= 1
-        if not self._stuck:
+    def unfreeze(self) -> None:
+        self._freezes -= 1
+        if not self._freezes:
             self.stale_by_s = 0.0
             self.change(lambda state: None)
 
     def put(self, entry: dict[str, Any]) -> None:
-        """List a server as the roster's entry says."""
+        """Register a server from its roster entry."""
         self.change(lambda state: _put(state, entry))
 
     async def _answer(
         self, method: str, target: str, headers: dict[str, str], body: bytes, writer: asyncio.StreamWriter
     ) -> bool:
-        for seconds in list(self.late_s):
+        for seconds in list(self.delays_s):
             await asyncio.sleep(seconds)
         return await super()._answer(method, target, headers, body, writer)
 
@@ -84,7 +84,7 @@
     meta = {
         "zone": entry["zone"],
         "cell": str(entry["cell"]),
-        "started_ms": str(entry["started_ms"] or 1),  # without a word on it, a new one is cold
+        "started_ms": str(entry["started_ms"] or 1),  # without it a new server counts as cold
     }
     state.put_service(NODE, {"Name": SERVICE, "ID": name, "Address": host, "Port": int(port), "Meta": meta})
     if entry["state"] == "leaving":
@@ -93,8 +93,8 @@
         state.drop_check(NODE, maintenance)
 
 
-def listing(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """What an answer on a service's health says, as the roster would word it."""
+def roster_list(rows: list[dict[str, Any]]) -> dict[str, Any]:
+    """Convert a response of the health endpoint to the roster's list format."""
     servers = [
         {
             "id": row["Service"]["ID"],
--- a/micadeck/simulation/network.py
+++ b/micadeck/simulation/network.py
@@ -1,4 +1,4 @@
-"""The engine's seam on the virtual clock and wire."""
+"""The engine's network interface on the virtual clock and network."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from micadeck.simulation.loop import Host
 from micadeck.simulation.wire import Machine, VirtualDatagrams, VirtualListener
 
-EPOCH_US = 1_700_000_000_000_000  # what the hosts' clocks say at the virtual time 0
+EPOCH_US = 1_700_000_000_000_000  # the hosts' wall clocks at virtual time 0
 _BACKLOG = 1_024
 
 P = TypeVar("P", bound=asyncio.BaseProtocol)
@@ -18,7 +18,7 @@
 
 
 class VirtualNetwork(LoopScheduler):
-    """`Network` for one host.  `ahead_us`: how far its clock stands from the others'."""
+    """`Network` for one host, whose wall clock is `ahead_us` ahead of virtual time."""
 
     def __init__(self, machine: Machine, ahead_us: int = 0) -> None:
         super().__init__(machine.wire.loop)
@@ -59,11 +59,11 @@
         protocol.connection_made(VirtualDatagrams(self.machine, protocol, address))
 
     def stream(self, transport: asyncio.BaseTransport) -> Stream:
-        return transport  # type: ignore[return-value]  # it is a VirtualTransport, which knows its socket
+        return transport  # type: ignore[return-value]  # a VirtualTransport implements Stream
 
 
 class SameThread:
-    """In place of a thread of its own: what it is asked to do is done at once."""
+    """Stands in for a worker thread; runs work at once."""
 
     def __init__(self, network: VirtualNetwork) -> None:
         self.network = network
--- a/micadeck/simulation/roster.py
+++ b/micadeck/simulation/roster.py
@@ -1,4 +1,4 @@
-"""Discovery in the virtual world: the project's stand-in roster, which may be late, stuck or down."""
+"""The simulated discovery: the stand-in roster with delays, stale lists and outages."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class Discovery(StandInRoster):
-    """A roster on a host of its own; its faults are counted, so that they may overlap."""
+    """A roster on its own host; its faults are counted, so that they can overlap."""
 
     def __init__(self, wire: Wire, number: int) -> None:
         super().__init__()
-        self.place = (f"10.2.0.{number}", 7070)
-        self.late_s: list[float] = []
+        self.listen_address = (f"10.2.0.{number}", 7070)
+        self.delays_s: list[float] = []
         self._wire = wire
         self._number = number
-        self._stuck: list[StandInRoster] = []
-        self._downs = 0
+        self._frozen: list[StandInRoster] = []
+        self._outages = 0
         self._machine: Machine
 
     def now_ms(self) -> int:
@@ -30,45 +30,45 @@
 
     @property
     def address(self) -> str:
-        return f"{self.place[0]}:{self.place[1]}"
+        return f"{self.listen_address[0]}:{self.listen_address[1]}"
 
-    def up(self) -> None:
+    def start_listening(self) -> None:
         host = Host(f"discovery-{self._number}")
-        self._machine = self._wire.machine(host, self.place[0])
+        self._machine = self._wire.machine(host, self.listen_address[0])
         network = VirtualNetwork(self._machine)
 
         def make() -> asyncio.Protocol:
             reader = asyncio.StreamReader(loop=self._wire.loop)
             return asyncio.StreamReaderProtocol(reader, self._serve, loop=self._wire.loop)
 
-        network.listen(make, self.place, 64)
+        network.listen(make, self.listen_address, 64)
 
     def go_down(self) -> None:
-        self._downs += 1
-        if self._downs == 1:
+        self._outages += 1
+        if self._outages == 1:
             self._machine.kill()
 
-    def come_back(self) -> None:
-        self._downs -= 1
-        if not self._downs:
-            self.up()
+    def recover(self) -> None:
+        self._outages -= 1
+        if not self._outages:
+            self.start_listening()
 
-    def stick(self) -> None:
-        """Tell nothing new from here on."""
-        if self._stuck:
-            self._stuck.append(self._stuck[-1])
+    def freeze(self) -> None:
+        """Serve the present list until `unfreeze`."""
+        if self._frozen:
+            self._frozen.append(self._frozen[-1])
             return
-        frozen = StandInRoster()
-        frozen.version, frozen.entries = self.version, copy.deepcopy(self.entries)
-        frozen._changed_at, frozen._left = dict(self._changed_at), copy.deepcopy(self._left)
-        self._stuck.append(frozen)
+        copied = StandInRoster()
+        copied.version, copied.entries = self.version, copy.deepcopy(self.entries)
+        copied._changed_at, copied._left = dict(self._changed_at), copy.deepcopy(self._left)
+        self._frozen.append(copied)
 
-    def move_on(self) -> None:
-        self._stuck.pop()._wake()
+    def unfreeze(self) -> None:
+        self._frozen.pop()._wake()
 
     async def _answer(self, target: str) -> dict[str, Any]:
-        for seconds in list(self.late_s):
+        for seconds in list(self.delays_s):
             await asyncio.sleep(seconds)
-        if self._stuck:
-            return await self._stuck[-1]._answer(target)
+        if self._frozen:
+            return await self._frozen[-1]._answer(target)
         return await super()._answer(target)
--- a/micadeck/simulation/seed_sweep.py
+++ b/micadeck/simulation/seed_sweep.py
@@ -1,4 +1,4 @@
-"""Many seeds, in as many processes as are wanted; what each found, and what occurred how often."""
+"""Sweeps over seeds in parallel processes, with failures and event counts."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from micadeck.simulation.scenario import Kind, draw
 from micadeck.simulation.simulated_day import Result, play
 
-_AT_ONCE = 25  # seeds that a process plays before it reports
+_SEEDS_PER_TASK = 25  # seeds per task of a worker process
 
-# What has to occur in a range that is worth the name; each a key of a result's counts.
+# Coverage: the keys of a result's counts that a sweep has to reach.
 MUST_OCCUR = (
     *(f"fault {kind.value}" for kind in Kind),
     *(f"answer {status}" for status in (200, 502, 503, 504)),
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Failure:
-    """A seed whose day broke a rule."""
+    """A seed whose run violated an invariant."""
 
     seed: int
     rules: list[str]
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What a range of seeds came to."""
+    """The results of a range of seeds."""
 
     seeds: int = 0
     virtual_s: float = 0.0
@@ -60,7 +60,7 @@
         if result.violations:
             self.failures.append(Failure(seed, result.rules, str(result.violations[0])))
 
-    def join(self, other: Tally) -> None:
+    def merge(self, other: Tally) -> None:
         self.seeds += other.seeds
         self.virtual_s += other.virtual_s
         self.steps += other.steps
@@ -70,35 +70,37 @@
         self.digests.update(other.digests)
 
     def missing(self) -> list[str]:
-        """What should have occurred, and did not."""
-        return [each for each in MUST_OCCUR if not self.counts[each]]
+        """Expected events that did not occur."""
+        return [key for key in MUST_OCCUR if not self.counts[key]]
 
 
 def play_seeds(first: int, last: int) -> Tally:
-    """Play the seeds from the first up to, not including, the last."""
+    """Run the seeds from `first` up to, not including, `last`."""
     tally = Tally()
     for seed in range(first, last):
         tally.add(play(draw(seed)))
     return tally
 
 
-def play_many(first: int, last: int, jobs: int, told: Callable[[Tally], None] = lambda tally: None) -> Tally:
-    """The same by so many processes; `told` hears each part as it comes."""
-    whole = Tally()
+def play_many(
+    first: int, last: int, jobs: int, on_part: Callable[[Tally], None] = lambda tally: None
+) -> Tally:
+    """Run the seeds in `jobs` processes; `on_part` is called with each partial result."""
+    total = Tally()
     for part in _parts(first, last, jobs):
-        told(part)
-        whole.join(part)
-    whole.failures.sort(key=lambda each: each.seed)
-    return whole
+        on_part(part)
+        total.merge(part)
+    total.failures.sort(key=lambda failure: failure.seed)
+    return total
 
 
 def _parts(first: int, last: int, jobs: int) -> Iterator[Tally]:
-    starts = range(first, last, _AT_ONCE)
+    starts = range(first, last, _SEEDS_PER_TASK)
     if jobs <= 1:
         for start in starts:
-            yield play_seeds(start, min(start + _AT_ONCE, last))
+            yield play_seeds(start, min(start + _SEEDS_PER_TASK, last))
         return
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        parts = [pool.submit(play_seeds, start, min(start + _AT_ONCE, last)) for start in starts]
+        parts = [pool.submit(play_seeds, start, min(start + _SEEDS_PER_TASK, last)) for start in starts]
         for part in as_completed(parts):
             yield part.result()
--- a/micadeck/simulation/servers.py
+++ b/micadeck/simulation/servers.py
@@ -1,4 +1,4 @@
-"""Servers of the virtual world: cores and a queue, cold after a start, with a memory of keys by cell."""
+"""Simulated servers: cores, a queue, slow start, and a deduplication window that a cell shares."""
 
 from __future__ import annotations
 
@@ -15,45 +15,45 @@
 from micadeck.simulation.streams import VirtualTransport
 from micadeck.simulation.wire import Machine, VirtualListener, Wire
 
-COLD_FROM = 0.2  # of its capacity
-COLD_S = 4.0
-MEMORY_S = 1.0  # how long a cell drops what it has seen
-_QUEUE_S = 0.4  # work that may wait, beyond that it says full
+COLD_SHARE = 0.2  # share of its capacity at the start
+SLOW_START_S = 4.0
+DEDUPLICATION_S = 1.0  # deduplication window of a cell
+_MAX_QUEUE_S = 0.4  # queueing delay above which requests are answered 503
 
 
-class Watcher(Protocol):
-    """What hears of the work that servers do."""
+class WorkObserver(Protocol):
+    """Observes what servers receive and execute."""
 
-    def ran(self, server: Server, job: Job, is_repeat: bool) -> None: ...
+    def on_executed(self, server: Server, job: Job, is_repeat: bool) -> None: ...
 
-    def came(self, server: Server, job: Job) -> None: ...
+    def on_received(self, server: Server, job: Job) -> None: ...
 
 
 @dataclass(slots=True)
 class Job:
-    """A request that came whole."""
+    """A completely received request."""
 
     ident: str
     order: str
     key: str
     work_s: float
-    link: _Link
-    is_over: bool = False  # its connection has ended, and nobody waits
+    connection: _ServerConnection
+    is_abandoned: bool = False  # its connection has closed
 
 
 @dataclass(slots=True)
 class Health:
-    """What is wrong with a server."""
+    """The faults in force at a server."""
 
-    hangs: int = 0  # how many faults say so, as all of these
-    slow: list[float] = field(default_factory=list)
-    errs: list[float] = field(default_factory=list)
-    spoils: list[float] = field(default_factory=list)
-    breaks: list[float] = field(default_factory=list)
+    hang_count: int = 0  # number of faults; the lists hold one value per fault
+    slowdown_factors: list[float] = field(default_factory=list)
+    error_rates: list[float] = field(default_factory=list)
+    malformed_rates: list[float] = field(default_factory=list)
+    reset_rates: list[float] = field(default_factory=list)
 
 
 class Server:
-    """One server under its id, through all its processes."""
+    """One server id, across the restarts of its process."""
 
     def __init__(
         self,
@@ -62,9 +62,9 @@
         cell: int,
         cores: int,
         work_s: float,
-        memory: dict[str, float],
-        watcher: Watcher,
-        drawn: random.Random,
+        key_expiry: dict[str, float],
+        observer: WorkObserver,
+        rng: random.Random,
     ) -> None:
         self.wire = wire
         self.name = f"s-{number}"
@@ -72,34 +72,34 @@
         self.cores = cores
         self.work_s = work_s
         self.health = Health()
-        self.started_at: float | None = None  # None: long ago
+        self.started_at: float | None = None  # None: it is warm
         self.is_up = False
         self.number = number
-        self._moves = 0
-        self._memory = memory  # of the cell: until when a key is known
-        self._watcher = watcher
-        self._drawn = drawn
+        self._move_count = 0
+        self._key_expiry = key_expiry  # end of each key's deduplication window; the cell's
+        self._observer = observer
+        self._rng = rng
         self._queue: deque[Job] = deque()
         self._running = 0
         self.machine: Machine
 
     @property
     def address(self) -> Address:
-        return f"10.1.{self._moves}.{self.number + 1}", 8080
+        return f"10.1.{self._move_count}.{self.number + 1}", 8080
 
     @property
     def host_name(self) -> str:
         return f"server-{self.number}"
 
     def start(self, *, cold: bool, moved: bool = False) -> None:
-        """Begin a process."""
-        self._moves += moved
+        """Start a process."""
+        self._move_count += moved
         self.is_up = True
         self.started_at = self.wire.loop.time() if cold else None
         self._queue, self._running = deque(), 0
         host = Host(self.host_name)
         self.machine = self.wire.machine(host, self.address[0])
-        VirtualListener(self.machine, lambda: _Link(self), self.address, 64, 128)
+        VirtualListener(self.machine, lambda: _ServerConnection(self), self.address, 64, 128)
 
     def kill(self) -> None:
         self.is_up = False
@@ -109,71 +109,73 @@
     def is_idle(self) -> bool:
         return not self._running and not self._queue
 
-    def warmth(self, at: float) -> float:
+    def capacity_share(self, at: float) -> float:
         if self.started_at is None:
             return 1.0
-        return min(COLD_FROM + (1.0 - COLD_FROM) * max(at - self.started_at, 0.0) / COLD_S, 1.0)
+        return min(COLD_SHARE + (1.0 - COLD_SHARE) * max(at - self.started_at, 0.0) / SLOW_START_S, 1.0)
 
     def load(self) -> str:
         return f"util={min(self._running / self.cores, 1.0):.2f}, inflight={self._running + len(self._queue)}"
 
     # Work
 
-    def take(self, job: Job) -> None:
-        self._watcher.came(self, job)
-        if self.health.hangs:
-            return  # it is taken in, and that is all
-        waiting = sum(each.work_s for each in self._queue) / (self.cores * self.warmth(self.wire.loop.time()))
-        if waiting > _QUEUE_S:
-            job.link.answer(b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+    def receive(self, job: Job) -> None:
+        self._observer.on_received(self, job)
+        if self.health.hang_count:
+            return  # accepted and never answered
+        delay_s = sum(job.work_s for job in self._queue) / (
+            self.cores * self.capacity_share(self.wire.loop.time())
+        )
+        if delay_s > _MAX_QUEUE_S:
+            job.connection.answer(b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
             return
         self._queue.append(job)
-        self._work()
+        self._run_queued()
 
-    def _work(self) -> None:
+    def _run_queued(self) -> None:
         while self._queue and self._running < self.cores:
             job = self._queue.popleft()
-            if job.is_over:
+            if job.is_abandoned:
                 continue
             now = self.wire.loop.time()
-            is_repeat = bool(job.key) and self._memory.get(job.key, -1.0) >= now
+            is_repeat = bool(job.key) and self._key_expiry.get(job.key, -1.0) >= now
             if job.key:
-                self._memory[job.key] = now + MEMORY_S
-            self._watcher.ran(self, job, is_repeat)
+                self._key_expiry[job.key] = now + DEDUPLICATION_S
+            self._observer.on_executed(self, job, is_repeat)
             self._running += 1
-            takes = job.work_s / self.warmth(now)
-            for times in self.health.slow:
-                takes *= times
-            self.wire.loop.after_us(int(takes * 1e6), self._done, job, host=self.machine.host)
+            duration_s = job.work_s / self.capacity_share(now)
+            for factor in self.health.slowdown_factors:
+                duration_s *= factor
+            self.wire.loop.call_after_us(int(duration_s * 1e6), self._done, job, host=self.machine.host)
 
     def _done(self, job: Job) -> None:
         self._running -= 1
-        if not job.is_over and not self.health.hangs:
-            job.link.answer(self._answer(job))
-        self._work()
+        if not job.is_abandoned and not self.health.hang_count:
+            job.connection.answer(self._answer(job))
+        self._run_queued()
 
     def _answer(self, job: Job) -> bytes:
-        health, drawn = self.health, self._drawn
-        if any(drawn.random() < part for part in health.errs):
+        health, rng = self.health, self._rng
+        if any(rng.random() < rate for rate in health.error_rates):
             return b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
         body = f"{self.name} {job.ident}".encode()
-        whole = b"HTTP/1.1 200 OK\r\nServer-Load: %s\r\nContent-Length: %d\r\n\r\n%s" % (
+        response = b"HTTP/1.1 200 OK\r\nServer-Load: %s\r\nContent-Length: %d\r\n\r\n%s" % (
             self.load().encode(), len(body), body
         )  # fmt: skip
-        if any(drawn.random() < part for part in health.spoils):
-            return drawn.choice(
+        if any(rng.random() < rate for rate in health.malformed_rates):
+            return rng.choice(
                 (
                     b"HTTP/1.1 2x0 OK\r\n\r\n",
-                    whole + b"more",
-                    whole.replace(b"1.1 200", b"9.9 200"),
-                    whole[:-3],
+                    response + b"more",
+                    response.replace(b"1.1 200", b"9.9 200"),
+                    response[:-3],
                 )
             )
-        return whole
+        return response
 
 
-class _Link(asyncio.Protocol):
-    """One connection of a server; a request at a time."""
+class _ServerConnection(asyncio.Protocol):
+    """A server's connection, without pipelining."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -185,15 +187,15 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(VirtualTransport, transport)
-        server, drawn = self._server, self._server._drawn
-        if any(drawn.random() < part for part in server.health.breaks):
-            out_or_in = self._transport.into if drawn.random() < 0.5 else self._transport.out
-            out_or_in.breaks_at = out_or_in.written + drawn.randrange(1, 400)
+        server, rng = self._server, self._server._rng
+        if any(rng.random() < rate for rate in server.health.reset_rates):
+            pipe = self._transport.inbound if rng.random() < 0.5 else self._transport.outbound
+            pipe.reset_at = pipe.written + rng.randrange(1, 400)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._job is not None:
-            # A server may find out before it begins, or not.
-            self._job.is_over = True
+            # A queued job is then skipped; a running one completes.
+            self._job.is_abandoned = True
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -222,7 +224,7 @@
             float(headers[b"work-hint"]) / 1e6,
             self,
         )
-        self._server.take(job)
+        self._server.receive(job)
 
     def answer(self, raw: bytes) -> None:
         self._job = None
--- a/micadeck/simulation/shrink.py
+++ b/micadeck/simulation/shrink.py
@@ -1,4 +1,4 @@
-"""Make a failing day smaller: fewer faults, fewer requests, and it still breaks the same rule."""
+"""Shrink a failing scenario: fewer faults and requests that violate the same invariant."""
 
 from __future__ import annotations
 
@@ -13,23 +13,25 @@
 Fails = Callable[[Scenario], bool]
 
 
-def shrink(scenario: Scenario, fails: Fails, most: int = 400) -> Scenario:
-    """The smallest day found in so many plays; `fails` says whether a day breaks what is looked for.
+def shrink(scenario: Scenario, fails: Fails, max_runs: int = 400) -> Scenario:
+    """Return the smallest scenario found in `max_runs` runs that `fails` still accepts.
 
-    Faults go first, since each changes all that follows; then what is drawn beside; then requests.  Each is
-    Zeller's ddmin: halves, then quarters, until no single one can go.
+    Faults are removed first, since each changes all that follows; then options, then requests.  Removal is
+    Zeller's ddmin: halves, then quarters, until no single item can go.
     """
-    plays = 0
+    runs = 0
 
-    def still(candidate: Scenario) -> bool:
-        nonlocal plays
-        plays += 1
-        return plays <= most and fails(candidate)
+    def still_fails(candidate: Scenario) -> bool:
+        nonlocal runs
+        runs += 1
+        return runs <= max_runs and fails(candidate)
 
     def change(**changes: object) -> Scenario:
         return msgspec.structs.replace(scenario, **changes)
 
-    scenario = change(faults=tuple(_fewest(scenario.faults, lambda kept: still(change(faults=tuple(kept))))))
+    scenario = change(
+        faults=tuple(_minimize(scenario.faults, lambda kept: still_fails(change(faults=tuple(kept)))))
+    )
     for simpler in (
         {"sidecars": 1},
         {"call_us": 0.0},
@@ -40,26 +42,26 @@
         {"servers": 3},
     ):
         key, value = next(iter(simpler.items()))
-        if getattr(scenario, key) > value and still(change(**simpler)):
+        if getattr(scenario, key) > value and still_fails(change(**simpler)):
             scenario = change(**simpler)
-    # With single orders left out, the others stay as they are: their draws go by the number of all.
-    numbers = [each.number for each in orders(scenario)]
-    scenario = change(only=tuple(_fewest(numbers, lambda kept: still(change(only=tuple(kept))))))
+    # Leaving orders out does not change the others, since all are drawn first.
+    numbers = [order.number for order in orders(scenario)]
+    scenario = change(only=tuple(_minimize(numbers, lambda kept: still_fails(change(only=tuple(kept))))))
     return scenario
 
 
-def _fewest(things: Sequence[T], still: Callable[[Sequence[T]], bool]) -> Sequence[T]:
-    """The fewest of these, in their order, with which it is still so."""
-    kept = list(things)
-    if not kept or still([]):
+def _minimize(items: Sequence[T], still_fails: Callable[[Sequence[T]], bool]) -> Sequence[T]:
+    """Minimize the items with ddmin, in their order, while `still_fails` holds."""
+    kept = list(items)
+    if not kept or still_fails([]):
         return []
     parts = 2
     while len(kept) > 1:
         size = max(len(kept) // parts, 1)
         pieces = [kept[start : start + size] for start in range(0, len(kept), size)]
         for index in range(len(pieces)):
-            rest = [each for number, piece in enumerate(pieces) if number != index for each in piece]
-            if still(rest):
+            rest = [item for number, piece in enumerate(pieces) if number != index for item in piece]
+            if still_fails(rest):
                 kept = rest
                 parts = max(parts - 1, 2)
                 break
--- a/micadeck/simulation/streams.py
+++ b/micadeck/simulation/streams.py
@@ -1,8 +1,8 @@
-"""One stream: two ends, and between them two pipes with a window, as TCP and asyncio show them.
+"""A TCP stream as asyncio presents it: two transports, and between them a pipe with a window each way.
 
-A pipe's life: what the transport holds back (`queued`), what is on its way (`flying`), what lies in the other
-end's socket (`unread`).  An end that closes with something unread, or that hears more after it closed,
-resets the stream; a reset takes with it what lies unread.
+Bytes pass the writer's buffer (`queued`), the network (`in_flight`) and the reader's socket (`unread`).  An
+end that closes with unread bytes, or receives more after it closed, resets the stream; a reset discards what
+is unread.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 if TYPE_CHECKING:
     from micadeck.simulation.wire import Machine, Wire
 
-_HIGH = 64 << 10
-_END = b""  # in `flying`: nothing follows
+_HIGH_WATER = 64 << 10
+_FIN = b""  # in `in_flight`: the end of the stream
 
 
 class Pipe:
     """One direction of a stream."""
 
     __slots__ = (
-        "arrived", "breaks_at", "flying", "has_end", "is_dropped", "is_held", "queued", "source",
+        "has_fin", "in_flight", "is_blocked", "is_never_resent", "queued", "received", "reset_at", "source",
         "target", "unread", "wire", "written",
     )  # fmt: skip
 
@@ -33,140 +33,140 @@
         self.source: VirtualTransport
         self.target: VirtualTransport
         self.queued = bytearray()
-        self.flying: deque[bytes] = deque()
+        self.in_flight: deque[bytes] = deque()
         self.unread = bytearray()
-        self.has_end = False  # whether the end lies in the socket
-        self.is_held = False  # what is first on its way was cut off
-        self.is_dropped = False  # and is not sent again
+        self.has_fin = False  # the end of the stream has arrived
+        self.is_blocked = False  # a partition stopped the first piece in flight
+        self.is_never_resent = False  # a piece that a partition stops is not retransmitted
         self.written = 0  # bytes that left the transport
-        self.arrived = 0  # and that came to the other end's socket
-        self.breaks_at: int | None = None  # the stream is reset once so many bytes were written
-
-    def room(self) -> int:
-        return self.wire.ways.window - sum(map(len, self.flying)) - len(self.unread)
-
-    def push(self, data: bytes | bytearray) -> int:
-        """Send off as much as there is room for; say how much."""
-        most = min(len(data), max(self.room(), 0))
-        breaks_at = self.breaks_at
-        if breaks_at is not None and self.written + most >= breaks_at:
-            most = max(breaks_at - self.written, 0)
-            self._fly(bytes(data[:most]))
-            self.breaks_at = None
-            self.wire.loop.after_us(0, self.source.broken)
-            return most
-        self._fly(bytes(data[:most]))
-        return most
-
-    def _fly(self, data: bytes) -> None:
+        self.received = 0  # bytes that reached the other end's socket
+        self.reset_at: int | None = None  # a fault: the stream is reset after so many bytes
+
+    def window_left(self) -> int:
+        return self.wire.conditions.window_bytes - sum(map(len, self.in_flight)) - len(self.unread)
+
+    def send_available(self, data: bytes | bytearray) -> int:
+        """Send as much as the window allows, and return that count."""
+        limit = min(len(data), max(self.window_left(), 0))
+        reset_at = self.reset_at
+        if reset_at is not None and self.written + limit >= reset_at:
+            limit = max(reset_at - self.written, 0)
+            self._transmit(bytes(data[:limit]))
+            self.reset_at = None
+            self.wire.loop.call_after_us(0, self.source.reset_both_ends)
+            return limit
+        self._transmit(bytes(data[:limit]))
+        return limit
+
+    def _transmit(self, data: bytes) -> None:
         wire = self.wire
         self.written += len(data)
         if data:
             wire.tap(self, data, False)
         while data:
-            cut = len(data)
-            if cut > 1 and wire.ways.in_pieces and wire.drawn.random() < wire.ways.in_pieces:
-                cut = wire.drawn.randint(1, cut - 1)
-            self._send(data[:cut])
-            data = data[cut:]
-
-    def end(self) -> None:
-        self._send(_END)
-
-    def _send(self, piece: bytes) -> None:
-        self.flying.append(piece)
-        self.wire.loop.after_us(self.wire.delay(), self._land)
-
-    def _land(self) -> None:
-        """The piece that left first arrives."""
-        if not self.flying:
+            size = len(data)
+            if size > 1 and wire.conditions.split_rate and wire.rng.random() < wire.conditions.split_rate:
+                size = wire.rng.randint(1, size - 1)
+            self._send_piece(data[:size])
+            data = data[size:]
+
+    def send_fin(self) -> None:
+        self._send_piece(_FIN)
+
+    def _send_piece(self, piece: bytes) -> None:
+        self.in_flight.append(piece)
+        self.wire.loop.call_after_us(self.wire.delay(), self._deliver)
+
+    def _deliver(self) -> None:
+        """Deliver the first piece in flight."""
+        if not self.in_flight:
             return  # the stream was reset
         source, target = self.source.machine.host, self.target.machine.host
         is_cut = self.wire.is_cut(source, target)
-        if self.is_dropped and (is_cut or self.is_held):
-            self.flying.clear()
+        if self.is_never_resent and (is_cut or self.is_blocked):
+            self.in_flight.clear()
             return
-        self.is_held = is_cut
+        self.is_blocked = is_cut
         if is_cut:
-            self.wire.hold(source, target, self._land)
+            self.wire.retry_after_heal(source, target, self._deliver)
             return
-        piece = self.flying.popleft()
-        if self.target.is_shut:
-            self.wire.loop.after_us(self.wire.delay(), self.source.was_reset)
-            self.flying.clear()
-        elif piece is _END or not piece:
-            self.has_end = True
-            self.target.look()
+        piece = self.in_flight.popleft()
+        if self.target.is_shut_down:
+            self.wire.loop.call_after_us(self.wire.delay(), self.source.on_reset)
+            self.in_flight.clear()
+        elif piece is _FIN or not piece:
+            self.has_fin = True
+            self.target.schedule_read()
         else:
-            self.arrived += len(piece)
+            self.received += len(piece)
             self.unread += piece
             self.wire.tap(self, piece, True)
-            self.target.look()
+            self.target.schedule_read()
 
-    def read(self, most: int) -> bytes:
-        data = bytes(self.unread[:most])
-        del self.unread[:most]
-        self.wire.loop.after_us(0, self.source.pump)
+    def read(self, limit: int) -> bytes:
+        data = bytes(self.unread[:limit])
+        del self.unread[:limit]
+        self.wire.loop.call_after_us(0, self.source.flush)
         return data
 
 
 class VirtualTransport(asyncio.Transport):
-    """One end of a stream; what asyncio's transports do, and what `Stream` asks of their sockets."""
+    """One end of a stream: an asyncio transport that also implements `Stream`."""
 
     def __init__(
-        self, wire: Wire, machine: Machine, out: Pipe, into: Pipe, here: Address, there: Address
+        self, wire: Wire, machine: Machine, outbound: Pipe, inbound: Pipe, local: Address, remote: Address
     ) -> None:
         super().__init__()
         self.wire = wire
         self.machine = machine
-        self.out = out
-        self.into = into
-        self.here = here
-        self.there = there
+        self.outbound = outbound
+        self.inbound = inbound
+        self.local = local
+        self.remote = remote
         self.number = 0
-        self.begun_at = float("inf")  # when its owner took it up
-        self.is_shut = False  # the socket is closed
+        self.attached_at = float("inf")  # when a protocol was attached
+        self.is_shut_down = False  # no more bytes pass in either direction
         self._protocol: Any = None
         self._is_closing = False
-        self._is_lost = False  # connection_lost was called, or is about to be
+        self._is_lost = False  # connection_lost was called or is scheduled
         self._is_reading = True
-        self._reads_end = False  # the end was read: nothing more comes
-        self._has_eof = False  # write_eof was called
-        self._is_looking = False
-        self._is_paused = False  # the protocol was told to pause
-        self._high, self._low = _HIGH, _HIGH // 4
+        self._has_read_eof = False  # the end of the stream was read
+        self._has_written_eof = False  # write_eof was called
+        self._is_read_scheduled = False
+        self._is_writing_paused = False  # pause_writing was called
+        self._high_water, self._low_water = _HIGH_WATER, _HIGH_WATER // 4
 
-    # Its beginning and what comes in
+    # Start and reading
 
-    def begin(self, protocol: Any) -> None:
+    def attach(self, protocol: Any) -> None:
         self._protocol = protocol
-        self.begun_at = self.wire.loop.time()
+        self.attached_at = self.wire.loop.time()
         protocol.connection_made(self)
-        self.look()
+        self.schedule_read()
 
-    def look(self) -> None:
-        """Something lies in the socket."""
-        if not self._is_looking and self._protocol is not None and not self.is_shut:
-            self._is_looking = True
-            self.wire.loop.soon(self.machine.host, self._read)
+    def schedule_read(self) -> None:
+        """Schedule a read, unless one is scheduled."""
+        if not self._is_read_scheduled and self._protocol is not None and not self.is_shut_down:
+            self._is_read_scheduled = True
+            self.wire.loop.call_soon_on(self.machine.host, self._read)
 
     def _read(self) -> None:
-        self._is_looking = False
-        if not self._is_reading or self._is_closing or self._reads_end:
+        self._is_read_scheduled = False
+        if not self._is_reading or self._is_closing or self._has_read_eof:
             return
         protocol = self._protocol
-        if self.into.unread:
+        if self.inbound.unread:
             if isinstance(protocol, asyncio.BufferedProtocol):
                 buffer = memoryview(protocol.get_buffer(-1))
-                data = self.into.read(len(buffer))
+                data = self.inbound.read(len(buffer))
                 buffer[: len(data)] = data
                 protocol.buffer_updated(len(data))
             else:
-                protocol.data_received(self.into.read(64 << 10))
-            if self.into.unread or self.into.has_end:
-                self.look()
-        elif self.into.has_end:
-            self._reads_end = True
+                protocol.data_received(self.inbound.read(64 << 10))
+            if self.inbound.unread or self.inbound.has_fin:
+                self.schedule_read()
+        elif self.inbound.has_fin:
+            self._has_read_eof = True
             if not protocol.eof_received():
                 self.close()
 
@@ -176,63 +176,63 @@
     def resume_reading(self) -> None:
         if not self._is_reading:
             self._is_reading = True
-            if self.into.unread or self.into.has_end:
-                self.look()
+            if self.inbound.unread or self.inbound.has_fin:
+                self.schedule_read()
 
     def is_reading(self) -> bool:
         return self._is_reading and not self._is_closing
 
-    # What goes out
+    # Writing
 
     def write(self, data: Any) -> None:
-        if self._has_eof:
+        if self._has_written_eof:
             raise RuntimeError("Cannot call write() after write_eof()")
-        if not data or self.is_shut or self._is_lost:
+        if not data or self.is_shut_down or self._is_lost:
             return
-        out = self.out
-        sent = 0 if out.queued else out.push(data)
+        outbound = self.outbound
+        sent = 0 if outbound.queued else outbound.send_available(data)
         if sent < len(data):
-            out.queued += data[sent:]
-            if len(out.queued) > self._high and not self._is_paused:
-                self._is_paused = True
+            outbound.queued += data[sent:]
+            if len(outbound.queued) > self._high_water and not self._is_writing_paused:
+                self._is_writing_paused = True
                 self._protocol.pause_writing()
 
-    def pump(self) -> None:
-        """There is room in the window."""
-        out = self.out
-        if self.is_shut or not out.queued:
+    def flush(self) -> None:
+        """Send buffered bytes when the window has space."""
+        outbound = self.outbound
+        if self.is_shut_down or not outbound.queued:
             return
-        del out.queued[: out.push(out.queued)]
-        if len(out.queued) <= self._low and self._is_paused:
-            self.wire.loop.soon(self.machine.host, self._unpause)
-        if not out.queued:
-            if self._has_eof:
-                out.end()
+        del outbound.queued[: outbound.send_available(outbound.queued)]
+        if len(outbound.queued) <= self._low_water and self._is_writing_paused:
+            self.wire.loop.call_soon_on(self.machine.host, self._resume_writing)
+        if not outbound.queued:
+            if self._has_written_eof:
+                outbound.send_fin()
             if self._is_closing:
-                self._lose(None)
+                self._schedule_connection_lost(None)
 
-    def _unpause(self) -> None:
-        if self._is_paused and len(self.out.queued) <= self._low and not self._is_lost:
-            self._is_paused = False
+    def _resume_writing(self) -> None:
+        if self._is_writing_paused and len(self.outbound.queued) <= self._low_water and not self._is_lost:
+            self._is_writing_paused = False
             self._protocol.resume_writing()
 
     def write_eof(self) -> None:
-        if not self._has_eof and not self._is_closing:
-            self._has_eof = True
-            if not self.out.queued:
-                self.out.end()
+        if not self._has_written_eof and not self._is_closing:
+            self._has_written_eof = True
+            if not self.outbound.queued:
+                self.outbound.send_fin()
 
     def can_write_eof(self) -> bool:
         return True
 
     def get_write_buffer_size(self) -> int:
-        return len(self.out.queued)
+        return len(self.outbound.queued)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        self._high = _HIGH if high is None else high
-        self._low = self._high // 4 if low is None else low
+        self._high_water = _HIGH_WATER if high is None else high
+        self._low_water = self._high_water // 4 if low is None else low
 
-    # Its end
+    # Closing
 
     def is_closing(self) -> bool:
         return self._is_closing
@@ -240,91 +240,92 @@
     def close(self) -> None:
         if not self._is_closing:
             self._is_closing = True
-            if not self.out.queued:
-                self._lose(None)
+            if not self.outbound.queued:
+                self._schedule_connection_lost(None)
 
     def abort(self) -> None:
         self._is_closing = True
-        self.out.queued.clear()
-        self._lose(None)
+        self.outbound.queued.clear()
+        self._schedule_connection_lost(None)
 
-    def _lose(self, fault: Exception | None) -> None:
+    def _schedule_connection_lost(self, error: Exception | None) -> None:
         if not self._is_lost:
             self._is_lost = True
-            self.wire.loop.soon(self.machine.host, self._lost, fault)
+            self.wire.loop.call_soon_on(self.machine.host, self._connection_lost, error)
 
-    def _lost(self, fault: Exception | None) -> None:
+    def _connection_lost(self, error: Exception | None) -> None:
         if self._protocol is not None:
-            self._protocol.connection_lost(fault)
-        self.end_at_once()
+            self._protocol.connection_lost(error)
+        self.close_socket()
 
     def shutdown(self, *, discard_unsent: bool = False) -> None:
-        """End both directions of the socket at once; the transport finds out in a later round."""
-        if not self.is_shut:
-            self.out.is_dropped = discard_unsent
-            self._send_end(discard_unsent)
-            self.is_shut = True
+        """Shut both directions down at once; the transport notices in a later iteration."""
+        if not self.is_shut_down:
+            self.outbound.is_never_resent = discard_unsent
+            self._send_fin_or_reset(discard_unsent)
+            self.is_shut_down = True
 
-    def end_at_once(self) -> None:
+    def close_socket(self) -> None:
         """Close the socket."""
         self.shutdown()
         self._is_closing = True
         if self in self.machine.streams:
             del self.machine.streams[self]
-            self.machine.freed()
-
-    def _send_end(self, drops: bool) -> None:
-        out = self.out
-        out.queued.clear()
-        if drops or self.into.unread:  # the peer's bytes were not read
-            if not self.wire.is_cut(self.machine.host, out.target.machine.host):  # a reset is not sent again
-                self.wire.loop.after_us(self.wire.delay(), self._reset_other)
-        elif not self._has_eof:
-            out.end()
-
-    def _reset_other(self) -> None:
-        self.out.target.was_reset()
-
-    def was_reset(self) -> None:
-        """The other end reset the stream: what lies unread is lost with it."""
-        if self.is_shut:
+            self.machine.descriptor_freed()
+
+    def _send_fin_or_reset(self, discard_unsent: bool) -> None:
+        outbound = self.outbound
+        outbound.queued.clear()
+        if discard_unsent or self.inbound.unread:  # unread bytes: TCP sends a reset
+            # A reset that a partition stops is not retransmitted.
+            if not self.wire.is_cut(self.machine.host, outbound.target.machine.host):
+                self.wire.loop.call_after_us(self.wire.delay(), self._reset_remote)
+        elif not self._has_written_eof:
+            outbound.send_fin()
+
+    def _reset_remote(self) -> None:
+        self.outbound.target.on_reset()
+
+    def on_reset(self) -> None:
+        """Handle a reset by the other end; unread bytes are lost."""
+        if self.is_shut_down:
             return
-        source, target = self.into.source.machine.host, self.machine.host
+        source, target = self.inbound.source.machine.host, self.machine.host
         if self.wire.is_cut(source, target):
-            self.wire.hold(source, target, self.was_reset)
+            self.wire.retry_after_heal(source, target, self.on_reset)
             return
-        self.into.unread.clear()
-        self.into.flying.clear()
-        self.is_shut = True
-        self.out.queued.clear()
-        self.out.flying.clear()
+        self.inbound.unread.clear()
+        self.inbound.in_flight.clear()
+        self.is_shut_down = True
+        self.outbound.queued.clear()
+        self.outbound.in_flight.clear()
         if self._protocol is None:
-            self.end_at_once()
+            self.close_socket()
         else:
             self._is_closing = True
-            self._lose(ConnectionResetError(104, "reset"))
+            self._schedule_connection_lost(ConnectionResetError(104, "reset"))
 
-    def broken(self) -> None:
-        """Something on the way resets the stream, at both ends, once what left has arrived."""
-        self.wire.loop.after_us(self.wire.delay() + 1, self.out.target.was_reset)
-        self.wire.loop.after_us(self.wire.delay() + 1, self.was_reset)
+    def reset_both_ends(self) -> None:
+        """Reset both ends, as a middlebox would, after the bytes in flight have arrived."""
+        self.wire.loop.call_after_us(self.wire.delay() + 1, self.outbound.target.on_reset)
+        self.wire.loop.call_after_us(self.wire.delay() + 1, self.on_reset)
 
     def has_unread(self) -> bool:
-        return bool(self.into.unread or self.into.has_end or self.is_shut)
+        return bool(self.inbound.unread or self.inbound.has_fin or self.is_shut_down)
 
     def seconds_since_received(self) -> float:
-        return 0.0  # the host is never late to read
+        return 0.0  # reads are never delayed here
 
     def has_ended(self) -> bool:
-        return bool(self.into.has_end or self.is_shut)
+        return bool(self.inbound.has_fin or self.is_shut_down)
 
     def shutdown_write(self) -> None:
         self.write_eof()
 
-    # What else transports tell
+    # Other transport methods
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        return {"peername": self.there, "sockname": self.here}.get(name, default)
+        return {"peername": self.remote, "sockname": self.local}.get(name, default)
 
     def get_protocol(self) -> Any:
         return self._protocol
--- a/tests/discovery_stage.py
+++ b/tests/discovery_stage.py
@@ -74,7 +74,7 @@
 
     def end(self, hosts: list[str]) -> None:
         if self._kind is Kind.REFUSED:
-            self.come_back()
+            self.recover()
         elif self._kind is Kind.CUT:
             for name in hosts:
                 self._wire.heal(name, "discovery-0")
@@ -86,7 +86,7 @@
     def _let_dial(self, hosts: list[str], limit: int) -> None:
         for host, machine in self._wire.machines.items():
             if host.name in hosts:
-                machine.most = limit
+                machine.max_descriptors = limit
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         spoilt = False
@@ -207,7 +207,7 @@
         given = settings(rules=rules, discovery="pushed" if pushed else "on_request")
         self.roster = DiscoveryWatcher(
             self.network,
-            discovery.place,
+            discovery.listen_address,
             0,
             WatchOptions(
                 is_pushed=pushed,
@@ -246,7 +246,7 @@
     seed: int = 1,
 ) -> tuple[FailingDiscovery, list[Follower]]:
     """Play a discovery and its followers; `then` plans what happens."""
-    loop = VirtualLoop(seed, most_steps=20_000_000)  # type: ignore[abstract]
+    loop = VirtualLoop(seed, max_steps=20_000_000)  # type: ignore[abstract]
     wire = Wire(loop, random.Random(seed))
     discovery = make(wire)
     for number, name in enumerate(SERVERS):
@@ -254,7 +254,7 @@
     followers = [Follower(wire, number, discovery, allowed_s, pushed, grace_s) for number in range(sidecars)]
 
     async def work() -> None:
-        discovery.up()
+        discovery.start_listening()
         then(wire, discovery, followers)
         for each in followers:
             each.start()
@@ -263,7 +263,7 @@
             each.engine.close()
 
     loop.run_until_complete(loop.create_task(work(), context=Host("stage").context.copy()))
-    assert loop.faults == []
+    assert loop.unhandled_errors == []
     return discovery, followers
 
 
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -41,7 +41,7 @@
         self.seed = seed
         self.loop = VirtualLoop(seed)  # type: ignore[abstract]
         self.wire = Wire(self.loop, random.Random(seed))
-        self.wire.ways.delay_us = (WAY_US, WAY_US)
+        self.wire.conditions.delay_us = (WAY_US, WAY_US)
         self.host = Host("sidecar")
         self.network = VirtualNetwork(self.wire.machine(self.host, "10.0.0.1"))
         self.reply = reply
@@ -97,7 +97,7 @@
             self.engine.close()
 
         self.loop.run_until_complete(self.loop.create_task(work(), context=self.host.context.copy()))
-        assert self.loop.faults == []
+        assert self.loop.unhandled_errors == []
         return self
 
     def _after(self, hops: int, other: Callable[[Scene], None]) -> None:
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -186,7 +186,7 @@
         assert fleet.hosts[0].member.malformed_messages == (3 if part in (1, 5, 6) else 2)
 
     fleet.play(work)
-    assert fleet.loop.faults == []
+    assert fleet.loop.unhandled_errors == []
 
 
 def test_a_core_without_the_daemon_leaves_the_fleet_too(tmp_path: Path) -> None:
--- a/tests/test_notification_deadlines.py
+++ b/tests/test_notification_deadlines.py
@@ -124,12 +124,14 @@
         ) -> None:
             other = FailingDiscovery(wire, kind, 1)
             other.put(SERVERS[0], "10.1.0.1:80", "leaving")
-            other.up()
+            other.start_listening()
             (one,) = followers
             wire.loop.call_later(began, discovery.begin, [one.host.name])
             if kind is Kind.NO_DESCRIPTORS:
                 wire.loop.call_later(max(began, moved), discovery.end, [one.host.name])
-            wire.loop.call_later(moved, one.host.context.copy().run, one.roster.change_address, other.place)
+            wire.loop.call_later(
+                moved, one.host.context.copy().run, one.roster.change_address, other.listen_address
+            )
 
         _, (one,) = run(
             lambda wire: FailingDiscovery(wire, kind), then, length_s=moved + 12.0, pushed=pushed, seed=number
@@ -148,7 +150,7 @@
         for each in followers:
             for name in SERVERS[:4]:
                 wire.loop.call_later(
-                    20.0 + wire.drawn.random(), each.host.context.copy().run, each.roster.suspect_stale
+                    20.0 + wire.rng.random(), each.host.context.copy().run, each.roster.suspect_stale
                 )
                 wire.loop.call_at(21.5, discovery.put, name, "10.1.0.1:80", "leaving")
 
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -60,7 +60,7 @@
     """Ask so many times; give which requests got another's answer, and how many connections were made."""
     loop = VirtualLoop(1)  # type: ignore[abstract]
     wire = Wire(loop, random.Random(1))
-    wire.ways.delay_us = (WAY_US, WAY_US)
+    wire.conditions.delay_us = (WAY_US, WAY_US)
     host = Host("sidecar")
     network = VirtualNetwork(wire.machine(host, "10.0.0.1"))
     upstream = ConnectionPool(network, settings(limits={"idle_close_us": 10 * S}))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The virtual clock and network, the oracles, and whole days under faults."""
+"""The virtual clock and network, the oracles, and simulated days."""
 
 from __future__ import annotations
 
@@ -28,112 +28,112 @@
 
 ROOT = Path(__file__).parent.parent
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.toml"))
-SEEDS = (200, 290)  # of every run of the tests
-AMONG = 100  # seeds in which each broken build has to be found
+SEEDS = (200, 290)  # swept in every test run
+MUTANT_SEEDS = 100  # one of them at least has to find each mutant
 
 
-def loop_of(seed: int = 1) -> VirtualLoop:
-    return VirtualLoop(seed)  # type: ignore[abstract]  # as asyncio's own
+def make_loop(seed: int = 1) -> VirtualLoop:
+    return VirtualLoop(seed)  # type: ignore[abstract]  # like asyncio's own loops
 
 
-# The loop
+# The event loop
 
 
-def test_time_moves_only_when_nothing_is_runnable() -> None:
-    loop = loop_of()
-    seen: list[tuple[str, float]] = []
+def test_the_clock_advances_only_when_no_callback_is_ready() -> None:
+    loop = make_loop()
+    events: list[tuple[str, float]] = []
 
     async def work() -> None:
         async def spin() -> None:
             for _ in range(50):
                 await asyncio.sleep(0)
-            seen.append(("spun", loop.time()))
+            events.append(("spun", loop.time()))
 
         task = loop.create_task(spin())
         await asyncio.sleep(3600.0)
-        seen.append(("slept", loop.time()))
+        events.append(("slept", loop.time()))
         await task
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(5.0):
                 await loop.create_future()
 
     loop.run_until_complete(work())
-    assert seen == [("spun", 0.0), ("slept", 3600.0)]
+    assert events == [("spun", 0.0), ("slept", 3600.0)]
     assert loop.time() == 3605.0
 
 
-def test_what_is_due_at_one_instant_runs_in_an_order_drawn_from_the_seed() -> None:
+def test_timers_due_at_one_instant_run_in_an_order_drawn_from_the_seed() -> None:
     def order(seed: int) -> str:
-        loop = loop_of(seed)
-        seen: list[str] = []
+        loop = make_loop(seed)
+        events: list[str] = []
 
         async def work() -> None:
             for name in "abcd":
-                loop.call_later(1.0, seen.append, name)
+                loop.call_later(1.0, events.append, name)
             for name in "xyz":
-                loop.call_soon(seen.append, name)
+                loop.call_soon(events.append, name)
             await asyncio.sleep(2.0)
 
         loop.run_until_complete(work())
-        return "".join(seen)
+        return "".join(events)
 
-    told = [order(seed) for seed in range(40)]
-    assert told == [order(seed) for seed in range(40)]
-    assert {each[:3] for each in told} == {"xyz"}  # soon is soon, in order
-    assert len({each[3:] for each in told}) > 10
+    orders_seen = [order(seed) for seed in range(40)]
+    assert orders_seen == [order(seed) for seed in range(40)]
+    assert {names[:3] for names in orders_seen} == {"xyz"}  # call_soon keeps its order
+    assert len({names[3:] for names in orders_seen}) > 10
 
 
-def test_a_host_runs_one_callback_after_another_and_the_others_time_goes_on() -> None:
-    loop = loop_of()
-    seen: list[tuple[str, int]] = []
+def test_cpu_cost_serializes_the_callbacks_of_one_host_and_delays_no_other() -> None:
+    loop = make_loop()
+    events: list[tuple[str, int]] = []
     slow, quick = Host("slow", cost_us=1_000), Host("quick")
 
     async def work() -> None:
         for _ in range(3):
-            loop.after_us(10, lambda: seen.append(("slow", loop.now_us)), host=slow)
-            loop.after_us(10, lambda: seen.append(("quick", loop.now_us)), host=quick)
+            loop.call_after_us(10, lambda: events.append(("slow", loop.now_us)), host=slow)
+            loop.call_after_us(10, lambda: events.append(("quick", loop.now_us)), host=quick)
         await asyncio.sleep(1.0)
 
     loop.run_until_complete(work())
-    assert sorted(at for name, at in seen if name == "quick") == [10, 10, 10]
-    assert [round(at, -2) for name, at in seen if name == "slow"] == [0, 1_000, 2_000]
+    assert sorted(at for name, at in events if name == "quick") == [10, 10, 10]
+    assert [round(at, -2) for name, at in events if name == "slow"] == [0, 1_000, 2_000]
 
 
 def test_a_killed_hosts_callbacks_never_run() -> None:
-    loop, host = loop_of(), Host("h")
-    seen: list[int] = []
+    loop, host = make_loop(), Host("h")
+    events: list[int] = []
 
     async def work() -> None:
-        loop.after_us(10, seen.append, 1, host=host)
+        loop.call_after_us(10, events.append, 1, host=host)
         host.is_dead = True
         await asyncio.sleep(1.0)
 
     loop.run_until_complete(work())
-    assert seen == []
+    assert events == []
 
 
-def test_a_callback_without_an_end_is_told() -> None:
-    loop = VirtualLoop(1, most_steps=1_000)  # type: ignore[abstract]
+def test_an_endless_chain_of_callbacks_raises_exhausted() -> None:
+    loop = VirtualLoop(1, max_steps=1_000)  # type: ignore[abstract]
 
-    def again() -> None:
-        loop.call_soon(again)
+    def reschedule() -> None:
+        loop.call_soon(reschedule)
 
     async def work() -> None:
-        again()
+        reschedule()
         await asyncio.sleep(1.0)
 
     with pytest.raises(Exhausted):
         loop.run_until_complete(work())
 
 
-# Streams, as code on real sockets sees them
+# Streams, with the behaviour of real sockets
 
 
-class Noted(asyncio.Protocol):
-    """Keeps what happens to one end."""
+class RecordingProtocol(asyncio.Protocol):
+    """Records the events of one end."""
 
     def __init__(self, keeps_open: bool = False) -> None:
-        self.seen: list[str] = []
+        self.events: list[str] = []
         self.data = b""
         self.keeps_open = keeps_open
         self.transport: VirtualTransport
@@ -145,17 +145,17 @@
         self.data += data
 
     def eof_received(self) -> bool:
-        self.seen.append("eof")
+        self.events.append("eof")
         return self.keeps_open
 
     def pause_writing(self) -> None:
-        self.seen.append("pause")
+        self.events.append("pause")
 
     def resume_writing(self) -> None:
-        self.seen.append("resume")
+        self.events.append("resume")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.seen.append("lost" if exc is None else "reset")
+        self.events.append("lost" if exc is None else "reset")
 
 
 class Pair:
@@ -163,39 +163,39 @@
 
     address = ("10.9.0.2", 80)
 
-    def __init__(self, backlog: int = 16, most: int = 100, keeps_open: bool = False) -> None:
-        self.loop = loop_of()
+    def __init__(self, backlog: int = 16, max_descriptors: int = 100, keeps_open: bool = False) -> None:
+        self.loop = make_loop()
         self.wire = Wire(self.loop, random.Random(1))
-        self.here = self.wire.machine(Host("here"), "10.9.0.1", most)
+        self.here = self.wire.machine(Host("here"), "10.9.0.1", max_descriptors)
         self.there = self.wire.machine(Host("there"), "10.9.0.2")
-        self.taken: list[Noted] = []
-        self.listener = VirtualListener(self.there, self._take, self.address, 8, backlog)
+        self.accepted: list[RecordingProtocol] = []
+        self.listener = VirtualListener(self.there, self._accept, self.address, 8, backlog)
         self._keeps_open = keeps_open
 
-    def _take(self) -> Noted:
-        self.taken.append(Noted(self._keeps_open))
-        return self.taken[-1]
+    def _accept(self) -> RecordingProtocol:
+        self.accepted.append(RecordingProtocol(self._keeps_open))
+        return self.accepted[-1]
 
-    async def open(self, machine: Machine | None = None) -> tuple[Noted, Noted]:
-        near: Noted = await (machine or self.here).dial(Noted, self.address)
+    async def open(self, machine: Machine | None = None) -> tuple[RecordingProtocol, RecordingProtocol]:
+        near: RecordingProtocol = await (machine or self.here).dial(RecordingProtocol, self.address)
         await asyncio.sleep(0.01)
-        return near, self.taken[-1]
+        return near, self.accepted[-1]
 
 
-def on_wire(work: Callable[[Pair], Awaitable[None]], **how: Any) -> None:
-    pair = Pair(**how)
+def run_on_pair(work: Callable[[Pair], Awaitable[None]], **options: Any) -> None:
+    pair = Pair(**options)
 
     async def run() -> None:
         async with asyncio.timeout(60.0):
             await work(pair)
 
     pair.loop.run_until_complete(run())
-    assert pair.loop.faults == []
+    assert pair.loop.unhandled_errors == []
 
 
-def test_bytes_come_whole_and_in_order_in_any_pieces() -> None:
+def test_split_writes_arrive_complete_and_in_order() -> None:
     async def work(pair: Pair) -> None:
-        pair.wire.ways.in_pieces, pair.wire.ways.window = 0.9, 500
+        pair.wire.conditions.split_rate, pair.wire.conditions.window_bytes = 0.9, 500
         near, far = await pair.open()
         sent = random.Random(2).randbytes(50_000)
         for start in range(0, len(sent), 7_000):
@@ -203,44 +203,44 @@
         await asyncio.sleep(5.0)
         assert far.data == sent
 
-    on_wire(work)
+    run_on_pair(work)
 
 
 def test_a_reader_that_pauses_fills_the_window_and_pauses_the_writer() -> None:
     async def work(pair: Pair) -> None:
-        pair.wire.ways.window = 1_000
+        pair.wire.conditions.window_bytes = 1_000
         near, far = await pair.open()
         near.transport.set_write_buffer_limits(high=0)
         far.transport.pause_reading()
         near.transport.write(b"x" * 5_000)
         await asyncio.sleep(1.0)
-        assert near.seen == ["pause"] and far.data == b""
+        assert near.events == ["pause"] and far.data == b""
         assert near.transport.get_write_buffer_size() == 4_000
         far.transport.resume_reading()
         await asyncio.sleep(1.0)
-        assert near.seen == ["pause", "resume"] and len(far.data) == 5_000
+        assert near.events == ["pause", "resume"] and len(far.data) == 5_000
 
-    on_wire(work)
+    run_on_pair(work)
 
 
-def test_half_a_close_leaves_the_way_back_open() -> None:
+def test_a_half_closed_stream_still_carries_the_other_direction() -> None:
     async def work(pair: Pair) -> None:
         near, far = await pair.open()
         near.transport.write(b"ask")
         near.transport.write_eof()
         await asyncio.sleep(0.1)
-        assert far.seen == ["eof"] and far.data == b"ask"
+        assert far.events == ["eof"] and far.data == b"ask"
         far.transport.write(b"answer")
         await asyncio.sleep(0.1)
         assert near.data == b"answer"
         far.transport.close()
         await asyncio.sleep(0.1)
-        assert near.seen == ["eof", "lost"] and far.seen == ["eof", "lost"]
+        assert near.events == ["eof", "lost"] and far.events == ["eof", "lost"]
 
-    on_wire(work, keeps_open=True)
+    run_on_pair(work, keeps_open=True)
 
 
-def test_an_end_that_closes_with_bytes_unread_resets_the_other() -> None:
+def test_closing_with_unread_bytes_resets_the_other_end() -> None:
     async def work(pair: Pair) -> None:
         near, far = await pair.open()
         far.transport.pause_reading()
@@ -249,24 +249,24 @@
         assert far.transport.has_unread()
         far.transport.close()
         await asyncio.sleep(0.1)
-        assert near.seen == ["reset"]
+        assert near.events == ["reset"]
 
-    on_wire(work)
+    run_on_pair(work)
 
 
-def test_a_request_that_crosses_an_end_is_reset() -> None:
+def test_a_write_that_crosses_a_close_is_reset() -> None:
     async def work(pair: Pair) -> None:
         near, far = await pair.open()
         far.transport.close()
         near.transport.write(b"crossing")
         await asyncio.sleep(0.1)
         assert far.data == b""
-        assert near.seen[-1] in ("lost", "reset")
+        assert near.events[-1] in ("lost", "reset")
 
-    on_wire(work)
+    run_on_pair(work)
 
 
-def test_an_end_that_shuts_its_socket_hears_nothing_more() -> None:
+def test_an_end_that_shut_down_receives_nothing_more() -> None:
     async def work(pair: Pair) -> None:
         near, far = await pair.open()
         near.transport.shutdown()
@@ -275,46 +275,46 @@
         assert near.data == b""
         near.transport.abort()
         await asyncio.sleep(0.1)
-        assert near.seen == ["lost"]
+        assert near.events == ["lost"]
 
-    on_wire(work)
+    run_on_pair(work)
 
 
-def test_dials_are_refused_unheard_left_waiting_or_short_of_descriptors() -> None:
+def test_dials_are_refused_time_out_in_a_partition_or_lack_descriptors() -> None:
     async def work(pair: Pair) -> None:
         with pytest.raises(ConnectionRefusedError):
-            await pair.here.dial(Noted, ("10.9.0.2", 81))
+            await pair.here.dial(RecordingProtocol, ("10.9.0.2", 81))
         pair.wire.cut("here", "there")
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.5):
                 await pair.open()
         pair.wire.heal("here", "there")
         near, _ = await pair.open()
-        pair.here.most = 1
+        pair.here.max_descriptors = 1
         with pytest.raises(OSError, match="too many open files"):
             await pair.open()
         near.transport.close()
         await asyncio.sleep(0.1)
         await pair.open()
 
-    on_wire(work)
+    run_on_pair(work)
 
 
-def test_a_full_backlog_is_not_heard_until_the_next_try() -> None:
+def test_a_full_backlog_drops_dials_until_the_syn_is_resent() -> None:
     async def work(pair: Pair) -> None:
-        pair.there.most = 0  # it accepts nobody
-        dials = [asyncio.ensure_future(pair.here.dial(Noted, pair.address)) for _ in range(4)]
+        pair.there.max_descriptors = 0  # no descriptor to accept with
+        dials = [asyncio.ensure_future(pair.here.dial(RecordingProtocol, pair.address)) for _ in range(4)]
         await asyncio.sleep(0.5)
-        assert [each.done() for each in dials].count(True) == 2  # their connections wait to be accepted
-        pair.there.most = 100
-        pair.there.freed()
+        assert [dial.done() for dial in dials].count(True) == 2  # their connections are in the backlog
+        pair.there.max_descriptors = 100
+        pair.there.descriptor_freed()
         await asyncio.sleep(1.0)
-        assert all(each.done() for each in dials) and len(pair.taken) == 4
+        assert all(dial.done() for dial in dials) and len(pair.accepted) == 4
 
-    on_wire(work, backlog=2)
+    run_on_pair(work, backlog=2)
 
 
-def test_what_is_cut_off_comes_when_the_way_is_open_again() -> None:
+def test_bytes_stopped_by_a_partition_arrive_after_it_heals() -> None:
     async def work(pair: Pair) -> None:
         near, far = await pair.open()
         pair.wire.cut("here", "there")
@@ -326,53 +326,53 @@
         await asyncio.sleep(0.1)
         assert far.data == b"late"
 
-    on_wire(work)
+    run_on_pair(work)
 
 
-def test_a_stream_breaks_at_its_byte() -> None:
+def test_a_stream_is_reset_at_the_given_byte() -> None:
     async def work(pair: Pair) -> None:
         for at in (1, 5, 9, 10):
             near, far = await pair.open()
-            near.transport.out.breaks_at = at
+            near.transport.outbound.reset_at = at
             near.transport.write(b"0123456789")
             await asyncio.sleep(0.1)
-            assert near.seen == ["reset"] and far.seen == ["reset"]
+            assert near.events == ["reset"] and far.events == ["reset"]
             assert far.data in (b"", b"0123456789"[:at])
 
-    on_wire(work)
+    run_on_pair(work)
 
 
-def test_datagrams_are_lost_doubled_and_late() -> None:
-    class Ear(asyncio.DatagramProtocol):
+def test_datagrams_are_lost_duplicated_and_delayed() -> None:
+    class DatagramRecorder(asyncio.DatagramProtocol):
         def __init__(self) -> None:
-            self.heard: list[bytes] = []
-            self.out: Any = None
+            self.received: list[bytes] = []
+            self.transport: Any = None
 
         def connection_made(self, transport: Any) -> None:
-            self.out = transport
+            self.transport = transport
 
         def datagram_received(self, data: bytes, addr: Any) -> None:
-            self.heard.append(data)
+            self.received.append(data)
 
     async def work(pair: Pair) -> None:
-        here, there = Ear(), Ear()
+        here, there = DatagramRecorder(), DatagramRecorder()
         await VirtualNetwork(pair.here).datagrams(lambda: here, ("10.9.0.1", 9))
         await VirtualNetwork(pair.there).datagrams(lambda: there, ("10.9.0.2", 9))
-        ways = pair.wire.ways
-        ways.lost, ways.doubled, ways.late_us = 0.3, 0.3, 10_000
+        conditions = pair.wire.conditions
+        conditions.loss_rate, conditions.duplicate_rate, conditions.extra_delay_us = 0.3, 0.3, 10_000
         sent = [bytes([number]) for number in range(200)]
-        for each in sent:
-            here.out.sendto(each, ("10.9.0.2", 9))
+        for datagram in sent:
+            here.transport.sendto(datagram, ("10.9.0.2", 9))
         await asyncio.sleep(1.0)
-        heard = there.heard
-        assert 20 < len(set(sent) - set(heard)) < 80  # some are lost
-        assert len(heard) > len(set(heard))  # some come twice
-        assert heard != sorted(heard)  # and not in order
+        received = there.received
+        assert 20 < len(set(sent) - set(received)) < 80  # some are lost
+        assert len(received) > len(set(received))  # some are duplicated
+        assert received != sorted(received)  # and some are reordered
 
-    on_wire(work)
+    run_on_pair(work)
 
 
-# Whole days
+# Simulated days
 
 
 @pytest.fixture(scope="module")
@@ -380,69 +380,69 @@
     return play_many(*SEEDS, jobs=1)
 
 
-def test_no_rule_breaks_on_drawn_days(days: Tally) -> None:
-    assert [f"seed {each.seed}: {each.first}" for each in days.failures] == []
+def test_no_oracle_reports_a_violation_in_a_seed_sweep(days: Tally) -> None:
+    assert [f"seed {failure.seed}: {failure.first}" for failure in days.failures] == []
 
 
-def test_no_day_is_empty_and_all_that_can_happen_does(days: Tally) -> None:
+def test_a_seed_sweep_covers_every_event_and_no_day_is_empty(days: Tally) -> None:
     assert days.empty == []
-    assert [each for each in MUST_OCCUR if not days.counts[each]] == []
+    assert [key for key in MUST_OCCUR if not days.counts[key]] == []
 
 
-def test_a_seed_plays_the_same_day_in_any_process(days: Tally) -> None:
+def test_a_seed_gives_the_same_trace_hash_in_any_process(days: Tally) -> None:
     first, last = SEEDS[0], SEEDS[0] + 8
     probe = (
         "import sys; from micadeck.simulation.seed_sweep import play_many\n"
         f"if __name__ == '__main__': print(sorted(play_many({first}, {last}, jobs=1).digests.items()))"
     )
-    wanted = str(sorted((seed, days.digests[seed]) for seed in range(first, last)))
+    expected = str(sorted((seed, days.digests[seed]) for seed in range(first, last)))
     for salt in ("0", "4711"):
         environ = {**os.environ, "PYTHONHASHSEED": salt}
-        told = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", probe], cwd=ROOT, env=environ, capture_output=True, text=True, check=True
         )
-        assert told.stdout.strip() == wanted
-    beside = play_many(first, last, jobs=8)
-    assert str(sorted(beside.digests.items())) == wanted
+        assert completed.stdout.strip() == expected
+    parallel = play_many(first, last, jobs=8)
+    assert str(sorted(parallel.digests.items())) == expected
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_broken_build_is_found(name: str) -> None:
+def test_the_oracles_find_each_mutant(name: str) -> None:
     mutant, rules = MUTANTS[name]
     with mutant():
-        assert any(rules & {*play(draw(seed)).rules} for seed in range(AMONG))
+        assert any(rules & {*play(draw(seed)).rules} for seed in range(MUTANT_SEEDS))
 
 
 @pytest.mark.parametrize("file", SCENARIOS, ids=lambda file: file.stem)
-def test_a_written_day_goes_as_it_says(file: Path) -> None:
+def test_a_scenario_file_violates_what_it_expects(file: Path) -> None:
     day = read(file)
     assert play(day).rules == list(day.expect)
 
 
-def test_a_day_that_breaks_a_rule_is_made_small() -> None:
+def test_shrinking_keeps_the_violation() -> None:
     mutant, _ = MUTANTS["what may have run is refused"]
     with mutant():
-        seed = next(s for s in range(AMONG) if "a refusal is harmless" in play(draw(s)).rules)
+        seed = next(s for s in range(MUTANT_SEEDS) if "a refusal is harmless" in play(draw(s)).rules)
 
         def fails(day: Scenario) -> bool:
             return "a refusal is harmless" in play(day).rules
 
-        small = shrink(draw(seed), fails, most=150)
-        assert fails(small)
-    assert len(small.faults) <= 2 and len(orders(small)) <= 3
-    assert play(small).violations == []
+        shrunk = shrink(draw(seed), fails, max_runs=150)
+        assert fails(shrunk)
+    assert len(shrunk.faults) <= 2 and len(orders(shrunk)) <= 3
+    assert play(shrunk).violations == []
 
 
-def test_leaving_a_request_out_changes_no_other() -> None:
+def test_leaving_orders_out_does_not_change_the_others() -> None:
     day = draw(5)
-    some = msgspec.structs.replace(day, only=(3, 7, 20))
-    assert orders(some) == [each for each in orders(day) if each.number in (3, 7, 20)]
+    subset = msgspec.structs.replace(day, only=(3, 7, 20))
+    assert orders(subset) == [order for order in orders(day) if order.number in (3, 7, 20)]
 
 
 # The commands
 
 
-def test_a_scenario_comes_back_as_it_was_written(tmp_path: Path) -> None:
+def test_a_scenario_file_round_trips(tmp_path: Path) -> None:
     for seed in range(20):
         file = tmp_path / f"{seed}.toml"
         write(draw(seed), file)
@@ -459,21 +459,21 @@
         ('seed = 1\nrate = "many"\n', "rate"),
     ],
 )
-def test_nonsense_in_a_scenario_names_its_key(tmp_path: Path, text: str, named: str) -> None:
+def test_the_error_for_an_invalid_scenario_names_the_key(tmp_path: Path, text: str, named: str) -> None:
     file = tmp_path / "day.toml"
     file.write_text(text)
-    told = CliRunner().invoke(main, ["scenario", str(file)])
-    assert told.exit_code == 1 and named in told.output
+    result = CliRunner().invoke(main, ["scenario", str(file)])
+    assert result.exit_code == 1 and named in result.output
 
 
-def test_the_commands_play_replay_and_tell_how(tmp_path: Path) -> None:
+def test_run_and_replay_print_traces_failures_and_their_seeds(tmp_path: Path) -> None:
     run = CliRunner().invoke(main, ["run", "--seeds", "200:204", "--jobs", "1"])
     assert run.exit_code == 0 and "4 days in" in run.output and "0 days broke a rule" in run.output
-    account = tmp_path / "account"
-    one = CliRunner().invoke(main, ["replay", "200", "--trace", str(account)])
-    again = CliRunner().invoke(main, ["replay", "200"])
-    assert one.exit_code == 0 and account.read_text() in again.output
-    assert play(draw(200)).digest in one.output
+    trace_file = tmp_path / "trace"
+    first = CliRunner().invoke(main, ["replay", "200", "--trace", str(trace_file)])
+    second = CliRunner().invoke(main, ["replay", "200"])
+    assert first.exit_code == 0 and trace_file.read_text() in second.output
+    assert play(draw(200)).digest in first.output
     mutant, _ = MUTANTS["a failure is not answered"]
     with mutant():
         broken = CliRunner().invoke(main, ["run", "--seeds", "0:25", "--jobs", "1"])
@@ -481,7 +481,7 @@
     assert CliRunner().invoke(main, ["run", "--seeds", "4:4"]).exit_code == 2
 
 
-def test_every_kind_of_fault_is_played() -> None:
+def test_every_kind_of_fault_is_injected() -> None:
     day = Scenario(1, faults=tuple(Fault(1.0, kind, 0.3, amount=4.0) for kind in Kind))
     result = play(day)
     assert {f"fault {kind.value}" for kind in Kind} <= result.counts.keys()
--- a/tests/test_watch_health.py
+++ b/tests/test_watch_health.py
@@ -105,8 +105,10 @@
     updates: list[tuple[float, EndpointUpdate]] = []
 
     async def work() -> None:
-        agent.up()
-        roster = DiscoveryWatcher(network, agent.place, 0, WatchOptions(pushed, int(allowed_s * S), seed=4))
+        agent.start_listening()
+        roster = DiscoveryWatcher(
+            network, agent.listen_address, 0, WatchOptions(pushed, int(allowed_s * S), seed=4)
+        )
 
         def failed() -> None:
             loop.call_later(0.5, roster.watch, True)
@@ -137,7 +139,7 @@
                 agent._wire.loop.call_later(0.01, look)
             else:
                 agent.put("s-1", "10.1.0.1:80", "leaving")
-                agent.late_s.append(late_s)
+                agent.delays_s.append(late_s)
 
         agent._wire.loop.call_later(0.01, look)
 
@@ -220,7 +222,7 @@
 def test_a_suspicion_starts_nothing_while_discovery_is_down_or_slow(pushed: bool) -> None:
     def calls(suspicions: int) -> list[tuple[float, str]]:
         def then(agent: Agent, roster: DiscoveryWatcher) -> None:
-            agent.late_s.append(3.0)
+            agent.delays_s.append(3.0)
             for number in range(suspicions):
                 agent._wire.loop.call_later(0.1 + number / 1e2, roster.suspect_stale)
 
@@ -234,7 +236,7 @@
 
 def test_a_suspicion_while_discovery_was_slow_does_not_hide_later_ones() -> None:
     def then(agent: Agent, roster: DiscoveryWatcher) -> None:
-        agent.late_s.append(1.5)  # its first answer is due after the renewal
+        agent.delays_s.append(1.5)  # its first answer is due after the renewal
         agent._wire.loop.call_later(0.1, roster.suspect_stale)
         agent._wire.loop.call_later(4.4, roster.suspect_stale)
 
