--- a/micadeck/simulation/clients.py
+++ b/micadeck/simulation/clients.py
@@ -71,7 +71,7 @@
         self.observer = observer
         self.early_disconnect_rates: list[float] = []  # probabilities that a client disconnects early
         self.idle: list[Connection] = []
-        self.all: dict[Connection, None] = {}
+        self.connections: dict[Connection, None] = {}
         self._waiting: deque[ClientRequest] = deque()
         self._max_connections = max_connections
         self._reconnects = reconnects
@@ -93,17 +93,17 @@
     def _send_request(self, request: ClientRequest) -> None:
         if self.idle:
             self.idle.pop().send(request)
-        elif len(self.all) < self._max_connections or self._reconnects:
+        elif len(self.connections) < self._max_connections or self._reconnects:
             self.machine.wire.loop.create_task(self._dial(request))
         else:
             self._waiting.append(request)
 
     async def _dial(self, request: ClientRequest) -> None:
-        made: list[Connection] = []
+        created: list[Connection] = []
 
         def make() -> Connection:
             connection = Connection(self)
-            made.append(connection)
+            created.append(connection)
             return connection
 
         try:
@@ -114,9 +114,9 @@
                 self.retry(request, _RETRY_DELAY_S)
             return
         if self._is_closed:
-            made[0].transport.close()
+            created[0].transport.close()
         else:
-            made[0].send(request)
+            created[0].send(request)
 
     def release(self, connection: Connection) -> None:
         if self._waiting:
@@ -125,17 +125,17 @@
             self.idle.append(connection)
 
     def remove(self, connection: Connection) -> None:
-        self.all.pop(connection, None)
+        self.connections.pop(connection, None)
         if connection in self.idle:
             self.idle.remove(connection)
-        if self._waiting and len(self.all) < self._max_connections:
+        if self._waiting and len(self.connections) < self._max_connections:
             self._send_request(self._waiting.popleft())
 
     def close(self) -> None:
         """End the run: close all connections; open requests are due no answer."""
         self._waiting.clear()
         self._is_closed = True
-        for connection in list(self.all):
+        for connection in list(self.connections):
             connection.abandon()
 
 
@@ -147,13 +147,13 @@
         self._requests: deque[ClientRequest] = deque()  # unanswered requests, in order
         self._parser = httptools.HttpResponseParser(self)
         self._body = b""
-        self._answers = 0
+        self._answer_count = 0
         self._retry_after = b""
         self.transport: VirtualTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(VirtualTransport, transport)
-        self._clients.all[self] = None
+        self._clients.connections[self] = None
 
     def send(self, request: ClientRequest) -> None:
         loop, draws = self._clients.machine.wire.loop, request.order.draws
@@ -207,7 +207,7 @@
         requests, self._requests = self._requests, deque()
         for request in requests:
             if request.sent_at:
-                self._clients.observer.on_connection_closed(request, not self._answers)
+                self._clients.observer.on_connection_closed(request, not self._answer_count)
             else:
                 self._clients.retry(request, 0.0)
 
@@ -241,7 +241,7 @@
         clients = self._clients
         request = self._requests.popleft() if self._requests else None
         status = self._parser.get_status_code()
-        self._answers += 1
+        self._answer_count += 1
         clients.observer.on_answer(request, status, self._body, self._accepted_at)
         if request is None:
             return
--- a/micadeck/simulation/servers.py
+++ b/micadeck/simulation/servers.py
@@ -146,9 +146,9 @@
             duration_s = job.work_s / self.capacity_share(now)
             for factor in self.health.slowdown_factors:
                 duration_s *= factor
-            self.wire.loop.call_after_us(int(duration_s * 1e6), self._done, job, host=self.machine.host)
+            self.wire.loop.call_after_us(int(duration_s * 1e6), self._complete, job, host=self.machine.host)
 
-    def _done(self, job: Job) -> None:
+    def _complete(self, job: Job) -> None:
         self._running -= 1
         if not job.is_abandoned and not self.health.hang_count:
             job.connection.answer(self._answer(job))
--- a/micadeck/simulation/wire.py
+++ b/micadeck/simulation/wire.py
@@ -137,7 +137,7 @@
         self.datagrams: dict[VirtualDatagrams, None] = {}
         self._next_port = 40_000
 
-    def port(self) -> int:
+    def next_port(self) -> int:
         self._next_port += 1
         return self._next_port
 
@@ -173,7 +173,7 @@
 def _pair(
     wire: Wire, near: Machine, far: Machine, address: Address
 ) -> tuple[VirtualTransport, VirtualTransport]:
-    local = (near.address, near.port())
+    local = (near.address, near.next_port())
     outbound, inbound = Pipe(wire), Pipe(wire)
     ends = (
         VirtualTransport(wire, near, outbound, inbound, local, address),
