--- a/micadeck/mysql/__init__.py
+++ b/micadeck/mysql/__init__.py
@@ -1,5 +1,5 @@
-"""MySQL on the wire: clients and servers carried on the engine, under its rules.
+"""The MySQL service: carries statements through an engine.
 
-`protocol` reads and writes packets; `statements`, `routes`, `session`, `fates` and `pool` choose and do no
-I/O; `link`, `carrier` and `front` are the sockets; `service` puts them together.
+`protocol` reads and writes packets; `statements`, `routes`, `session`, `error_mapping` and `pool` do no I/O;
+`client_session`, `listener`, `server_connection` and `transport` do; `service` connects them.
 """
--- a/micadeck/mysql/__main__.py
+++ b/micadeck/mysql/__main__.py
@@ -1,4 +1,4 @@
-"""`micadeck mysql`: serve by itself, check its file, make a user's entry, explain a statement.
+"""`micadeck mysql`: serve, check a file, print a user's entry, explain a statement.
 
 Exit codes: 0, 1 if it can't listen, 2 if the configuration is bad.
 """
@@ -22,14 +22,14 @@
 from micadeck.mysql.statements import StatementReader
 from micadeck.network import LoopNetwork, format_address
 
-_DRAIN_S = 4.0
+_DRAIN_TIMEOUT_S = 4.0
 
 
 def _load(path: str) -> MysqlConfig:
     try:
         return load(path)
-    except MysqlConfigError as fault:
-        print(f"micadeck: mysql: {fault}".replace("\n", " "), file=sys.stderr)
+    except MysqlConfigError as error:
+        print(f"micadeck: mysql: {error}".replace("\n", " "), file=sys.stderr)
         raise SystemExit(2) from None
 
 
@@ -39,19 +39,19 @@
 
 @click.group(name="mysql")
 def command() -> None:
-    """MySQL on the wire."""
+    """Run and check the MySQL service."""
 
 
 @command.command()
 @click.argument("path", type=click.Path(dir_okay=False))
 def serve(path: str) -> None:
-    """Serve MySQL clients as PATH says, until SIGTERM; SIGHUP reads it anew."""
+    """Serve MySQL clients as PATH says, until SIGTERM; SIGHUP reloads it."""
     config = _load(path)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(_serve(config, path))
-    except OSError as fault:
-        print(f"micadeck: can't listen: {fault}", file=sys.stderr)
+    except OSError as error:
+        print(f"micadeck: can't listen: {error}", file=sys.stderr)
         raise SystemExit(1) from None
 
 
@@ -63,8 +63,8 @@
     def reload() -> None:
         try:
             service.reload(load(path))
-        except MysqlConfigError as fault:
-            _log(f"reload: the old configuration stays in force: {fault}".replace("\n", " "))
+        except MysqlConfigError as error:
+            _log(f"reload: the old configuration stays in force: {error}".replace("\n", " "))
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -73,27 +73,30 @@
     _log(f"mysql: {config.name} serves on {config.listen[0]}:{service.port}")
     await stop.wait()
     _log("draining")
-    await service.drain(_DRAIN_S)
+    await service.drain(_DRAIN_TIMEOUT_S)
     _log("drained")
 
 
 @command.command()
 @click.argument("path", type=click.Path(dir_okay=False))
 def check(path: str) -> None:
-    """Check PATH, and print what it comes to; no secret is shown."""
+    """Check PATH and print its settings without secrets."""
     config = _load(path)
     table = Table("what", "is")
     table.add_row("listens", format_address(config.listen))
     roster = format_address(config.discovery) if config.discovery is not None else "-"
-    consul = ", ".join(each.name for each in config.consul.services) if config.consul is not None else "-"
+    consul = (
+        ", ".join(service.name for service in config.consul.services) if config.consul is not None else "-"
+    )
     table.add_row("servers", f"roster {roster}; consul {consul}; {len(config.known.entries)} in the file")
     for user in config.users.values():
-        ways = "caching_sha2_password" + (", mysql_native_password" if user.native else "")
+        plugins = "caching_sha2_password" + (", mysql_native_password" if user.native else "")
         schemas = "any schema" if user.schemas is None else ", ".join(sorted(user.schemas))
-        table.add_row(f"user {user.name}", f"{ways}; {schemas}")
-    for each in config.settings.classes:
-        spans = f"aim {each.latency_objective_us // 1_000} ms, deadline {each.deadline_us // 1_000} ms"
-        table.add_row(f"class {each.name}", f"{each.idempotency.value}; {spans}")
+        table.add_row(f"user {user.name}", f"{plugins}; {schemas}")
+    for service_class in config.settings.classes:
+        aim_us, deadline_us = service_class.latency_objective_us, service_class.deadline_us
+        times = f"aim {aim_us // 1_000} ms, deadline {deadline_us // 1_000} ms"
+        table.add_row(f"class {service_class.name}", f"{service_class.idempotency.value}; {times}")
     Console(highlight=False).print(table)
 
 
@@ -101,9 +104,9 @@
 @click.option(
     "--native/--no-native", default=False, help="Also for mysql_native_password, which is unsalted."
 )
-@click.password_option(help="Asked for if it is not given.")
+@click.password_option(help="Prompted for if not given.")
 def password(password: str, native: bool) -> None:
-    """Print the entry that a user's password takes in the file."""
+    """Print the entry for a user's password in the file."""
     secret = password.encode()
     click.echo(f'verifier = "{Verifier.of(secret).text()}"')
     if native:
@@ -113,21 +116,21 @@
 @command.command()
 @click.argument("path", type=click.Path(dir_okay=False))
 @click.argument("statement")
-@click.option("--user", default="", help="As whom it comes.")
-@click.option("--schema", default="", help="With which schema.")
+@click.option("--user", default="", help="The user that sends it.")
+@click.option("--schema", default="", help="The selected schema.")
 def explain(path: str, statement: str, user: str, schema: str) -> None:
-    """Say what STATEMENT is taken for, and by which class it would go."""
+    """Print how STATEMENT is classified and routed."""
     config = _load(path)
     read = StatementReader().read(statement.encode())
-    classes = {each.name: each for each in config.settings.classes}
-    routes = Routes(config.rules, classes, [each.name for each in config.settings.tenants])
+    classes = {service_class.name: service_class for service_class in config.settings.classes}
+    routes = Routes(config.rules, classes, [tenant.name for tenant in config.settings.tenants])
     route = routes.route(read, user, schema, is_bound=False)
     click.echo(
         f"kind      {read.kind.value}{', ' + str(read.count) + ' statements' if read.count > 1 else ''}"
     )
     click.echo(f"class     {route.service_class} ({'may' if route.is_safe else 'must not'} run again)")
     click.echo(f"deadline  {route.deadline_us // 1_000} ms")
-    for pin in sorted(each.value for each in read.pins):
+    for pin in sorted(pin.value for pin in read.pins):
         click.echo(f"pins      {pin}")
     if read.refusal is not None:
         click.echo(f"refused   {read.refusal.value}")
--- a/micadeck/mysql/client_session.py
+++ b/micadeck/mysql/client_session.py
@@ -1,7 +1,6 @@
-"""One MySQL client: log-in, one command at a time, and for each exactly one final answer.
+"""A MySQL client's connection: log-in, then one command at a time, each with exactly one final answer.
 
-What a session may do and what a lost statement's answer is are settled in `session` and `error_mapping`;
-here it is read and written.
+The session's state is in `session`, the errors for failed statements in `error_mapping`.
 """
 
 from __future__ import annotations
@@ -41,7 +40,7 @@
 from micadeck.mysql.response_writer import ResponseWriter
 from micadeck.mysql.running_statement import RunningStatement
 from micadeck.mysql.server_connection import ServerConnection
-from micadeck.mysql.session import Handle, Session, TooMuch
+from micadeck.mysql.session import Handle, LimitError, Session
 from micadeck.mysql.statements import Kind, Pin, Refusal, Statement
 from micadeck.mysql.transport import Response, StatementRequest
 from micadeck.network import Timer
@@ -68,187 +67,187 @@
     | Capability.DEPRECATE_EOF
 )
 VERSION = b"8.0.36-micadeck"
-_MOST_AT_LOGIN = 1 << 16
-_MOST_AHEAD = 1 << 16  # bytes that a client may send behind a statement that is not answered
+_MAX_LOGIN_PACKET_BYTES = 1 << 16
+_MAX_PIPELINED = 1 << 16  # bytes that a client may send while a statement runs
 _READ = Statement(Kind.READ, pure_calls=True)
-_TIME_SPARE_US = 5_000  # the decisions give up a few ticks before the time is over
-_DIAGNOSTICS_S = 0.5  # how long what a statement left is kept for a client to ask for
+_DEADLINE_SLACK_US = 5_000  # the decision module gives up a few ticks before the deadline
+_DIAGNOSTICS_RETENTION_S = 0.5  # how long a connection is kept for SHOW WARNINGS and the like
 
 _SHUTDOWN = Err(ErrorCode.SERVER_SHUTDOWN, "08S01", "the balancer is going down; the statement was not run")
 
 
 class ClientSession(asyncio.Protocol):
-    """One client's connection."""
+    """Reads commands and writes answers."""
 
-    def __init__(self, front: MysqlListener, number: int) -> None:
-        self.front = front
+    def __init__(self, listener: MysqlListener, number: int) -> None:
+        self.listener = listener
         self._number = number
         self._commands = 0
-        self._packets = PacketReader(_MOST_AT_LOGIN)
-        self._counted = 0  # of the front's `read`
+        self._packets = PacketReader(_MAX_LOGIN_PACKET_BYTES)
+        self._counted_bytes = 0  # included in the listener's `unfinished_bytes`
         self._writer = ResponseWriter()
         self._transport: asyncio.Transport | None = None
         self._salt = new_salt()
-        self._gate: ServerAuthentication | None = None
-        self._pending: HandshakeResponse | ChangeUser | None = None
+        self._auth: ServerAuthentication | None = None
+        self._login: HandshakeResponse | ChangeUser | None = None
         self.session: Session | None = None
         self._user: User | None = None
         self._running: RunningStatement | None = None
-        self._link: ServerConnection | None = None  # while the session is bound to one
-        self._is_lost = False  # the connection it was bound to ended, and the client has not been told
-        self._is_choked = False  # what was written to it lies unread
-        self._is_held = False  # it is read no further until its statement is answered
+        self._bound: ServerConnection | None = None  # the connection that the session is bound to
+        self._is_bound_lost = False  # it ended, and the client does not know yet
+        self._is_write_paused = False  # the client leaves answers unread
+        self._is_read_paused = False  # until the running statement is answered
         self._is_closing = False
         self._timer: Timer | None = None
-        self._stall: Timer | None = None
+        self._stall_timer: Timer | None = None
 
     @property
     def is_busy(self) -> bool:
-        return self._running is not None or self._link is not None
+        return self._running is not None or self._bound is not None
 
-    # What the event loop calls
+    # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = self._writer.transport = cast(asyncio.Transport, transport)
-        front = self.front
-        if len(front.clients) >= front.limits.most_clients or front.is_draining:
+        listener = self.listener
+        if len(listener.clients) >= listener.limits.max_clients or listener.is_draining:
             self._writer.write(Err(ErrorCode.CON_COUNT, "08004", "Too many connections").encode())
-            self._close_soon()
+            self._close_after_write()
             return
-        front.clients.add(self)
+        listener.clients.add(self)
         handshake = Handshake(VERSION, self._number & 0xFFFFFFFF, self._salt, OFFERED)
         self._writer.write(handshake.encode())
         self._packets.sequence = 1
-        self._set_timer(front.limits.login_s, self.close)
+        self._set_timer(listener.limits.login_s, self.close)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._gone()
+        self._finish_close()
 
     def data_received(self, data: bytes) -> None:
         if self._is_closing:
             return
         self._packets.feed(data)
-        self._count()
-        if self.front.read > self.front.limits.most_read:
-            self._fatal(Err(ErrorCode.PACKET_TOO_LARGE, "08S01", "too many bytes of unfinished packets"))
+        self._count_unfinished()
+        if self.listener.unfinished_bytes > self.listener.limits.max_unfinished_bytes:
+            self._close_with(Err(ErrorCode.PACKET_TOO_LARGE, "08S01", "too many bytes of unfinished packets"))
             return
-        self._next()
-        if self._running is not None and self._packets.size > _MOST_AHEAD and self._transport is not None:
-            # Guards others: one client that sends on and on must not take the room of all.
-            self._is_held = True
+        self._read_commands()
+        if self._running is not None and self._packets.size > _MAX_PIPELINED and self._transport is not None:
+            # One client that keeps sending must not use up the limit that all clients share.
+            self._is_read_paused = True
             self._transport.pause_reading()
 
     def pause_writing(self) -> None:
-        self._is_choked = True
+        self._is_write_paused = True
         if (
             self._running is not None
             and self._running.stream is not None
             and self._running.stream.connection is not None
         ):
             self._running.stream.connection.pause_reading()
-        self._stall = self.front.network.call_later(self.front.limits.stall_s, self.close)
+        self._stall_timer = self.listener.network.call_later(self.listener.limits.stall_s, self.close)
 
     def resume_writing(self) -> None:
-        self._is_choked = False
-        if self._stall is not None:
-            self._stall.cancel()
+        self._is_write_paused = False
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
         if (
             self._running is not None
             and self._running.stream is not None
             and self._running.stream.connection is not None
         ):
             self._running.stream.connection.resume_reading()
-        self._next()
+        self._read_commands()
 
     # Reading
 
-    def _count(self) -> None:
+    def _count_unfinished(self) -> None:
         now = self._packets.size
-        self.front.read += now - self._counted
-        self._counted = now
+        self.listener.unfinished_bytes += now - self._counted_bytes
+        self._counted_bytes = now
 
-    def _next(self) -> None:
-        """Take commands while none is out."""
+    def _read_commands(self) -> None:
+        """Handle commands while none is running."""
         try:
-            while not self._is_closing and self._running is None and not self._is_choked:
-                is_command = self.session is not None and self._gate is None
+            while not self._is_closing and self._running is None and not self._is_write_paused:
+                is_command = self.session is not None and self._auth is None
                 payload = self._packets.next(from_zero=is_command)
-                self._count()
+                self._count_unfinished()
                 if payload is None:
-                    self._read_on()
+                    self._resume_reading()
                     return
                 self._writer.sequence = self._packets.sequence
                 if is_command:
-                    self._command(payload)
+                    self._handle_command(payload)
                 else:
-                    self._logging_in(payload)
-        except PacketTooLargeError as fault:
-            self._writer.sequence = (self._packets.sequence + 1) & 0xFF  # the packet was not read to its end
-            self._fatal(Err(ErrorCode.PACKET_TOO_LARGE, "08S01", str(fault)))
-        except ProtocolError as fault:
-            # Only the connection phase, and packets themselves, end in this: commands are answered.
-            self._fatal(Err(ErrorCode.HANDSHAKE, "08S01", str(fault)))
-
-    def _read_on(self) -> None:
-        if self._is_held and self._transport is not None and not self._transport.is_closing():
-            self._is_held = False
+                    self._handle_login(payload)
+        except PacketTooLargeError as error:
+            self._writer.sequence = (self._packets.sequence + 1) & 0xFF  # the packet was not consumed
+            self._close_with(Err(ErrorCode.PACKET_TOO_LARGE, "08S01", str(error)))
+        except ProtocolError as error:
+            # From log-in or packet framing: errors in commands are answered in `_handle_command`.
+            self._close_with(Err(ErrorCode.HANDSHAKE, "08S01", str(error)))
+
+    def _resume_reading(self) -> None:
+        if self._is_read_paused and self._transport is not None and not self._transport.is_closing():
+            self._is_read_paused = False
             self._transport.resume_reading()
 
     # Logging in
 
-    def _logging_in(self, payload: bytes) -> None:
-        if self._gate is not None:
-            self._step(self._gate.read(payload))
+    def _handle_login(self, payload: bytes) -> None:
+        if self._auth is not None:
+            self._auth_step(self._auth.read(payload))
             return
         response = HandshakeResponse.decode(payload)
         self._writer.capabilities = response.capabilities & OFFERED
-        self._pending = response
-        self._gate = ServerAuthentication(self.front.users, self._salt, "client")
-        self._step(self._gate.begin(response.user, response.plugin, response.auth_response))
+        self._login = response
+        self._auth = ServerAuthentication(self.listener.users, self._salt, "client")
+        self._auth_step(self._auth.begin(response.user, response.plugin, response.auth_response))
 
-    def _step(self, step: AuthStep) -> None:
+    def _auth_step(self, step: AuthStep) -> None:
         match step:
             case SendPacket(payload):
                 self._writer.write(payload)
                 self._packets.sequence = self._writer.sequence
             case PasswordCheck():
-                self.front.spawn(step, self)
+                self.listener.check_password(step, self)
             case AccessDenied(error):
-                user = self._pending.user.decode("utf-8", "replace") if self._pending else ""
-                self.front.log(f"mysql: log-in of {user!r:.60} denied")
-                self._fatal(error)
+                user = self._login.user.decode("utf-8", "replace") if self._login else ""
+                self.listener.log(f"mysql: log-in of {user!r:.60} denied")
+                self._close_with(error)
             case Authenticated(user, first):
                 if first is not None:
                     self._writer.write(first)
-                self._admitted(user)
-
-    def checked(self, fits: bool) -> None:
-        if self._gate is not None and not self._is_closing:
-            self._step(self._gate.password_checked(fits))
-            self._next()
-
-    def _admitted(self, user: User) -> None:
-        pending, self._pending, self._gate = self._pending, None, None
-        assert pending is not None
-        names = names_of(pending.charset)
-        schema = pending.schema or None
+                self._finish_login(user)
+
+    def password_checked(self, matches: bool) -> None:
+        if self._auth is not None and not self._is_closing:
+            self._auth_step(self._auth.password_checked(matches))
+            self._read_commands()
+
+    def _finish_login(self, user: User) -> None:
+        login, self._login, self._auth = self._login, None, None
+        assert login is not None
+        names = names_of(login.charset)
+        schema = login.schema or None
         if names is None:
-            self._fatal(Err(1115, "42000", f"Unknown character set: {pending.charset}"))
+            self._close_with(Err(1115, "42000", f"Unknown character set: {login.charset}"))
             return
-        if (error := _may_use(user, schema)) is not None:
-            self._fatal(error)
+        if (error := _denied(user, schema)) is not None:
+            self._close_with(error)
             return
-        limits = self.front.limits
+        limits = self.listener.limits
         self._user = user
         self.session = Session(
-            user.name, self._writer.capabilities, names, schema, limits.most_handles, limits.most_long_data
+            user.name, self._writer.capabilities, names, schema, limits.max_handles, limits.max_long_data
         )
-        self._packets.max_payload_bytes = limits.most_in_packet
+        self._packets.max_payload_bytes = limits.max_packet_bytes
         self._answer(Ok())
 
     # Commands
 
-    def _command(self, payload: bytes) -> None:
+    def _handle_command(self, payload: bytes) -> None:
         session = self.session
         assert session is not None
         self._cancel_timer()
@@ -260,21 +259,21 @@
         except ValueError:
             self._refuse(ErrorCode.UNKNOWN_COM, "08S01", f"Unknown command 0x{payload[0]:02x}")
             return
-        if self.front.is_draining and self._link is None and command not in _WITHOUT_SERVER:
-            self._fatal(_SHUTDOWN)
+        if self.listener.is_draining and self._bound is None and command not in _WITHOUT_SERVER:
+            self._close_with(_SHUTDOWN)
             return
         try:
             self._dispatch(command, payload, session)
-        except ProtocolError as fault:
-            if command in _WITHOUT_ANSWER:
-                self._idle()
+        except ProtocolError as error:
+            if command in _WITHOUT_RESPONSE:
+                self._start_idle_timer()
             else:
-                self._refuse(ErrorCode.MALFORMED_PACKET, "HY000", str(fault))
-        except TooMuch as fault:
-            if command in _WITHOUT_ANSWER:
-                self._fatal(Err(ErrorCode.PACKET_TOO_LARGE, "08S01", str(fault)))
+                self._refuse(ErrorCode.MALFORMED_PACKET, "HY000", str(error))
+        except LimitError as error:
+            if command in _WITHOUT_RESPONSE:
+                self._close_with(Err(ErrorCode.PACKET_TOO_LARGE, "08S01", str(error)))
             else:
-                self._refuse(1461, "42000", str(fault))
+                self._refuse(1461, "42000", str(error))
 
     def _dispatch(self, command: Command, payload: bytes, session: Session) -> None:
         match command:
@@ -291,7 +290,7 @@
                 number, parameter = read.integer(4, "statement id"), read.integer(2, "parameter")
                 if number in session.handles:
                     session.add_long_data(number, parameter, read.rest())
-                self._idle()
+                self._start_idle_timer()
             case Command.STMT_RESET:
                 self._reset_statement(payload, session)
             case Command.STMT_FETCH:
@@ -301,17 +300,17 @@
             case Command.QUIT:
                 self.close()
             case Command.INIT_DB:
-                if (error := _may_use(self._user, payload[1:])) is not None:
+                if (error := _denied(self._user, payload[1:])) is not None:
                     self._answer(error)
                 else:
                     use = Statement(Kind.USE, schema=payload[1:], pure_calls=True)
                     self._run(use, payload, ResponseKind.RESULT)
             case Command.STATISTICS:
-                self._answer(TextPacket(self.front.statistics().encode()))
+                self._answer(TextPacket(self.listener.statistics().encode()))
             case Command.SET_OPTION:
                 self._set_option(payload, session)
             case Command.RESET_CONNECTION:
-                self._let_go()
+                self._release_connection()
                 session.reset()
                 self._answer(Ok())
             case Command.CHANGE_USER:
@@ -324,55 +323,55 @@
                 self._refuse(ErrorCode.UNKNOWN_COM, "08S01", f"Unknown command {command.name}")
 
     def _query(self, text: bytes, session: Session) -> None:
-        statement = self.front.reader.read(text)
+        statement = self.listener.statement_reader.read(text)
         if statement.refusal is not None:
             self._refuse(ErrorCode.NOT_SUPPORTED, "42000", statement.refusal.value)
-        elif statement.count > 1 and not session.multi:
+        elif statement.count > 1 and not session.multi_statements:
             self._refuse(ErrorCode.PARSE, "42000", "several statements, and CLIENT_MULTI_STATEMENTS is off")
-        elif statement.kind is Kind.USE and (error := _may_use(self._user, statement.schema)) is not None:
+        elif statement.kind is Kind.USE and (error := _denied(self._user, statement.schema)) is not None:
             self._answer(error)
-        elif statement.session_value is not None and not session.pins and not self._is_lost:
+        elif statement.session_value is not None and not session.pins and not self._is_bound_lost:
             value = session.insert_id if statement.session_value == "last_insert_id" else session.row_count
-            self._answer_value(_title(text), value)
-        elif self._ends_nothing(statement, session):
+            self._answer_value(_column_name(text), value)
+        elif self._ends_no_transaction(statement, session):
             self._answer(Ok(status=session.status))
         else:
             self._run(statement, bytes((Command.QUERY,)) + text, ResponseKind.RESULT)
 
-    def _ends_nothing(self, statement: Statement, session: Session) -> bool:
-        """COMMIT and ROLLBACK where no transaction is open: there is nothing that a server could do."""
+    def _ends_no_transaction(self, statement: Statement, session: Session) -> bool:
+        """Whether it is a COMMIT or ROLLBACK without an open transaction, which needs no server."""
         is_end = statement.kind in (Kind.COMMIT, Kind.ROLLBACK)
-        return is_end and not session.pins and not self._is_lost and self._link is None
+        return is_end and not session.pins and not self._is_bound_lost and self._bound is None
 
     def _set_option(self, payload: bytes, session: Session) -> None:
         option = Cursor(payload, "COM_SET_OPTION", 1).integer(2, "option")
         if option > 1:
             self._refuse(ErrorCode.UNKNOWN_COM, "08S01", f"COM_SET_OPTION: option: there is no {option}")
             return
-        session.multi = option == 0
+        session.multi_statements = option == 0
         self._answer(ResultsetEnd(session.status, 0))
 
     def _change_user(self, payload: bytes, session: Session) -> None:
         change = ChangeUser.decode(payload)
-        self._let_go()
-        self._pending = change
+        self._release_connection()
+        self._login = change
         self._salt = new_salt()
-        self._gate = ServerAuthentication(self.front.users, self._salt, "client")
-        self._set_timer(self.front.limits.login_s, self.close)
-        self._step(self._gate.begin(change.user, change.plugin, change.auth_response, switch=True))
+        self._auth = ServerAuthentication(self.listener.users, self._salt, "client")
+        self._set_timer(self.listener.limits.login_s, self.close)
+        self._auth_step(self._auth.begin(change.user, change.plugin, change.auth_response, switch=True))
 
     # Prepared statements
 
     def _prepare(self, text: bytes, session: Session) -> None:
-        statement = self.front.reader.read(text)
+        statement = self.listener.statement_reader.read(text)
         if statement.refusal is not None:
             self._refuse(ErrorCode.NOT_SUPPORTED, "42000", statement.refusal.value)
             return
         if statement.count > 1:
             self._refuse(ErrorCode.PARSE, "42000", "several statements can't be prepared as one")
             return
-        if len(session.handles) >= self.front.limits.most_handles:
-            raise TooMuch(f"over {self.front.limits.most_handles} prepared statements in one session")
+        if len(session.handles) >= self.listener.limits.max_handles:
+            raise LimitError(f"over {self.listener.limits.max_handles} prepared statements in one session")
         running = self._run(_READ, bytes((Command.STMT_PREPARE,)) + text, ResponseKind.PREPARED)
         if running is not None:
             running.handle = Handle(text, statement, 0, session.schema)
@@ -417,8 +416,8 @@
             self._no_such_statement(number, "RESET")
             return
         session.clear_long_data(handle)
-        if number in session.cursors and self._link is not None:
-            session.end_cursor(number)
+        if number in session.cursors and self._bound is not None:
+            session.close_cursor(number)
             self._run(_FETCH, payload, ResponseKind.RESULT, handle=handle)
         else:
             self._answer(Ok(status=session.status))
@@ -426,15 +425,15 @@
     def _close_statement(self, payload: bytes, session: Session) -> None:
         number = Cursor(payload, "COM_STMT_CLOSE", 1).integer(4, "statement id")
         handle = session.handles.get(number)
-        if handle is not None and self._link is not None and number in session.cursors:
-            key = (self._link.state.schema, handle.text)
-            known = self._link.prepared.pop(key, None)
+        if handle is not None and self._bound is not None and number in session.cursors:
+            key = (self._bound.state.schema, handle.text)
+            known = self._bound.prepared.pop(key, None)
             if known is not None:
-                self._link.send(bytes((Command.STMT_CLOSE,)) + known.statement_id.to_bytes(4, "little"))
-        session.close(number)
-        if self._link is not None and not session.pins:
-            self._let_go()
-        self._idle()
+                self._bound.send(bytes((Command.STMT_CLOSE,)) + known.statement_id.to_bytes(4, "little"))
+        session.remove_handle(number)
+        if self._bound is not None and not session.pins:
+            self._release_connection()
+        self._start_idle_timer()
 
     def _no_such_statement(self, number: int, command: str) -> None:
         text = f"Unknown prepared statement handler ({number}) given to mysqld_stmt_{command.lower()}"
@@ -445,29 +444,29 @@
     def _run(
         self, statement: Statement, command: bytes, kind: ResponseKind, *, handle: Handle | None = None
     ) -> RunningStatement | None:
-        session, front = self.session, self.front
+        session, listener = self.session, self.listener
         assert session is not None
         had_diagnostics = Pin.DIAGNOSTICS in session.pins
-        session.before(statement)
-        if had_diagnostics and self._link is not None and not session.pins:
-            self._let_go(clean=True)
-        if statement.needs_diagnostics and self._link is None and not self._is_lost:
+        session.start_statement(statement)
+        if had_diagnostics and self._bound is not None and not session.pins:
+            self._release_connection(clean=True)
+        if statement.needs_diagnostics and self._bound is None and not self._is_bound_lost:
             if statement.kind is Kind.WRITE and kind is ResponseKind.RESULT and not statement.pins:
-                self._nothing_left(statement)
+                self._answer_without_diagnostics(statement)
                 return None
-        is_bound = self._link is not None or self._is_lost
-        route = front.routes.route(statement, session.user, _text(session.schema), is_bound=is_bound)
-        row = statement_context(
+        is_bound = self._bound is not None or self._is_bound_lost
+        route = listener.routes.route(statement, session.user, _decode(session.schema), is_bound=is_bound)
+        context = statement_context(
             statement,
             in_transaction=session.in_transaction,
-            has_state=session.has_state_there,
+            has_state=session.has_server_state,
             is_safe=route.is_safe,
-            transaction_may_be_over=session.is_doubtful,
+            transaction_may_be_over=session.transaction_may_be_over,
         )
         running = RunningStatement(
-            self, statement, row, front.network.now() + route.deadline_us - _TIME_SPARE_US
+            self, statement, context, listener.network.now() + route.deadline_us - _DEADLINE_SLACK_US
         )
-        if self._is_lost:
+        if self._is_bound_lost:
             self._running = running
             self.failed(running, StatementFailure.REFUSED)
             return None
@@ -481,28 +480,28 @@
             client_retry=False,
             request_id=b"mysql %d %d" % (self._number, self._commands),
             write=not route.is_safe,
-            sticky_server=self._link.server if self._link is not None else None,
+            sticky_server=self._bound.server if self._bound is not None else None,
             session=session,
             statement=statement,
             command=command,
             kind=kind,
             sink=running,
-            connection=self._link,
+            connection=self._bound,
             handle=handle,
         )
         self._running = running
-        # The engine may answer before it gives the number, but never begins to stream before.
-        number = front.engine.submit(request, running)
+        # The engine may answer before `submit` returns the number, but never starts to stream before.
+        number = listener.engine.submit(request, running)
         running.number = number
         return running if self._running is running else None
 
-    def _nothing_left(self, statement: Statement) -> None:
-        """SHOW WARNINGS and its like, with nothing to show: else the connection would have been kept."""
+    def _answer_without_diagnostics(self, statement: Statement) -> None:
+        """Answer SHOW WARNINGS and the like: without a bound connection there are no diagnostics."""
         if "show" in statement.shape.lower()[:8]:
             columns = [Column(name) for name in (b"Level", b"Code", b"Message")]
-            parts: list[Part] = [ResultsetHeader(3), *(Definition(each.encode()) for each in columns)]
+            parts: list[Part] = [ResultsetHeader(3), *(Definition(column.encode()) for column in columns)]
             self._writer.write_parts([*parts, DefinitionsEnd(), ResultsetEnd(Status.AUTOCOMMIT, 0)])
-            self._idle()
+            self._start_idle_timer()
         else:
             self._refuse(
                 ErrorCode.NOT_SUPPORTED,
@@ -511,204 +510,203 @@
             )
 
     def served(self, running: RunningStatement, answer: Response) -> None:
-        """The one final answer, from a server."""
-        session, link = self.session, answer.connection
+        """Write a server's response, the final answer."""
+        session, connection = self.session, answer.connection
         assert session is not None and self._running is running
         self._running = None
         error = answer.reader.error
         if running.handle is not None and error is None:
             self._write_prepared(running.handle, answer.parts, session)
         else:
-            # What streams was written as it came.
+            # Parts that were streamed are already written.
             self._writer.write_parts(answer.parts)
         request = running.request
         assert request is not None
         if request.handle is not None:
             session.clear_long_data(request.handle)
         if error is not None:
-            session.failed()
+            session.record_error()
         elif running.handle is None:
-            oks = [each for each in answer.parts if isinstance(each, Ok)]
-            ends = [each for each in answer.parts if isinstance(each, (Ok, ResultsetEnd))]
+            oks = [part for part in answer.parts if isinstance(part, Ok)]
+            ends = [part for part in answer.parts if isinstance(part, (Ok, ResultsetEnd))]
             warnings = ends[-1].warnings if ends else 0
             status = answer.reader.status
-            session.answered(running.statement, status, oks[-1] if oks else None, warnings)
+            session.record_success(running.statement, status, oks[-1] if oks else None, warnings)
         if Pin.CURSOR in running.statement.pins:
             at = answer.reader.status or Status(0)
             if error is not None or not at & Status.CURSOR_EXISTS or at & Status.LAST_ROW_SENT:
-                session.cursor_over(request.handle)
-        answer.is_kept = self._bind_if_needed(session, link)
-        self._idle()
-        self._next_soon()
+                session.close_cursor_of(request.handle)
+        answer.is_kept = self._bind_if_needed(session, connection)
+        self._start_idle_timer()
+        self._read_commands_soon()
 
-    def _bind_if_needed(self, session: Session, link: ServerConnection) -> bool:
+    def _bind_if_needed(self, session: Session, connection: ServerConnection) -> bool:
         if not session.pins:
-            self._link = None
+            self._bound = None
             return False
-        if self.front.carrier.bind(link, self._link_lost):
-            self._link = link
+        if self.listener.transport.bind(connection, self._server_connection_lost):
+            self._bound = connection
             return True
-        self._link = None  # its server drains, and the time to end there is over
-        self._is_lost = session.connection_lost()
+        self._bound = None  # its server drains, and the deadline for sessions has passed
+        self._is_bound_lost = session.connection_lost()
         return False
 
-    def failed(self, running: RunningStatement, befell: StatementFailure) -> None:
-        """The one final answer, from here."""
+    def failed(self, running: RunningStatement, failure: StatementFailure) -> None:
+        """Write an error, the final answer."""
         session = self.session
         assert session is not None and self._running is running
         self._running = None
-        fate = TABLE[running.row, befell]
+        answer = TABLE[running.context, failure]
         request = running.request
         if (
-            befell is StatementFailure.REFUSED
+            failure is StatementFailure.REFUSED
             and request is not None
             and request.error is not None
             and not session.pins
         ):
-            fate = ClientError(
-                request.error, Transaction.NONE
-            )  # no server would have the session: this is why
+            # The error with which a server rejected the session's state.
+            answer = ClientError(request.error, Transaction.NONE)
         if request is not None and request.handle is not None:
             session.clear_long_data(request.handle)
-        if fate.transaction is not Transaction.NONE:
+        if answer.transaction is not Transaction.NONE:
             session.transaction_lost()
-        self._is_lost = False
-        link, self._link = self._link, None
-        if link is not None:
-            self.front.carrier.unbind(link, is_good=False)
-        if fate.closes:
-            assert fate.error is not None
-            self._fatal(fate.error)
+        self._is_bound_lost = False
+        connection, self._bound = self._bound, None
+        if connection is not None:
+            self.listener.transport.unbind(connection, is_good=False)
+        if answer.closes:
+            assert answer.error is not None
+            self._close_with(answer.error)
             return
-        self._answer(fate.error if fate.error is not None else Ok(status=session.status))
-        self._next_soon()
-
-    def _link_lost(self) -> None:
-        """The connection that holds this session ended.  If a statement is out there, its end will tell."""
-        if self._running is None and self._link is not None and self.session is not None:
-            self._link = None
-            self._is_lost = self.session.connection_lost()
-
-    def _let_go(self, *, clean: bool = False) -> None:
-        """What the server connection holds is not wanted any more."""
-        link, self._link = self._link, None
-        self._is_lost = False
+        self._answer(answer.error if answer.error is not None else Ok(status=session.status))
+        self._read_commands_soon()
+
+    def _server_connection_lost(self) -> None:
+        """The bound connection ended.  A running statement fails by itself and is answered then."""
+        if self._running is None and self._bound is not None and self.session is not None:
+            self._bound = None
+            self._is_bound_lost = self.session.connection_lost()
+
+    def _release_connection(self, *, clean: bool = False) -> None:
+        """Unbind the connection and discard its state."""
+        connection, self._bound = self._bound, None
+        self._is_bound_lost = False
         if self.session is not None:
             self.session.transaction_lost()
-        if link is not None:
-            link.state.is_dirty = link.state.is_dirty or not clean
-            self.front.carrier.unbind(link)
+        if connection is not None:
+            connection.state.is_dirty = connection.state.is_dirty or not clean
+            self.listener.transport.unbind(connection)
 
     # Writing
 
     def write_part(self, part: Part, running: RunningStatement) -> None:
-        """A part of an answer that is too long to hold."""
+        """Write a part of a response too long to buffer."""
         self._writer.write_part(part)
 
     def _write_prepared(self, handle: Handle, parts: list[Part], session: Session) -> None:
         prepared = parts[0]
         assert isinstance(prepared, PrepareOk)
         handle.parameters = prepared.parameter_count
-        number = session.prepare(handle)
+        number = session.add_handle(handle)
         ok = PrepareOk(number, prepared.column_count, prepared.parameter_count, prepared.warnings)
         self._writer.write_parts([ok, *parts[1:]])
 
     def _answer(self, part: Part) -> None:
         self._writer.write_parts([part])
-        self._idle()
+        self._start_idle_timer()
 
     def _answer_value(self, title: bytes, value: int) -> None:
         column = Column(title, column_type=8, length=21, charset=63, flags=0x81)
         parts: list[Part] = [ResultsetHeader(1), Definition(column.encode()), DefinitionsEnd()]
         parts += [Row(lenenc(b"%d" % value)), ResultsetEnd(Status.AUTOCOMMIT, 0)]
         self._writer.write_parts(parts)
-        self._idle()
+        self._start_idle_timer()
 
     def _refuse(self, code: int, state: str, text: str) -> None:
-        """This command is not carried; the connection is good."""
+        """Reject a command; the connection stays open."""
         self._answer(Err(code, state, text))
 
-    def _fatal(self, error: Err) -> None:
-        """The last thing this client hears."""
+    def _close_with(self, error: Err) -> None:
+        """Send an error and close."""
         self._writer.write(error.encode())
-        self._close_soon()
+        self._close_after_write()
 
     # Time and end
 
-    def _idle(self) -> None:
-        limits = self.front.limits
+    def _start_idle_timer(self) -> None:
+        limits = self.listener.limits
         after_s = limits.idle_s
-        if self._link is not None:
+        if self._bound is not None:
             is_left = self.session is not None and self.session.pins <= {Pin.DIAGNOSTICS}
-            after_s = _DIAGNOSTICS_S if is_left else limits.idle_bound_s
-        self._set_timer(after_s, self._idle_for_long)
+            after_s = _DIAGNOSTICS_RETENTION_S if is_left else limits.idle_bound_s
+        self._set_timer(after_s, self._idle_timed_out)
 
-    def _idle_for_long(self) -> None:
+    def _idle_timed_out(self) -> None:
         if self._running is not None:
             return
-        if self._link is not None and self.session is not None and self.session.pins <= {Pin.DIAGNOSTICS}:
-            self._let_go(clean=True)
-            self._idle()
-        elif self._link is not None:
-            # Others need the connection, and the locks: the client hears so with its next statement.
-            self.front.log("mysql: a session that held its server connection idle for too long has lost it")
-            self._link.close()
-            self._idle()
+        if self._bound is not None and self.session is not None and self.session.pins <= {Pin.DIAGNOSTICS}:
+            self._release_connection(clean=True)
+            self._start_idle_timer()
+        elif self._bound is not None:
+            # Frees the connection and its locks for others; the client's next statement gets the error.
+            self.listener.log("mysql: closed a server connection that a session held idle for too long")
+            self._bound.close()
+            self._start_idle_timer()
         else:
             self.close()
 
-    def _next_soon(self) -> None:
-        self.front.network.call_soon(self._next)
+    def _read_commands_soon(self) -> None:
+        self.listener.network.call_soon(self._read_commands)
 
     def _set_timer(self, after_s: float, call: Callable[[], None]) -> None:
         self._cancel_timer()
         if not self._is_closing:
-            self._timer = self.front.network.call_later(after_s, call)
+            self._timer = self.listener.network.call_later(after_s, call)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _close_soon(self) -> None:
-        """Close once all is written; what comes until then is not read."""
+    def _close_after_write(self) -> None:
+        """Close when all is written; read nothing more."""
         self._is_closing = True
         self._cancel_timer()
         if self._transport is not None:
             self._transport.close()
-        self._gone()
+        self._finish_close()
 
     def close(self) -> None:
         self._is_closing = True
         if self._transport is not None:
             self._transport.abort()
-        self._gone()
+        self._finish_close()
 
-    def _gone(self) -> None:
-        """Nobody waits any more."""
+    def _finish_close(self) -> None:
+        """Release everything."""
         self._is_closing = True
         self._cancel_timer()
-        if self._stall is not None:
-            self._stall.cancel()
-        self.front.clients.discard(self)
-        self.front.read -= self._counted
-        self._counted = 0
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+        self.listener.clients.discard(self)
+        self.listener.unfinished_bytes -= self._counted_bytes
+        self._counted_bytes = 0
         running, self._running = self._running, None
-        link, self._link = self._link, None
+        connection, self._bound = self._bound, None
         if running is not None:
             if running.number is not None:
-                self.front.engine.client_disconnected(running.number)
+                self.listener.engine.client_disconnected(running.number)
             if running.stream is not None:
                 running.stream.abort()
-            if link is not None:
-                link.close()
-        elif link is not None:
-            link.state.is_dirty = True
-            self.front.carrier.unbind(link)
+            if connection is not None:
+                connection.close()
+        elif connection is not None:
+            connection.state.is_dirty = True
+            self.listener.transport.unbind(connection)
 
 
-_WITHOUT_ANSWER = frozenset((Command.STMT_CLOSE, Command.STMT_SEND_LONG_DATA, Command.QUIT))
-_WITHOUT_SERVER = _WITHOUT_ANSWER | {Command.PING, Command.STMT_RESET, Command.RESET_CONNECTION}
+_WITHOUT_RESPONSE = frozenset((Command.STMT_CLOSE, Command.STMT_SEND_LONG_DATA, Command.QUIT))
+_WITHOUT_SERVER = _WITHOUT_RESPONSE | {Command.PING, Command.STMT_RESET, Command.RESET_CONNECTION}
 _FETCH = Statement(Kind.OPAQUE, frozenset((Pin.CURSOR,)))
 
 
@@ -716,17 +714,17 @@
     return replace(statement, kind=Kind.OPAQUE, pins=statement.pins | {Pin.CURSOR})
 
 
-def _may_use(user: User | None, schema: bytes | None) -> Err | None:
-    if user is None or schema is None or user.schemas is None or _text(schema) in user.schemas:
+def _denied(user: User | None, schema: bytes | None) -> Err | None:
+    if user is None or schema is None or user.schemas is None or _decode(schema) in user.schemas:
         return None
-    text = f"Access denied for user '{user.name}'@'client' to database '{_text(schema)}'"
+    text = f"Access denied for user '{user.name}'@'client' to database '{_decode(schema)}'"
     return Err(ErrorCode.DBACCESS_DENIED, "42000", text)
 
 
-def _text(schema: bytes | None) -> str:
+def _decode(schema: bytes | None) -> str:
     return schema.decode("utf-8", "replace") if schema is not None else ""
 
 
-def _title(text: bytes) -> bytes:
-    """The column's name, as a server takes it from the statement."""
+def _column_name(text: bytes) -> bytes:
+    """The name that a server gives the column."""
     return text.strip().rstrip(b";").split(None, 1)[1].strip()[:64]
--- a/micadeck/mysql/config.py
+++ b/micadeck/mysql/config.py
@@ -1,4 +1,4 @@
-"""MySQL's part of the configuration: a TOML file of its own; errors begin with the key at fault."""
+"""The MySQL service's configuration, a TOML file; errors begin with the key."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 class MysqlConfigError(ValueError):
-    """The file can't be used; the text begins with the key at fault."""
+    """The file is not valid; the text begins with the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class MysqlConfig:
-    """What the MySQL service is told."""
+    """A checked configuration."""
 
     name: str
     listen: Address
@@ -49,11 +49,11 @@
     discovery: Address | None
     consul: ConsulConfig | None
     known: EndpointUpdate
-    front: ListenerLimits
-    carrier: TransportLimits
+    listener: ListenerLimits
+    transport: TransportLimits
 
 
-# The file, as it is written
+# The structure of the file
 
 
 class _User(Struct, forbid_unknown_fields=True):
@@ -142,28 +142,28 @@
 
 
 def load(path: str | Path) -> MysqlConfig:
-    """Read and check a file; raise MysqlConfigError."""
+    """Read a file; raise MysqlConfigError."""
     try:
-        given = msgspec.toml.decode(Path(path).read_bytes())
-    except (OSError, ValueError, RecursionError) as fault:
-        raise MysqlConfigError(f"{path}: it can't be read: {fault}") from None
-    return parse(given)
+        document = msgspec.toml.decode(Path(path).read_bytes())
+    except (OSError, ValueError, RecursionError) as error:
+        raise MysqlConfigError(f"{path}: it can't be read: {error}") from None
+    return parse(document)
 
 
-def parse(given: Any) -> MysqlConfig:
-    """Check a configuration; raise MysqlConfigError, naming the key, on nonsense and on unknown keys."""
+def parse(document: Any) -> MysqlConfig:
+    """Check a document; raise MysqlConfigError for invalid values and unknown keys."""
     try:
-        file = msgspec.convert(given, _File)
-    except msgspec.ValidationError as fault:
-        path, text, _ = key_and_text(str(fault))
+        file = msgspec.convert(document, _File)
+    except msgspec.ValidationError as error:
+        path, text, _ = key_and_text(str(error))
         raise MysqlConfigError(f"{path or 'the file'}: {text}") from None
     limits = file.limits
     servers = file.servers
     settings = _settings(file)
     if not (servers.roster or servers.consul or servers.static):
-        _wrong("servers", "one of roster, consul and static is needed")
+        _fail("servers", "one of roster, consul and static is needed")
     if file.drain.finish_ms > file.drain.grace_ms:
-        _wrong("drain.finish_ms", "it can't be longer than drain.grace_ms")
+        _fail("drain.finish_ms", "it can't be longer than drain.grace_ms")
     return MysqlConfig(
         name=file.name,
         listen=_address("listen", file.listen),
@@ -173,19 +173,19 @@
         credentials=Credentials(servers.user, _password(servers.password_file)),
         discovery=_address("servers.roster", servers.roster) if servers.roster else None,
         consul=_consul(servers.consul),
-        known=_known(servers.static),
-        front=ListenerLimits(
-            most_clients=limits.clients,
-            most_in_packet=limits.packet_bytes,
-            most_read=limits.unfinished_bytes,
-            most_handles=limits.statements_per_session,
-            most_long_data=limits.long_data_bytes,
+        known=_static_list(servers.static),
+        listener=ListenerLimits(
+            max_clients=limits.clients,
+            max_packet_bytes=limits.packet_bytes,
+            max_unfinished_bytes=limits.unfinished_bytes,
+            max_handles=limits.statements_per_session,
+            max_long_data=limits.long_data_bytes,
             login_s=limits.login_s,
             stall_s=limits.stall_s,
             idle_s=limits.idle_s,
             idle_bound_s=limits.idle_bound_s,
         ),
-        carrier=TransportLimits(
+        transport=TransportLimits(
             pool=PoolLimits(
                 limits.connections, limits.connections_per_server, int(limits.idle_connection_s * 1e6)
             ),
@@ -197,27 +197,27 @@
     )
 
 
-def _wrong(key: str, what: str) -> NoReturn:
+def _fail(key: str, what: str) -> NoReturn:
     raise MysqlConfigError(f"{key}: {what}")
 
 
 def _settings(file: _File) -> Settings:
-    for number, each in enumerate(file.classes):
-        if each.aim_ms > each.deadline_ms:
-            _wrong(f"classes[{number}].aim_ms", "it can't be longer than deadline_ms")
+    for number, service_class in enumerate(file.classes):
+        if service_class.aim_ms > service_class.deadline_ms:
+            _fail(f"classes[{number}].aim_ms", "it can't be longer than deadline_ms")
     limits = file.limits
-    given = {
+    settings = {
         "classes": [
             {
-                "name": each.name,
-                "deadline_us": each.deadline_ms * 1_000,
-                "aim_us": each.aim_ms * 1_000,
-                "repeat": each.repeat,
-                "worth": each.worth,
+                "name": service_class.name,
+                "deadline_us": service_class.deadline_ms * 1_000,
+                "aim_us": service_class.aim_ms * 1_000,
+                "repeat": service_class.repeat,
+                "worth": service_class.worth,
             }
-            for each in file.classes
+            for service_class in file.classes
         ],
-        "tenants": [{"name": each} for each in file.tenants],
+        "tenants": [{"name": tenant} for tenant in file.tenants],
         "zone": file.zone,
         "group_size": file.sidecars,
         "discovery": "on_request",
@@ -237,70 +237,70 @@
         },
     }
     try:
-        return Settings.from_mapping(given)
-    except ValueError as fault:
-        raise MysqlConfigError(str(fault)) from None
+        return Settings.from_mapping(settings)
+    except ValueError as error:
+        raise MysqlConfigError(str(error)) from None
 
 
 def _users(given: tuple[_User, ...]) -> dict[str, User]:
     users: dict[str, User] = {}
-    for number, each in enumerate(given):
-        if each.name in users:
-            _wrong(f"users[{number}].name", f"{each.name!r} stands twice")
+    for number, user in enumerate(given):
+        if user.name in users:
+            _fail(f"users[{number}].name", f"{user.name!r} occurs twice")
         try:
-            verifier = Verifier.parse(each.verifier)
-        except ValueError as fault:
-            _wrong(f"users[{number}].verifier", str(fault))
+            verifier = Verifier.parse(user.verifier)
+        except ValueError as error:
+            _fail(f"users[{number}].verifier", str(error))
         try:
-            native = parse_native(each.native) if each.native else None
-        except ValueError as fault:
-            _wrong(f"users[{number}].native", str(fault))
-        schemas = frozenset(each.schemas) if each.schemas is not None else None
-        users[each.name] = User(each.name, verifier, native, schemas)
+            native = parse_native(user.native) if user.native else None
+        except ValueError as error:
+            _fail(f"users[{number}].native", str(error))
+        schemas = frozenset(user.schemas) if user.schemas is not None else None
+        users[user.name] = User(user.name, verifier, native, schemas)
     return users
 
 
 def _rules(file: _File) -> tuple[Rule, ...]:
-    repeats = {each.name: Idempotency(each.repeat) for each in file.classes}
+    idempotency = {entry.name: Idempotency(entry.repeat) for entry in file.classes}
     rules = []
-    for number, each in enumerate(file.rules):
+    for number, rule in enumerate(file.rules):
         key = f"rules[{number}]"
         for field, name, needed in (
-            ("read", each.read, Idempotency.IDEMPOTENT),
-            ("write", each.write, Idempotency.NON_IDEMPOTENT),
+            ("read", rule.read, Idempotency.IDEMPOTENT),
+            ("write", rule.write, Idempotency.NON_IDEMPOTENT),
         ):
-            if name not in repeats:
-                _wrong(f"{key}.{field}", f"there is no class {name!r}")
-            if repeats[name] is not needed:
-                _wrong(f"{key}.{field}", f"the class {name!r} must have repeat = {needed.value!r}")
-        if each.tenant is not None and each.tenant not in file.tenants:
-            _wrong(f"{key}.tenant", f"{each.tenant!r} is not in tenants")
+            if name not in idempotency:
+                _fail(f"{key}.{field}", f"there is no class {name!r}")
+            if idempotency[name] is not needed:
+                _fail(f"{key}.{field}", f"the class {name!r} must have repeat = {needed.value!r}")
+        if rule.tenant is not None and rule.tenant not in file.tenants:
+            _fail(f"{key}.tenant", f"{rule.tenant!r} is not in tenants")
         try:
-            shape = re.compile(each.shape, re.IGNORECASE) if each.shape is not None else None
-        except re.error as fault:
-            _wrong(f"{key}.shape", f"it is no regular expression: {fault}")
-        if each.trust and shape is None:
-            _wrong(f"{key}.trust", "it needs a shape")
-        rules.append(Rule(each.read, each.write, each.user, each.schema, shape, each.tenant, each.trust))
+            shape = re.compile(rule.shape, re.IGNORECASE) if rule.shape is not None else None
+        except re.error as error:
+            _fail(f"{key}.shape", f"it is not a regular expression: {error}")
+        if rule.trust and shape is None:
+            _fail(f"{key}.trust", "it needs a shape")
+        rules.append(Rule(rule.read, rule.write, rule.user, rule.schema, shape, rule.tenant, rule.trust))
     last = rules[-1]
     if last.user is not None or last.schema is not None or last.shape is not None:
-        _wrong(f"rules[{len(rules) - 1}]", "the last rule must fit every statement")
+        _fail(f"rules[{len(rules) - 1}]", "the last rule must match every statement")
     return tuple(rules)
 
 
 def _password(path: str) -> bytes:
-    """From a file of its own, so that the configuration can be shown to anybody."""
+    """Read from its own file, so that the configuration has no secrets."""
     try:
         return Path(path).read_bytes().rstrip(b"\r\n")
-    except OSError as fault:
-        _wrong("servers.password_file", f"{path} can't be read: {type(fault).__name__}")
+    except OSError as error:
+        _fail("servers.password_file", f"{path} can't be read: {type(error).__name__}")
 
 
 def _address(key: str, text: str) -> Address:
     try:
         return parse_address(text)
-    except ValueError as fault:
-        _wrong(key, str(fault))
+    except ValueError as error:
+        _fail(key, str(error))
 
 
 def _consul(path: str) -> ConsulConfig | None:
@@ -308,18 +308,18 @@
         return None
     try:
         return load_consul(path)
-    except ConsulConfigError as fault:
-        _wrong("servers.consul", str(fault))
+    except ConsulConfigError as error:
+        _fail("servers.consul", str(error))
 
 
-def _known(static: tuple[_Static, ...]) -> EndpointUpdate:
+def _static_list(static: tuple[_Static, ...]) -> EndpointUpdate:
     entries = tuple(
         EndpointEntry(
-            ListedServer(each.name, zone=each.zone),
-            _address(f"servers.static[{number}].address", each.address),
+            ListedServer(server.name, zone=server.zone),
+            _address(f"servers.static[{number}].address", server.address),
         )
-        for number, each in enumerate(static)
+        for number, server in enumerate(static)
     )
-    if len({each.endpoint.server for each in entries}) < len(entries):
-        _wrong("servers.static", "a name stands twice")
+    if len({entry.endpoint.server for entry in entries}) < len(entries):
+        _fail("servers.static", "a name occurs twice")
     return EndpointUpdate(0, True, entries)
--- a/micadeck/mysql/listener.py
+++ b/micadeck/mysql/listener.py
@@ -1,4 +1,4 @@
-"""The listener for MySQL clients, with what they share: limits, log-in checks and the engine."""
+"""The listener for MySQL clients, with their shared limits, password checks and engine."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from micadeck.mysql.transport import MysqlTransport
 from micadeck.network import Address, Listener, Network
 
-_ACCEPT_AT_ONCE = 16
-_CHECKS_AT_ONCE = 2  # salted hashes: each takes a core for tens of milliseconds
+_MAX_ACCEPTS = 16
+_MAX_PASSWORD_CHECKS = 2  # concurrent: each hash takes a core for tens of milliseconds
 
 
 @dataclass(frozen=True, slots=True)
 class ListenerLimits:
-    """What clients may take."""
+    """Limits on clients."""
 
-    most_clients: int
-    most_in_packet: int
-    most_read: int  # bytes of unfinished packets, of all clients together
-    most_handles: int
-    most_long_data: int
+    max_clients: int
+    max_packet_bytes: int
+    max_unfinished_bytes: int  # of all clients together
+    max_handles: int
+    max_long_data: int  # bytes, per session
     login_s: float
-    stall_s: float  # how long a client may leave what is written to it unread
+    stall_s: float  # how long a client may leave an answer unread
     idle_s: float  # between two commands
-    idle_bound_s: float  # the same, while a server connection is held for it
+    idle_bound_s: float  # the same, while a server connection is bound to it
 
 
 class MysqlListener:
-    """All clients of one listener."""
+    """All clients of a service."""
 
     def __init__(
         self,
         network: Network,
         engine: Engine,
-        carrier: MysqlTransport,
+        transport: MysqlTransport,
         users: Users,
         routes: Routes,
         limits: ListenerLimits,
@@ -49,22 +49,22 @@
     ) -> None:
         self.network = network
         self.engine = engine
-        self.carrier = carrier
+        self.transport = transport
         self.users = users
         self.routes = routes
         self.limits = limits
         self.log = log
-        self.reader = StatementReader()
-        self.checks = asyncio.Semaphore(_CHECKS_AT_ONCE)
+        self.statement_reader = StatementReader()
+        self._password_checks = asyncio.Semaphore(_MAX_PASSWORD_CHECKS)
         self.clients: set[ClientSession] = set()
-        self.read = 0  # bytes of unfinished packets
+        self.unfinished_bytes = 0  # incomplete packets, of all clients
         self.is_draining = False
         self.tasks: set[asyncio.Task[None]] = set()
         self._next_client = 1
         self._listener: Listener | None = None
 
     def listen(self, address: Address) -> None:
-        self._listener = self.network.listen(self._accept, address, _ACCEPT_AT_ONCE)
+        self._listener = self.network.listen(self._accept, address, _MAX_ACCEPTS)
 
     @property
     def port(self) -> int:
@@ -76,43 +76,43 @@
         return ClientSession(self, number)
 
     def drain(self) -> None:
-        """No new clients; where no transaction is open, the next statement is refused and the last."""
+        """Accept no clients; those without a bound connection are closed at their next command."""
         self.is_draining = True
         if self._listener is not None:
             self._listener.close()
 
     @property
-    def busy(self) -> int:
-        """Clients that wait for an answer or hold a server connection."""
-        return sum(each.is_busy for each in self.clients)
+    def busy_count(self) -> int:
+        """The number of clients with a running statement or a bound connection."""
+        return sum(client.is_busy for client in self.clients)
 
     def statistics(self) -> str:
-        """A line on what is open, and why sessions hold server connections."""
+        """Open clients and connections, and why sessions hold connections."""
         reasons = Counter(
-            pin.value for each in self.clients if each.session is not None for pin in each.session.pins
+            pin.value for client in self.clients if client.session is not None for pin in client.session.pins
         )
         held = "; ".join(f"{reason}: {count}" for reason, count in reasons.most_common())
         return (
             f"Clients: {len(self.clients)}  Open: {self.engine.open_requests}"
-            f"  Connections: {self.carrier.pool.count}  Held bytes: {self.carrier.held_bytes}"
-            f"  Shapes read: {self.reader.cache_misses}  Held for: {held or 'nothing'}"
+            f"  Connections: {self.transport.pool.count}  Held bytes: {self.transport.held_bytes}"
+            f"  Shapes read: {self.statement_reader.cache_misses}  Held for: {held or 'nothing'}"
         )
 
     def close(self) -> None:
         self.drain()
         for task in self.tasks:
             task.cancel()
-        for each in list(self.clients):
-            each.close()
+        for client in list(self.clients):
+            client.close()
 
-    def spawn(self, work: AuthStep, client: ClientSession) -> None:
-        """Run a check off the event loop, a few at a time."""
+    def check_password(self, work: AuthStep, client: ClientSession) -> None:
+        """Run a check in a thread, a few at a time."""
         assert isinstance(work, PasswordCheck)
 
         async def check() -> None:
-            async with self.checks:
-                fits = await asyncio.to_thread(work.run)
-            client.checked(fits)
+            async with self._password_checks:
+                matches = await asyncio.to_thread(work.run)
+            client.password_checked(matches)
 
         task = self.network.spawn(check())
         self.tasks.add(task)
--- a/micadeck/mysql/response_writer.py
+++ b/micadeck/mysql/response_writer.py
@@ -10,7 +10,7 @@
 
 
 class ResponseWriter:
-    """Numbers and writes packets; owns the sequence number of the exchange at hand.
+    """Numbers and writes packets; owns the sequence number of the exchange.
 
     Attributes:
         transport: The client's connection, once there is one.
--- a/micadeck/mysql/running_statement.py
+++ b/micadeck/mysql/running_statement.py
@@ -1,4 +1,4 @@
-"""One statement of a client that the engine has: it hears the answer and says what became of it."""
+"""A running statement: passes the engine's result to its client."""
 
 from __future__ import annotations
 
@@ -21,37 +21,37 @@
 
 
 class RunningStatement:
-    """One command that the engine has: its waiter, and where a long answer goes."""
+    """The response handler of one request, and the sink of a streamed response."""
 
     __slots__ = (
         "client",
+        "context",
         "deadline",
         "handle",
         "has_begun",
         "number",
         "request",
-        "row",
         "statement",
         "stream",
     )
 
     def __init__(
-        self, client: ClientSession, statement: Statement, row: StatementContext, deadline: int
+        self, client: ClientSession, statement: Statement, context: StatementContext, deadline: int
     ) -> None:
         self.client = client
         self.statement = statement
-        self.row = row
+        self.context = context
         self.deadline = deadline
         self.number: int | None = None
         self.request: StatementRequest | None = None
         self.stream: Attempt | None = None  # the attempt whose response is streamed
         self.has_begun = False
-        self.handle: Handle | None = None  # that is being prepared
+        self.handle: Handle | None = None  # being prepared
 
-    # Sink
+    # Called by the transport
 
     def begin(self, attempt: Attempt) -> bool:
-        if self.number is None or not self.client.front.engine.response_started(self.number):
+        if self.number is None or not self.client.listener.engine.response_started(self.number):
             return False
         self.has_begun = True
         self.stream = attempt
@@ -60,24 +60,24 @@
     def part(self, part: Part) -> None:
         self.client.write_part(part, self)
 
-    # Waiter
+    # Called by the engine
 
     def served(self, response: Response) -> None:
         self.client.served(self, response)
 
     def refused(self, retry_after_us: int) -> None:
-        is_late = self.client.front.network.now() >= self.deadline
-        befell = StatementFailure.TIMED_OUT if is_late else StatementFailure.REFUSED
-        self.client.failed(self, StatementFailure.TRUNCATED if self.has_begun else befell)
+        is_late = self.client.listener.network.now() >= self.deadline
+        failure = StatementFailure.TIMED_OUT if is_late else StatementFailure.REFUSED
+        self.client.failed(self, StatementFailure.TRUNCATED if self.has_begun else failure)
 
     def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         if self.has_begun:
-            befell = StatementFailure.TRUNCATED
+            failure = StatementFailure.TRUNCATED
         elif not may_have_run:
-            befell = StatementFailure.REFUSED
+            failure = StatementFailure.REFUSED
         elif cause is FailureCause.TIME:
-            befell = StatementFailure.TIMED_OUT
+            failure = StatementFailure.TIMED_OUT
         else:
             is_defect = cause is FailureCause.DEFECT
-            befell = StatementFailure.INTERNAL_ERROR if is_defect else StatementFailure.LOST
-        self.client.failed(self, befell)
+            failure = StatementFailure.INTERNAL_ERROR if is_defect else StatementFailure.LOST
+        self.client.failed(self, failure)
--- a/micadeck/mysql/server_connection.py
+++ b/micadeck/mysql/server_connection.py
@@ -18,7 +18,7 @@
 from micadeck.mysql.protocol.messages import Err, Ok, PrepareOk
 from micadeck.mysql.protocol.packets import PacketReader, frame
 from micadeck.mysql.protocol.wire import ProtocolError
-from micadeck.mysql.session import Connected
+from micadeck.mysql.session import ConnectionState
 from micadeck.network import Address, Network, Stream
 
 _REQUESTED = (
@@ -103,7 +103,7 @@
         self._is_closed = False
         self.capabilities = Capability(0)
         self.thread_id = 0
-        self.state = Connected()
+        self.state = ConnectionState()
         self.prepared: OrderedDict[tuple[bytes | None, bytes], PreparedStatement] = OrderedDict()
         self.protocol_error: str | None = None  # why the server's packets made it close
 
--- a/micadeck/mysql/service.py
+++ b/micadeck/mysql/service.py
@@ -1,4 +1,4 @@
-"""The MySQL service: an engine of its own between the front, the carrier and the sources of its servers."""
+"""The MySQL service: an engine of its own with a listener, a transport and an endpoint source."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from micadeck.mysql.transport import MysqlTransport
 from micadeck.network import Network
 
-_LOOK_AGAIN_S = 0.01
-_SPARE_S = 0.1
+_DRAIN_POLL_INTERVAL_S = 0.01
+_DRAIN_SLACK_S = 0.1
 
 
-class Static:
-    """Servers that only a reload changes."""
+class StaticSource:
+    """A configured endpoint list."""
 
-    def __init__(self, listing: EndpointUpdate) -> None:
-        self._listing = listing
+    def __init__(self, update: EndpointUpdate) -> None:
+        self._update = update
         self._on_list: Callable[[EndpointUpdate], None] = lambda _: None
 
     def start(self, on_list: Callable[[EndpointUpdate], None], on_failed: Callable[[], None]) -> None:
@@ -30,111 +30,111 @@
 
     def watch(self, wanted: bool) -> None:
         if wanted:
-            self._on_list(self._listing)
+            self._on_list(self._update)
 
     def fetch(self) -> None:
-        self._on_list(self._listing)
+        self._on_list(self._update)
 
     def suspect_stale(self) -> None:
-        """There is nobody to ask."""
+        """A configured list is not stale."""
 
-    def replace(self, listing: EndpointUpdate) -> None:
-        """Put another list in force, unless it is."""
-        if listing.entries == self._listing.entries:
+    def replace(self, update: EndpointUpdate) -> None:
+        """Replace the list if it differs."""
+        if update.entries == self._update.entries:
             return
-        self._listing = EndpointUpdate(self._listing.version + 1, True, listing.entries)
-        self._on_list(self._listing)
+        self._update = EndpointUpdate(self._update.version + 1, True, update.entries)
+        self._on_list(self._update)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing."""
 
 
 class _NoMessages:
-    """There are no datagrams between the sidecars of this service."""
+    """A peer transport for a service without peer messages."""
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
         return False
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing."""
 
 
 class MysqlService:
-    """One listener for MySQL clients, from its start to its end."""
+    """One listener for MySQL clients."""
 
     def __init__(self, config: MysqlConfig, network: Network, seed: int, log: Callable[[str], None]) -> None:
         self._network = network
         self._log = log
         self._config = config
         settings = config.settings
-        self.carrier = MysqlTransport(network, settings, config.credentials, config.carrier, log)
+        self.transport = MysqlTransport(network, settings, config.credentials, config.transport, log)
         self._source: EndpointSource
-        self._static: Static | None = None
-        roster: DiscoveryWatcher | None = None
+        self._static: StaticSource | None = None
+        watcher: DiscoveryWatcher | None = None
         if config.discovery is not None:
             options = WatchOptions(
                 max_poll_interval_us=settings.rules.max_poll_interval_us, seed=f"{seed} {config.name}"
             )
-            roster = DiscoveryWatcher(network, config.discovery, 0, options, log)
+            watcher = DiscoveryWatcher(network, config.discovery, 0, options, log)
         if config.consul is not None:
-            discovery = DiscoveryState(roster, config.known)
+            discovery = DiscoveryState(watcher, config.known)
             self._source = EndpointSources(network, discovery, config.consul, f"{seed} {config.name}", log)
-        elif roster is not None:
-            self._source = roster
+        elif watcher is not None:
+            self._source = watcher
         else:
-            self._source = self._static = Static(config.known)
-        ports = EnginePorts(network, self.carrier, self._source, _NoMessages())
+            self._source = self._static = StaticSource(config.known)
+        ports = EnginePorts(network, self.transport, self._source, _NoMessages())
         self.engine = Engine(settings, seed, ports, log)
         self.users = Users(config.users)
-        self.front = MysqlListener(
-            network, self.engine, self.carrier, self.users, self._routes(config), config.front, log
+        self.listener = MysqlListener(
+            network, self.engine, self.transport, self.users, self._routes(config), config.listener, log
         )
 
     @staticmethod
     def _routes(config: MysqlConfig) -> Routes:
-        classes = {each.name: each for each in config.settings.classes}
-        return Routes(config.rules, classes, [each.name for each in config.settings.tenants])
+        classes = {service_class.name: service_class for service_class in config.settings.classes}
+        return Routes(config.rules, classes, [tenant.name for tenant in config.settings.tenants])
 
     def start(self) -> None:
         self.engine.start(self._config.known)
-        self.front.listen(self._config.listen)
+        self.listener.listen(self._config.listen)
 
     @property
     def port(self) -> int:
-        return self.front.port
+        return self.listener.port
 
     def reload(self, config: MysqlConfig) -> None:
-        """Take over users, rules and a static list; what else differs is named, and waits for a restart."""
+        """Apply users, rules and a static list; log other changed keys, which need a restart."""
         before = self._config
-        kept = [
+        restart_keys = [
             key
-            for key in ("listen", "settings", "credentials", "discovery", "consul", "front", "carrier")
+            for key in ("listen", "settings", "credentials", "discovery", "consul", "listener", "transport")
             if getattr(config, key) != getattr(before, key)
         ]
-        if "settings" in kept:
+        if "settings" in restart_keys:
             rules = " (and with them the rules)"
         else:
             rules = ""
-            self.front.routes = self._routes(config)
+            self.listener.routes = self._routes(config)
         self.users.replace(config.users)
-        # A file without a static list has another source of servers, which waits for a restart.
+        # A file without a static list has another endpoint source, which needs a restart.
         if self._static is not None and config.known.entries:
             self._static.replace(config.known)
-        waits = f"; only a restart takes up {', '.join(kept)}{rules}" if kept else ""
-        self._log(f"mysql: reloaded: {len(config.users)} users{waits}")
+        restart = f"; a restart is needed for {', '.join(restart_keys)}{rules}" if restart_keys else ""
+        self._log(f"mysql: reloaded: {len(config.users)} users{restart}")
 
     async def drain(self, within_s: float) -> None:
-        """Answer what was taken, let transactions end, then let go of everything."""
+        """Answer running statements, let transactions end, then close."""
         network = self._network
-        until = network.time() + within_s
-        self.engine.set_drain_deadline(network.now() + int(max(within_s - _SPARE_S, 0.0) * 1e6))
-        self.front.drain()
-        while self.front.busy and network.time() < until - _SPARE_S:
-            await network.sleep(_LOOK_AGAIN_S)
+        deadline = network.time() + within_s
+        self.engine.set_drain_deadline(network.now() + int(max(within_s - _DRAIN_SLACK_S, 0.0) * 1e6))
+        self.listener.drain()
+        while self.listener.busy_count and network.time() < deadline - _DRAIN_SLACK_S:
+            await network.sleep(_DRAIN_POLL_INTERVAL_S)
         self.engine.fail_open_requests()
         await network.sleep(0)
         self.close()
 
     def close(self) -> None:
-        self.front.close()
+        self.listener.close()
         self.engine.close()
--- a/micadeck/mysql/session.py
+++ b/micadeck/mysql/session.py
@@ -1,7 +1,7 @@
-"""A client's session: what it has set, what it may ask, and what ties it to a server connection.  No I/O.
+"""A client's session: its settings, its prepared statements and its pins.  No I/O.
 
-The session is kept here, not at a server.  Whichever connection a statement runs on, `put` says what must be
-run there before it.  What can't be put elsewhere pins the session, and `pins` says why.
+A session's state is kept here and applied to whichever server connection runs its next statement, by
+`state_commands`.  State that can't be applied pins the session to its connection; `pins` has the reasons.
 """
 
 from __future__ import annotations
@@ -15,38 +15,36 @@
 from micadeck.mysql.statements import Kind, Pin, Statement
 
 _MULTI_ON, _MULTI_OFF = b"\x00\x00", b"\x01\x00"
-_FOR_ONE_STATEMENT = frozenset((Pin.DIAGNOSTICS,))
+_ONE_STATEMENT_PINS = frozenset((Pin.DIAGNOSTICS,))
 
 
 @dataclass(slots=True)
-class Connected:
-    """What a server connection has of a session.  After a reset: nothing."""
+class ConnectionState:
+    """The session state that a server connection has."""
 
     schema: bytes | None = None
     names: str | None = None
     variables: dict[str, str] = field(default_factory=dict)
-    multi: bool = False
-    insert_id: int | None = 0  # None: not known
+    multi_statements: bool = False
+    insert_id: int | None = 0  # None: unknown
     in_transaction: bool = False
-    is_dirty: bool = False  # something may be there that this class does not describe
-    is_touched: bool = (
-        False  # a change ran, whose triggers may have set what nobody but the curious would read
-    )
+    is_dirty: bool = False  # it may have state that this class does not describe
+    has_run_write: bool = False  # its triggers may have left state, seen only by reads of server state
 
     def reset(self) -> None:
-        """COM_RESET_CONNECTION was answered.  The schema stays, and so does the option."""
+        """Record a COM_RESET_CONNECTION, which keeps schema and multi-statements."""
         self.names = None
         self.variables = {}
         self.insert_id = 0
-        self.in_transaction = self.is_dirty = self.is_touched = False
+        self.in_transaction = self.is_dirty = self.has_run_write = False
 
-    def ran(self, statement: Statement, status: Status | None, ok: Ok | None, failed: bool) -> None:
-        """A statement was answered here, with an error or without."""
+    def record(self, statement: Statement, status: Status | None, ok: Ok | None, failed: bool) -> None:
+        """Record an answered statement."""
         if status is not None:
             self.in_transaction = bool(status & Status.IN_TRANS)
         is_known = statement.kind in (Kind.READ, Kind.WRITE, Kind.USE, Kind.SET)
         if statement.kind is Kind.WRITE:
-            self.is_touched = True
+            self.has_run_write = True
         if statement.pins or (failed and (statement.kind is not Kind.READ or self.variables)):
             self.is_dirty = True
         elif not is_known and statement.kind not in (Kind.BEGIN, Kind.COMMIT, Kind.ROLLBACK, Kind.SAVEPOINT):
@@ -56,7 +54,7 @@
         if ok is not None and ok.last_insert_id:
             self.insert_id = ok.last_insert_id
         elif statement.kind is not Kind.READ:
-            self.insert_id = None if self.is_dirty or self.is_touched else self.insert_id
+            self.insert_id = None if self.is_dirty or self.has_run_write else self.insert_id
         if statement.kind is Kind.USE and not failed:
             self.schema = statement.schema
         for name, value in statement.assignments:
@@ -69,26 +67,26 @@
 
 @dataclass(slots=True)
 class Handle:
-    """A prepared statement of the session's own; it is prepared anew wherever it runs."""
+    """A client's prepared statement; each connection that runs it prepares it."""
 
     text: bytes
     statement: Statement
     parameters: int
     schema: bytes | None
     definitions: tuple[bytes, ...] = ()
-    types: bytes = b""  # as the client bound them last
+    types: bytes = b""  # as the client last bound them
     long_data: dict[int, bytearray] = field(default_factory=dict)
 
     def clear(self) -> None:
         self.long_data.clear()
 
 
-class TooMuch(Exception):
-    """A client asks to keep more than it may; the text says of what."""
+class LimitError(Exception):
+    """A client exceeds a limit, which the text names."""
 
 
 class Session:
-    """One client's, from its log-in to its end."""
+    """A client's session state."""
 
     def __init__(
         self,
@@ -96,43 +94,43 @@
         capabilities: Capability,
         names: str,
         schema: bytes | None,
-        most_handles: int,
-        most_long_data: int,
+        max_handles: int,
+        max_long_data: int,
     ) -> None:
-        self._most_handles = most_handles
-        self._most_long_data = most_long_data
+        self._max_handles = max_handles
+        self._max_long_data = max_long_data
         self.user = user
         self.capabilities = capabilities
-        self._first_names = names
+        self._initial_names = names
         self.names = names
         self.schema = schema
         self.variables: dict[str, str] = {}
-        self.multi = bool(capabilities & Capability.MULTI_STATEMENTS)
+        self.multi_statements = bool(capabilities & Capability.MULTI_STATEMENTS)
         self.pins: set[Pin] = set()
-        self.is_doubtful = False  # a statement of a transaction failed: the server may have ended that
+        self.transaction_may_be_over = False  # an error may have ended it at the server
         self.status = Status.AUTOCOMMIT
         self.insert_id = 0
         self.row_count = -1
         self.handles: dict[int, Handle] = {}
         self._next_handle = 1
-        self._held_long = 0
+        self._long_data_bytes = 0
         self.cursors: set[int] = set()  # handles that have one open
 
     def reset(self) -> None:
-        """As COM_RESET_CONNECTION leaves it."""
-        self.names = self._first_names
+        """Apply COM_RESET_CONNECTION."""
+        self.names = self._initial_names
         self.variables = {}
         self.pins.clear()
-        self.is_doubtful = False
+        self.transaction_may_be_over = False
         self.status = Status.AUTOCOMMIT
         self.insert_id, self.row_count = 0, -1
         self.handles.clear()
         self.cursors.clear()
-        self._held_long = 0
+        self._long_data_bytes = 0
 
     @property
     def found_rows(self) -> bool:
-        """Whether its server connections count the rows that an UPDATE met, not those it changed."""
+        """Whether an UPDATE counts the rows it matched, not those it changed."""
         return bool(self.capabilities & Capability.FOUND_ROWS)
 
     @property
@@ -140,36 +138,36 @@
         return Pin.TRANSACTION in self.pins
 
     @property
-    def has_state_there(self) -> bool:
-        """Whether its connection holds more of it than a transaction, which can be rolled back."""
+    def has_server_state(self) -> bool:
+        """Whether its connection has more than a transaction, which can be rolled back."""
         return bool(self.pins - {Pin.TRANSACTION, Pin.DIAGNOSTICS, Pin.NEXT_TRANSACTION})
 
     # Prepared statements
 
-    def prepare(self, handle: Handle) -> int:
-        if len(self.handles) >= self._most_handles:
-            raise TooMuch(f"over {self._most_handles} prepared statements in one session")
+    def add_handle(self, handle: Handle) -> int:
+        if len(self.handles) >= self._max_handles:
+            raise LimitError(f"over {self._max_handles} prepared statements in one session")
         number = self._next_handle
         self._next_handle += 1
         self.handles[number] = handle
         return number
 
-    def close(self, number: int) -> None:
+    def remove_handle(self, number: int) -> None:
         handle = self.handles.pop(number, None)
         if handle is not None:
-            self._held_long -= sum(map(len, handle.long_data.values()))
-        self.end_cursor(number)
+            self._long_data_bytes -= sum(map(len, handle.long_data.values()))
+        self.close_cursor(number)
 
-    def end_cursor(self, number: int) -> None:
+    def close_cursor(self, number: int) -> None:
         self.cursors.discard(number)
         if not self.cursors:
             self.pins.discard(Pin.CURSOR)
 
-    def cursor_over(self, handle: Handle | None) -> None:
-        """A statement's cursor gave its last row, or was never opened."""
+    def close_cursor_of(self, handle: Handle | None) -> None:
+        """Close a cursor at its last row, or if it did not open."""
         for number in list(self.cursors):
             if self.handles.get(number) is handle:
-                self.end_cursor(number)
+                self.close_cursor(number)
         if not self.cursors:
             self.pins.discard(Pin.CURSOR)
 
@@ -177,24 +175,26 @@
         handle = self.handles[number]
         if parameter >= handle.parameters:
             raise ProtocolError(f"COM_STMT_SEND_LONG_DATA: parameter: there is no {parameter}")
-        if self._held_long + len(data) > self._most_long_data:
-            raise TooMuch(f"over {self._most_long_data} bytes of long data in one session")
-        self._held_long += len(data)
+        if self._long_data_bytes + len(data) > self._max_long_data:
+            raise LimitError(f"over {self._max_long_data} bytes of long data in one session")
+        self._long_data_bytes += len(data)
         handle.long_data.setdefault(parameter, bytearray()).extend(data)
 
     def clear_long_data(self, handle: Handle) -> None:
-        self._held_long -= sum(map(len, handle.long_data.values()))
+        self._long_data_bytes -= sum(map(len, handle.long_data.values()))
         handle.clear()
 
-    # What an answer changes
+    # Statements
 
-    def before(self, statement: Statement) -> None:
-        """A statement is about to run: what was left for exactly one has had its time."""
+    def start_statement(self, statement: Statement) -> None:
+        """Drop pins that last for one statement."""
         if not statement.needs_diagnostics:
-            self.pins -= _FOR_ONE_STATEMENT
+            self.pins -= _ONE_STATEMENT_PINS
 
-    def answered(self, statement: Statement, status: Status | None, ok: Ok | None, warnings: int) -> None:
-        """It was answered without an error.  `status` is that of the last OK or EOF."""
+    def record_success(
+        self, statement: Statement, status: Status | None, ok: Ok | None, warnings: int
+    ) -> None:
+        """Record a success; `status` is of the last OK or EOF."""
         if statement.kind is Kind.USE:
             self.schema = statement.schema
         elif statement.kind is Kind.SET:
@@ -202,7 +202,7 @@
                 if name == "names":
                     self.names = value
                 else:
-                    self.variables.pop(name, None)  # what was set last must be put last
+                    self.variables.pop(name, None)  # applied in the order in which they were set
                     self.variables[name] = value
         self.pins |= statement.pins
         if statement.unlocks_tables:
@@ -216,16 +216,16 @@
         if statement.makes_diagnostics or (warnings and not statement.needs_diagnostics):
             self.pins.add(Pin.DIAGNOSTICS)
         if status is not None:
-            self.heard(status)
+            self._record_status(status)
 
-    def failed(self) -> None:
-        """A server answered with an error, which tells nothing of the transaction: a deadlock ends it."""
-        self.is_doubtful = self.in_transaction
+    def record_error(self) -> None:
+        """Record an error, which has no status: the transaction may be over, as after a deadlock."""
+        self.transaction_may_be_over = self.in_transaction
 
-    def heard(self, status: Status) -> None:
-        """The server's own word on the transaction is the one that counts."""
+    def _record_status(self, status: Status) -> None:
+        """Take over the server's status, transaction included."""
         was_open = self.in_transaction
-        self.is_doubtful = False
+        self.transaction_may_be_over = False
         self.status = status
         if status & Status.DB_DROPPED:
             self.schema = None
@@ -237,34 +237,34 @@
                 self.pins.discard(Pin.NEXT_TRANSACTION)
 
     def connection_lost(self) -> bool:
-        """The connection it was bound to is gone; whether the client must hear of it."""
+        """Handle the loss; return whether the client must get an error."""
         if self.pins <= {Pin.DIAGNOSTICS}:
             self.pins.clear()
             return False
         return True
 
     def transaction_lost(self) -> None:
-        """The connection that held it is gone, and it with that."""
-        self.is_doubtful = False
+        """Record that the transaction is over."""
+        self.transaction_may_be_over = False
         self.status &= ~(Status.IN_TRANS | Status.IN_TRANS_READONLY)
         self.pins -= {Pin.TRANSACTION, Pin.NEXT_TRANSACTION, Pin.DIAGNOSTICS}
 
 
-def put(have: Connected, session: Session, statement: Statement | None) -> list[bytes]:
-    """The commands that make a connection the session's; `have` is as if they had been answered.
+def state_commands(have: ConnectionState, session: Session, statement: Statement | None) -> list[bytes]:
+    """Commands that apply the session to a connection; records them in `have` as if answered.
 
-    Names and values were read as names and literals before they were kept, so that none carries SQL.
+    Names and values were parsed as names and literals, so none can inject SQL.
     """
     commands: list[bytes] = []
-    wants_multi = session.multi and statement is not None and statement.count > 1
-    if have.multi != wants_multi:
-        commands.append(bytes((Command.SET_OPTION,)) + (_MULTI_ON if wants_multi else _MULTI_OFF))
-        have.multi = wants_multi
+    wants_multi_statements = session.multi_statements and statement is not None and statement.count > 1
+    if have.multi_statements != wants_multi_statements:
+        commands.append(bytes((Command.SET_OPTION,)) + (_MULTI_ON if wants_multi_statements else _MULTI_OFF))
+        have.multi_statements = wants_multi_statements
     sets: list[str] = []
     if have.names != session.names:
         sets.append(f"NAMES {session.names}")
         have.names = session.names
-    sets += _variables(have.variables, session.variables)
+    sets += _variable_assignments(have.variables, session.variables)
     have.variables = dict(session.variables)
     if statement is not None and statement.needs_insert_id and have.insert_id != session.insert_id:
         sets.append(f"last_insert_id = {session.insert_id}")
@@ -278,19 +278,19 @@
     return commands
 
 
-def _variables(have: Mapping[str, str], want: Mapping[str, str]) -> list[str]:
-    """In the order in which the session set them: some change what others may be."""
+def _variable_assignments(have: Mapping[str, str], want: Mapping[str, str]) -> list[str]:
+    """In the order in which they were set: some affect what others accept."""
     if dict(have) == dict(want) and list(have) == list(want):
         return []
     sets = [f"{name} = DEFAULT" for name in have if name not in want]
     return sets + [f"{name} = {value}" for name, value in want.items() if have.get(name) != value or sets]
 
 
-def must_reset(have: Connected, session: Session, statement: Statement | None) -> bool:
-    """Whether a connection must be reset before this session may run its statement there.
+def must_reset(have: ConnectionState, session: Session, statement: Statement | None) -> bool:
+    """Whether a connection must be reset before this session's statement runs on it.
 
-    What reads or begins state that lives at the server starts from nothing: whatever another session's
-    triggers and functions may have left is not seen.
+    A statement that reads or creates server state must not see what another session's triggers or
+    functions left.
     """
     if have.is_dirty or have.in_transaction:
         return True
@@ -298,4 +298,4 @@
         return False
     begins_state = bool(statement.pins) or (not statement.pure_calls and statement.kind is not Kind.BEGIN)
     is_plain = statement.kind in (Kind.SET, Kind.USE, Kind.COMMIT, Kind.ROLLBACK)
-    return statement.needs_diagnostics or (have.is_touched and begins_state and not is_plain)
+    return statement.needs_diagnostics or (have.has_run_write and begins_state and not is_plain)
--- a/micadeck/mysql/transport.py
+++ b/micadeck/mysql/transport.py
@@ -19,7 +19,7 @@
 from micadeck.mysql.protocol.constants import Command, ErrorCode
 from micadeck.mysql.protocol.messages import Err, Ok, PrepareOk
 from micadeck.mysql.server_connection import OVER_LIMIT_CODES, ConnectionLost, Credentials, ServerConnection
-from micadeck.mysql.session import Handle, Session, must_reset, put
+from micadeck.mysql.session import Handle, Session, must_reset, state_commands
 from micadeck.mysql.statements import Statement
 from micadeck.network import Address, Network, Timer
 from micadeck.network.scheduling_delay import wait_excluding_lag
@@ -436,7 +436,7 @@
             commands.append(_RESET)
             connection.state.reset()
             connection.forget_prepared()
-        commands += put(connection.state, session, statement)
+        commands += state_commands(connection.state, session, statement)
         for command in commands:
             reader = await self._exchange_setup(connection, command)
             if attempt.ended or self._ended_by_drain(attempt, connection):
@@ -519,7 +519,7 @@
     def _complete(self, attempt: Attempt, connection: ServerConnection, reader: ResponseReader) -> None:
         request, error = attempt.request, reader.error
         oks = [each for each in attempt.parts if isinstance(each, Ok)]
-        connection.state.ran(request.statement, reader.status, oks[-1] if oks else None, error is not None)
+        connection.state.record(request.statement, reader.status, oks[-1] if oks else None, error is not None)
         if error is not None and not attempt.is_streaming:
             if error.code in _SHUTDOWN_CODES:
                 self._end(attempt, Outcome.ERROR)
--- a/tests/mysql_stage.py
+++ b/tests/mysql_stage.py
@@ -92,7 +92,7 @@
     async def drain(self, server: StandInMysql) -> None:
         """Until the carrier has heard of it."""
         self.roster.put(server.name, server.address, "leaving")
-        carrier = self.service.carrier
+        carrier = self.service.transport
         await until(lambda: carrier._servers[server.name].is_leaving)
 
 
@@ -120,7 +120,7 @@
     log: list[str] = []
     service = MysqlService(configured(roster.address, **changes), LoopNetwork(), 7, log.append)
     service.start()
-    await until(lambda: len(service.carrier._servers) == len(made))
+    await until(lambda: len(service.transport._servers) == len(made))
     stage = Scene(service, roster, made, log)
     try:
         yield stage
--- a/tests/test_mysql_choices.py
+++ b/tests/test_mysql_choices.py
@@ -13,7 +13,7 @@
 from micadeck.mysql.protocol.constants import Capability, Command, Status
 from micadeck.mysql.protocol.messages import Ok
 from micadeck.mysql.routes import Routes, Rule
-from micadeck.mysql.session import Connected, Session, must_reset, put
+from micadeck.mysql.session import ConnectionState, Session, must_reset, state_commands
 from micadeck.mysql.statements import Kind, Pin, Refusal, StatementReader, classify
 from micadeck.policy.settings import Idempotency, ServiceClass
 
@@ -291,32 +291,34 @@
     last_insert_id: int = 0,
 ) -> None:
     read = StatementReader().read(text.encode())
-    session.before(read)
-    session.answered(read, status, Ok(0, last_insert_id, status), warnings)
+    session.start_statement(read)
+    session.record_success(read, status, Ok(0, last_insert_id, status), warnings)
 
 
 def test_what_a_session_set_is_put_in_its_order_and_only_what_differs() -> None:
-    session, have = _session(b"tariff"), Connected()
+    session, have = _session(b"tariff"), ConnectionState()
     _did(session, "SET sql_mode = 'ANSI'")
     _did(session, "SET time_zone = '+00:00'")
     query = bytes((Command.QUERY,))
     first = [query + b"SET NAMES utf8mb4, sql_mode = 'ANSI', time_zone = '+00:00'", b"\x02tariff"]
-    assert put(have, session, None) == first
-    assert put(have, session, None) == []
+    assert state_commands(have, session, None) == first
+    assert state_commands(have, session, None) == []
     other = _session(b"tariff")
     _did(other, "SET time_zone = '+01:00'")
-    assert put(have, other, None) == [query + b"SET sql_mode = DEFAULT, time_zone = '+01:00'"]
+    assert state_commands(have, other, None) == [query + b"SET sql_mode = DEFAULT, time_zone = '+01:00'"]
     _did(other, "USE duty")
     _did(other, "SET NAMES latin1")
-    assert put(have, other, None) == [query + b"SET NAMES latin1", b"\x02duty"]
-    assert put(have, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == []
+    assert state_commands(have, other, None) == [query + b"SET NAMES latin1", b"\x02duty"]
+    assert state_commands(have, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == []
     _did(other, "INSERT INTO t VALUES (1)", last_insert_id=9)
-    assert put(have, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == [
+    assert state_commands(have, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == [
         query + b"SET last_insert_id = 9"
     ]
     several = _session(b"duty", multi=True)
-    commands = put(
-        Connected(schema=b"duty", names="utf8mb4"), several, StatementReader().read(b"SELECT 1; SELECT 2")
+    commands = state_commands(
+        ConnectionState(schema=b"duty", names="utf8mb4"),
+        several,
+        StatementReader().read(b"SELECT 1; SELECT 2"),
     )
     assert commands == [bytes((Command.SET_OPTION,)) + b"\0\0"]
 
@@ -337,8 +339,8 @@
 def test_a_connection_is_reset_between_users_where_anything_may_be_left(
     ran: str, asks: str, resets: bool
 ) -> None:
-    have = Connected()
-    have.ran(StatementReader().read(ran.encode()), Status.AUTOCOMMIT, Ok(), failed=False)
+    have = ConnectionState()
+    have.record(StatementReader().read(ran.encode()), Status.AUTOCOMMIT, Ok(), failed=False)
     assert must_reset(have, _session(), StatementReader().read(asks.encode())) is resets
     have.reset()
     assert not must_reset(have, _session(), StatementReader().read(b"SELECT @a"))
@@ -347,9 +349,9 @@
 def test_what_pins_a_session_and_what_lets_it_go() -> None:
     session = _session()
     _did(session, "BEGIN", Status.IN_TRANS)
-    assert session.pins == {Pin.TRANSACTION} and not session.has_state_there
+    assert session.pins == {Pin.TRANSACTION} and not session.has_server_state
     _did(session, "SELECT @a", Status.IN_TRANS)
-    assert session.has_state_there
+    assert session.has_server_state
     _did(session, "COMMIT", Status.AUTOCOMMIT)
     assert session.pins == {Pin.USER_VARIABLE}
     session.reset()
@@ -360,9 +362,9 @@
     assert not session.pins  # it was for one transaction
     _did(session, "INSERT INTO t VALUES (1)", warnings=1)
     assert session.pins == {Pin.DIAGNOSTICS}
-    session.before(StatementReader().read(b"SHOW WARNINGS"))
+    session.start_statement(StatementReader().read(b"SHOW WARNINGS"))
     assert session.pins == {Pin.DIAGNOSTICS}
-    session.before(StatementReader().read(b"SELECT 1"))
+    session.start_statement(StatementReader().read(b"SELECT 1"))
     assert not session.pins
     _did(session, "SELECT GET_LOCK('a', 1)")
     assert session.connection_lost() and session.pins == {Pin.LOCK}
--- a/tests/test_mysql_error_mapping.py
+++ b/tests/test_mysql_error_mapping.py
@@ -105,7 +105,7 @@
             client = await stage.connect(autocommit=True)
             await ask(client, "SET time_zone = '+04:00'")
             for server in stage.servers:  # new connections, on which the session must be put first
-                stage.service.carrier.close_idle(server.name)
+                stage.service.transport.close_idle(server.name)
             fault_all(stage, "SET NAMES", Point.START, what)
             assert await ask(client, LODGE) == 1
             assert stage.lodged("L1") == 1
@@ -136,8 +136,8 @@
             client = await stage.connect()
             assert await ask(client, READ) == WHOLE
             await stage.drain(stage.servers[0])
-            carrier, ended = stage.service.carrier, []
-            session = next(iter(stage.service.front.clients)).session
+            carrier, ended = stage.service.transport, []
+            session = next(iter(stage.service.listener.clients)).session
             assert session is not None
             request = StatementRequest(
                 "read", None, None, 1_000_000, None, False, b"x", False,
@@ -145,7 +145,7 @@
                 command=b"\x03" + READ.encode(),
                 kind=ResponseKind.RESULT, sink=None,  # type: ignore[arg-type]
             )  # fmt: skip
-            until_us = stage.service.front.network.now() + 1_000_000
+            until_us = stage.service.listener.network.now() + 1_000_000
             carrier.start("m-0", until_us, request, lambda outcome, answer, report: ended.append(outcome))
             await until(lambda: bool(ended))
             assert ended == [Outcome.NOT_SENT] and len(stage.ran("FROM tariff")) == 1
@@ -186,7 +186,7 @@
             assert len(stage.ran("'T1'")) == 1
             # The session goes on, without the transaction.
             assert await ask(client, READ) == WHOLE
-            assert stage.service.carrier.pool.in_use_count(stage.servers[0].name) == 0
+            assert stage.service.transport.pool.in_use_count(stage.servers[0].name) == 0
 
     play(work)
 
@@ -227,7 +227,7 @@
             await ask(client, "BEGIN")
             await ask(client, "INSERT INTO lodged VALUES ('T1', 'desk')")
             stage.server_of("'T1'").die()
-            await until(lambda: stage.service.front.busy == 0)
+            await until(lambda: stage.service.listener.busy_count == 0)
             answer = await ask(client, text)
             assert fails(answer, BACK) if is_told else answer == 0
             assert stage.lodged("T1") == 0 and not stage.ran(LODGE)
@@ -302,12 +302,12 @@
             client = await stage.connect()
             await ask(client, "SET @code = '0202'")
             assert await ask(client, "SELECT note FROM tariff WHERE code = @code") == [("beef",)]
-            assert "Held for: user variables: 1" in stage.service.front.statistics()
+            assert "Held for: user variables: 1" in stage.service.listener.statistics()
             holder = next(each for each in stage.servers if each.texts("@code"))
             holder.die()
-            await until(lambda: stage.service.front.busy == 0)
+            await until(lambda: stage.service.listener.busy_count == 0)
             assert fails(await ask(client, READ), (1105, "the server that held this session's state"))
-            await until(lambda: not stage.service.front.clients)
+            await until(lambda: not stage.service.listener.clients)
 
     play(work)
 
@@ -321,7 +321,7 @@
             answer = await ask(client, f"/*micadeck: deadline_ms=300*/ {text}")
             assert answer[0] == code
             await until(lambda: stage.service.engine.open_requests == 0)
-            assert stage.service.carrier.pool.in_use_count("m-0") == 0  # its connection is closed
+            assert stage.service.transport.pool.in_use_count("m-0") == 0  # its connection is closed
 
     play(work)
 
@@ -353,9 +353,9 @@
                 asked.cancel()
                 client.close()
                 await until(lambda: stage.service.engine.open_requests == 0)
-                await until(lambda: stage.service.carrier.pool.in_use_count("m-0") == 0)
-            assert stage.service.front.clients == set()
-            assert stage.service.carrier.held_bytes == 0
+                await until(lambda: stage.service.transport.pool.in_use_count("m-0") == 0)
+            assert stage.service.listener.clients == set()
+            assert stage.service.transport.held_bytes == 0
 
     play(work)
 
@@ -373,7 +373,7 @@
             assert len(stage.ran("FROM wide")) == 1  # rows went out: it is not read again
             rows = await ask(client, "SELECT * FROM wide")
             assert len(rows) == 64 and all(len(row[0]) == 16 << 10 for row in rows)
-            assert stage.service.carrier.held_bytes == 0
+            assert stage.service.transport.held_bytes == 0
 
     play(work)
 
--- a/tests/test_mysql_program.py
+++ b/tests/test_mysql_program.py
@@ -104,7 +104,7 @@
             await sidecar.start()
             assert sidecar.mysql is not None
             inner, stage.service = stage.service, sidecar.mysql
-            await until(lambda: "m-0" in stage.service.carrier._servers)
+            await until(lambda: "m-0" in stage.service.transport._servers)
             client = await stage.connect()
             assert await ask(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
             path.write_bytes(msgspec.toml.encode(given(stage.roster.address, users=given()["users"][:1])))
@@ -112,10 +112,10 @@
             assert any(line.startswith("mysql: reloaded: 1 users") for line in log)
             await ask(client, "BEGIN")
             ending = asyncio.create_task(sidecar.stop())
-            await until(lambda: stage.service.front.is_draining)
+            await until(lambda: stage.service.listener.is_draining)
             assert await ask(client, "COMMIT") == 0
             await soon(ending)
-            assert not stage.service.front.clients
+            assert not stage.service.listener.clients
             stage.service = inner
 
     play(work)
@@ -152,8 +152,8 @@
             wire = Wire(client)
             wire._writer.write(b"\x01\0\0\x05" + bytes((Command.PING,)))  # a wrong number
             assert (await wire.packet())[:1] == b"\xff"
-            await until(lambda: not stage.service.front.clients)
-            assert stage.service.front.read == 0
+            await until(lambda: not stage.service.listener.clients)
+            assert stage.service.listener.unfinished_bytes == 0
             assert configured("127.0.0.1:1").name == "mysql"
 
     play(work)
@@ -195,7 +195,7 @@
             count = (4 << 20) // len(ping)
             greedy._writer.write(ping * count)
             await asyncio.sleep(0.1)
-            assert stage.service.front.read < 1 << 20
+            assert stage.service.listener.unfinished_bytes < 1 << 20
             server.takes_s = 0.0
             assert await ask(other, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
             for _ in range(5):  # the statement's answer
@@ -220,13 +220,13 @@
         service = MysqlService(configured(servers=changes), LoopNetwork(), 7, lambda _: None)
         service.start()
         stage = Scene(service, StandInRoster(), servers, [])
-        await until(lambda: len(service.carrier._servers) == 2)
+        await until(lambda: len(service.transport._servers) == 2)
         client = await stage.connect()
         for _ in range(20):
             assert await ask(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
         assert all(server.ran for server in servers)
         discovery.tell(line("m-0", servers[0].address, state="leaving"))
-        await until(lambda: any(each.is_leaving for each in service.carrier._servers.values()))
+        await until(lambda: any(each.is_leaving for each in service.transport._servers.values()))
         before = len(servers[0].ran)
         for _ in range(20):
             assert await ask(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
--- a/tests/test_mysql_sessions.py
+++ b/tests/test_mysql_sessions.py
@@ -215,9 +215,9 @@
             first = await stage.connect(autocommit=None, client_flag=flags)
             await ask(first, left)
             first.close()
-            await until(lambda: not stage.service.front.clients)
+            await until(lambda: not stage.service.listener.clients)
             second = await stage.connect(autocommit=None)
-            await until(lambda: stage.service.carrier.pool.in_use_count("m-0") == 0)
+            await until(lambda: stage.service.transport.pool.in_use_count("m-0") == 0)
             seen = await ask(second, asked)
             if isinstance(expected, int):
                 assert seen[0] == expected
@@ -389,10 +389,11 @@
             fetch = bytes((Command.STMT_FETCH,)) + number
             rows = await wire.ask(fetch + (2).to_bytes(4, "little"), 3)
             assert [row[2:] for row in rows[:2]] == [b"\x040101", b"\x040202"]
-            assert stage.service.front.busy == 1
+            assert stage.service.listener.busy_count == 1
             rest = await wire.ask(fetch + (2).to_bytes(4, "little"), 2)
             assert rest[0][2:] == b"\x040303" and rest[1][3] & 0x80
-            await until(lambda: stage.service.front.busy == 0)  # the last row was sent: nothing holds it
+            # The last row was sent, so the cursor no longer holds the connection.
+            await until(lambda: stage.service.listener.busy_count == 0)
             # Executed without types: those that were bound before hold, also on a new connection.
             shared = Fault("rate < ?", Point.START, What.RESET)
             for server in stage.servers:
@@ -485,7 +486,7 @@
             long = bytes((Command.STMT_SEND_LONG_DATA,)) + prepared[1:5] + b"\0\0"
             wire.send(long + bytes(65))  # has no answer of its own, so the client's end is the answer
             assert (await wire.packet())[:3] == b"\xff" + (1153).to_bytes(2, "little")
-            await until(lambda: len(stage.service.front.clients) == 1)
+            await until(lambda: len(stage.service.listener.clients) == 1)
             answer = await ask(stage.clients[1], "SELECT '" + "x" * (1 << 20) + "'")
             assert answer[0] in (1153, 2006, 2013)
 
@@ -498,7 +499,7 @@
             client = await stage.connect()
             await ask(client, "BEGIN")
             await ask(client, "INSERT INTO lodged VALUES ('idle', 'x')")
-            await until(lambda: stage.service.front.busy == 0)
+            await until(lambda: stage.service.listener.busy_count == 0)
             assert (await ask(client, "COMMIT"))[0] == 1213
             assert stage.lodged("idle") == 0
 
@@ -512,7 +513,7 @@
             await ask(client, "BEGIN")
             await ask(client, "INSERT INTO lodged VALUES ('late', 'x')")
             ending = asyncio.create_task(stage.service.drain(5.0))
-            await until(lambda: stage.service.front.is_draining)
+            await until(lambda: stage.service.listener.is_draining)
             assert (await ask(other, "INSERT INTO lodged VALUES ('other', 'x')"))[0] == 1053
             assert await ask(client, "COMMIT") == 0
             await soon(ending)
@@ -531,7 +532,7 @@
                 await stage.connect()
             client = await stage.connect(user="clerk")
             assert await ask(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
-            assert "mysql: reloaded: 1 users; only a restart takes up front" in stage.log
+            assert "mysql: reloaded: 1 users; a restart is needed for listener" in stage.log
 
     play(work)
 
