--- a/tests/mysql_stage.py
+++ b/tests/mysql_stage.py
@@ -1,4 +1,4 @@
-"""Stand-in MySQL servers, a stand-in roster and the MySQL service round clients that nobody here wrote."""
+"""The MySQL service with stand-in servers, a stand-in roster and third-party clients."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 PASSWORD = "desk-secret"
 ROWS = [("0101", 5, "live horses"), ("0202", 12, "beef"), ("0303", 0, None)]
-_VERIFIER = Verifier.of(PASSWORD.encode()).text()  # once: each costs tens of milliseconds
+_VERIFIER = Verifier.of(PASSWORD.encode()).text()  # made once: each takes tens of milliseconds
 _NATIVE = "*" + native_stored(PASSWORD.encode()).hex()
 
 with tempfile.NamedTemporaryFile("w", prefix="mysql-password-", delete=False) as _file:
@@ -31,8 +31,8 @@
 PASSWORD_FILE = Path(_file.name)
 
 
-def given(roster: str = "", **changes: Any) -> dict[str, Any]:
-    """A configuration file's content."""
+def config_document(roster: str = "", **changes: Any) -> dict[str, Any]:
+    """The content of a configuration file."""
     return {
         "listen": "127.0.0.1:0",
         "servers": {"user": "sidecar", "password_file": str(PASSWORD_FILE), "roster": roster},
@@ -49,11 +49,11 @@
     }
 
 
-def configured(roster: str = "", **changes: Any) -> MysqlConfig:
-    return parse(given(roster, **changes))
+def make_config(roster: str = "", **changes: Any) -> MysqlConfig:
+    return parse(config_document(roster, **changes))
 
 
-def load(server: StandInMysql) -> None:
+def create_tables(server: StandInMysql) -> None:
     server.database.run("CREATE TABLE tariff (code TEXT PRIMARY KEY, rate INT, note TEXT)")
     server.database.run("CREATE TABLE lodged (id TEXT, who TEXT)")
     for row in ROWS:
@@ -61,8 +61,8 @@
 
 
 @dataclass
-class Scene:
-    """One service and what stands round it."""
+class MysqlEnvironment:
+    """A service, its servers and its clients."""
 
     service: MysqlService
     roster: StandInRoster
@@ -70,67 +70,67 @@
     log: list[str]
     clients: list[Any] = field(default_factory=list)
 
-    async def connect(self, **how: Any) -> Any:
-        wanted = {"user": "desk", "password": PASSWORD, "db": "tariff", "autocommit": None, **how}
-        wanted.setdefault("connect_timeout", 10)
-        client = await soon(aiomysql.connect(host="127.0.0.1", port=self.service.port, **wanted))
+    async def connect(self, **changes: Any) -> Any:
+        options = {"user": "desk", "password": PASSWORD, "db": "tariff", "autocommit": None, **changes}
+        options.setdefault("connect_timeout", 10)
+        client = await soon(aiomysql.connect(host="127.0.0.1", port=self.service.port, **options))
         self.clients.append(client)
         return client
 
-    def ran(self, part: str) -> list[str]:
-        """All that began at the servers and contains this."""
+    def statements(self, part: str) -> list[str]:
+        """Statements that contain `part` and started at a server."""
         return [text for server in self.servers for text in server.texts(part)]
 
-    def lodged(self, ident: str) -> int:
-        """How often a lodging took effect, at all servers together."""
-        asked = f"SELECT COUNT(*) FROM lodged WHERE id = '{ident}'"
-        return sum(int(server.database.run(asked)[0][0]) for server in self.servers)
+    def count_lodged(self, ident: str) -> int:
+        """How often an INSERT took effect, at all servers."""
+        query = f"SELECT COUNT(*) FROM lodged WHERE id = '{ident}'"
+        return sum(int(server.database.run(query)[0][0]) for server in self.servers)
 
     def server_of(self, part: str) -> StandInMysql:
         return next(server for server in self.servers if server.texts(part))
 
     async def drain(self, server: StandInMysql) -> None:
-        """Until the carrier has heard of it."""
+        """Drain a server; return when the transport knows."""
         self.roster.put(server.name, server.address, "leaving")
-        carrier = self.service.transport
-        await until(lambda: carrier._servers[server.name].is_leaving)
+        transport = self.service.transport
+        await until(lambda: transport._servers[server.name].is_leaving)
 
 
-async def ask(client: Any, text: str, *arguments: Any) -> Any:
-    """The rows of a statement, or how many it changed; the code and the message where it fails."""
+async def execute(client: Any, text: str, *arguments: Any) -> Any:
+    """Return a statement's rows or affected rows; on an error, its code and message."""
     try:
         async with client.cursor() as cursor:
-            changed = await soon(cursor.execute(text, arguments or None))
-            return list(await cursor.fetchall()) if cursor.description else changed
-    except MySQLError as fault:
-        return fault.args
+            affected = await soon(cursor.execute(text, arguments or None))
+            return list(await cursor.fetchall()) if cursor.description else affected
+    except MySQLError as error:
+        return error.args
 
 
 @asynccontextmanager
-async def scene(
+async def mysql_environment(
     count: int = 2, servers: list[StandInMysql] | None = None, **changes: Any
-) -> AsyncIterator[Scene]:
-    made = servers or [StandInMysql(f"m-{number}") for number in range(count)]
+) -> AsyncIterator[MysqlEnvironment]:
+    servers = servers or [StandInMysql(f"m-{number}") for number in range(count)]
     roster = StandInRoster()
     await roster.start()
-    for each in made:
-        load(each)
-        await each.start()
-        roster.put(each.name, each.address)
+    for server in servers:
+        create_tables(server)
+        await server.start()
+        roster.put(server.name, server.address)
     log: list[str] = []
-    service = MysqlService(configured(roster.address, **changes), LoopNetwork(), 7, log.append)
+    service = MysqlService(make_config(roster.address, **changes), LoopNetwork(), 7, log.append)
     service.start()
-    await until(lambda: len(service.transport._servers) == len(made))
-    stage = Scene(service, roster, made, log)
+    await until(lambda: len(service.transport._servers) == len(servers))
+    env = MysqlEnvironment(service, roster, servers, log)
     try:
-        yield stage
+        yield env
     finally:
-        for each in stage.clients:
-            each.close()
+        for client in env.clients:
+            client.close()
         service.close()
         roster.close()
-        assert [defect for server in made for defect in server.defects] == []
-        for server in made:
+        assert [defect for server in servers for defect in server.defects] == []
+        for server in servers:
             server.die()
             server.database.close()
         await asyncio.sleep(0)
--- a/tests/test_mysql_choices.py
+++ b/tests/test_mysql_choices.py
@@ -1,4 +1,4 @@
-"""What a statement is taken for, where it may go, what is put on a connection, and which one carries it."""
+"""Classification of statements, routes, session state on connections, and the pool."""
 
 from __future__ import annotations
 
@@ -81,13 +81,13 @@
 
 
 @pytest.mark.parametrize("text", _READS)
-def test_what_is_proved_a_read(text: str) -> None:
+def test_statements_that_are_proved_reads(text: str) -> None:
     read = StatementReader().read(text.encode())
     assert read.kind is Kind.READ and not read.pins and read.is_safe and read.refusal is None
 
 
 @pytest.mark.parametrize("text", _NOT_READS)
-def test_what_is_not_proved_is_unsafe(text: str) -> None:
+def test_statements_that_are_not_proved_reads_are_unsafe(text: str) -> None:
     assert not StatementReader().read(text.encode()).is_safe
 
 
@@ -138,7 +138,9 @@
 
 
 @pytest.mark.parametrize(("text", "kind", "pins", "assignments"), _KINDS, ids=[each[0] for each in _KINDS])
-def test_what_a_statement_does_and_leaves(text: str, kind: Kind, pins: set[Pin], assignments: object) -> None:
+def test_the_kind_pins_and_assignments_of_a_statement(
+    text: str, kind: Kind, pins: set[Pin], assignments: object
+) -> None:
     read = StatementReader().read(text.encode())
     assert (read.kind, set(read.pins)) == (kind, pins)
     if assignments is not None:
@@ -157,11 +159,11 @@
         ("SELECT 1; KILL 5", Refusal.KILL),
     ],
 )
-def test_what_is_not_carried(text: str, refusal: Refusal) -> None:
+def test_unsupported_statements_are_refused(text: str, refusal: Refusal) -> None:
     assert StatementReader().read(text.encode()).refusal is refusal
 
 
-def test_a_shape_is_read_once_and_literals_never_change_what_it_is() -> None:
+def test_a_shape_is_classified_once_and_literals_do_not_change_it() -> None:
     reader = StatementReader(max_shapes=2)
     for number in range(50):
         assert reader.read(b"SELECT a FROM t WHERE b = '%d' AND c > %d" % (number, number)).is_safe
@@ -171,7 +173,7 @@
         assert reader.read(f"SELECT a FROM t WHERE b IN ({numbers})".encode()).is_safe
         rows = ", ".join(f"({each}, 'x')" for each in range(count))
         assert reader.read(f"INSERT INTO t VALUES {rows}".encode()).kind is Kind.WRITE
-    assert reader.cache_misses == 5  # of lists one with one, two and many; of rows one
+    assert reader.cache_misses == 5  # a shape each for lists of one, two and many; one for rows
     assert not reader.read(b"SELECT a FROM t WHERE b = '1' AND c > 1 FOR UPDATE").is_safe
     assert reader.read(b"SELECT 'a; DELETE FROM t'").is_safe
     assert not reader.read(b"SELECT 'a'; DELETE FROM t").is_safe
@@ -179,7 +181,7 @@
     assert reader.read(b"SET a = 2").assignments == (("a", "2"),)
 
 
-_DANGERS = [
+_UNSAFE_SUFFIXES = [
     "FOR UPDATE",
     "INTO OUTFILE 'x'",
     "; DELETE FROM t",
@@ -188,25 +190,38 @@
     ", own(1)",
     ", @b := 1",
 ]
-_NEUTRAL = ["a", "'x'", "'it''s'", "1", "`q`", '"z"', "t.a", "NOW()", "(SELECT 1)", "a + 1", "0x41", "NULL"]
+_SAFE_COLUMNS = [
+    "a",
+    "'x'",
+    "'it''s'",
+    "1",
+    "`q`",
+    '"z"',
+    "t.a",
+    "NOW()",
+    "(SELECT 1)",
+    "a + 1",
+    "0x41",
+    "NULL",
+]
 
 
-@given(st.lists(st.sampled_from(_NEUTRAL), min_size=1, max_size=5), st.sampled_from(_DANGERS))
-def test_no_harmless_beginning_hides_a_danger(columns: list[str], danger: str) -> None:
+@given(st.lists(st.sampled_from(_SAFE_COLUMNS), min_size=1, max_size=5), st.sampled_from(_UNSAFE_SUFFIXES))
+def test_a_safe_prefix_does_not_hide_an_unsafe_suffix(columns: list[str], suffix: str) -> None:
     text = f"SELECT {', '.join(columns)}"
-    end = f"{text}{danger}" if danger.startswith(",") else f"{text} FROM t {danger}"
+    end = f"{text}{suffix}" if suffix.startswith(",") else f"{text} FROM t {suffix}"
     assert classify(f"{text} FROM t".encode()).is_safe
     assert not StatementReader().read(end.encode()).is_safe
 
 
-def test_a_text_that_would_take_long_to_read_is_not_proved() -> None:
+def test_a_statement_that_is_expensive_to_parse_is_unsafe() -> None:
     long = " OR ".join(f"b{number} = c" for number in range(1_000))
     assert not StatementReader().read(f"SELECT a FROM t WHERE {long}".encode()).is_safe
     assert not StatementReader().read(b"SELECT " + b"(" * 3_000 + b"1" + b")" * 3_000).is_safe
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_read_as_something(raw: bytes) -> None:
+def test_any_bytes_are_classified(raw: bytes) -> None:
     read = StatementReader().read(raw)
     if read.is_safe:
         first = re.sub(rb"^(\s|/\*[^!+*/M][^*/]*\*/|/\*\*/|\()*", b"", raw)[:5].lower()
@@ -283,7 +298,7 @@
     return Session("desk", capabilities, "utf8mb4", schema, 4, 100)
 
 
-def _did(
+def _record(
     session: Session,
     text: str,
     status: Status = Status.AUTOCOMMIT,
@@ -295,23 +310,23 @@
     session.record_success(read, status, Ok(0, last_insert_id, status), warnings)
 
 
-def test_what_a_session_set_is_put_in_its_order_and_only_what_differs() -> None:
-    session, have = _session(b"tariff"), ConnectionState()
-    _did(session, "SET sql_mode = 'ANSI'")
-    _did(session, "SET time_zone = '+00:00'")
+def test_state_commands_set_only_differences_in_the_order_of_the_session() -> None:
+    session, state = _session(b"tariff"), ConnectionState()
+    _record(session, "SET sql_mode = 'ANSI'")
+    _record(session, "SET time_zone = '+00:00'")
     query = bytes((Command.QUERY,))
     first = [query + b"SET NAMES utf8mb4, sql_mode = 'ANSI', time_zone = '+00:00'", b"\x02tariff"]
-    assert state_commands(have, session, None) == first
-    assert state_commands(have, session, None) == []
+    assert state_commands(state, session, None) == first
+    assert state_commands(state, session, None) == []
     other = _session(b"tariff")
-    _did(other, "SET time_zone = '+01:00'")
-    assert state_commands(have, other, None) == [query + b"SET sql_mode = DEFAULT, time_zone = '+01:00'"]
-    _did(other, "USE duty")
-    _did(other, "SET NAMES latin1")
-    assert state_commands(have, other, None) == [query + b"SET NAMES latin1", b"\x02duty"]
-    assert state_commands(have, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == []
-    _did(other, "INSERT INTO t VALUES (1)", last_insert_id=9)
-    assert state_commands(have, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == [
+    _record(other, "SET time_zone = '+01:00'")
+    assert state_commands(state, other, None) == [query + b"SET sql_mode = DEFAULT, time_zone = '+01:00'"]
+    _record(other, "USE duty")
+    _record(other, "SET NAMES latin1")
+    assert state_commands(state, other, None) == [query + b"SET NAMES latin1", b"\x02duty"]
+    assert state_commands(state, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == []
+    _record(other, "INSERT INTO t VALUES (1)", last_insert_id=9)
+    assert state_commands(state, other, StatementReader().read(b"SELECT LAST_INSERT_ID(), 1")) == [
         query + b"SET last_insert_id = 9"
     ]
     several = _session(b"duty", multi=True)
@@ -336,37 +351,37 @@
         ("SELECT 1", "SHOW WARNINGS", True),
     ],
 )
-def test_a_connection_is_reset_between_users_where_anything_may_be_left(
+def test_a_connection_is_reset_between_sessions_if_state_may_remain(
     ran: str, asks: str, resets: bool
 ) -> None:
-    have = ConnectionState()
-    have.record(StatementReader().read(ran.encode()), Status.AUTOCOMMIT, Ok(), failed=False)
-    assert must_reset(have, _session(), StatementReader().read(asks.encode())) is resets
-    have.reset()
-    assert not must_reset(have, _session(), StatementReader().read(b"SELECT @a"))
+    state = ConnectionState()
+    state.record(StatementReader().read(ran.encode()), Status.AUTOCOMMIT, Ok(), failed=False)
+    assert must_reset(state, _session(), StatementReader().read(asks.encode())) is resets
+    state.reset()
+    assert not must_reset(state, _session(), StatementReader().read(b"SELECT @a"))
 
 
-def test_what_pins_a_session_and_what_lets_it_go() -> None:
+def test_which_statements_pin_and_unpin_a_session() -> None:
     session = _session()
-    _did(session, "BEGIN", Status.IN_TRANS)
+    _record(session, "BEGIN", Status.IN_TRANS)
     assert session.pins == {Pin.TRANSACTION} and not session.has_server_state
-    _did(session, "SELECT @a", Status.IN_TRANS)
+    _record(session, "SELECT @a", Status.IN_TRANS)
     assert session.has_server_state
-    _did(session, "COMMIT", Status.AUTOCOMMIT)
+    _record(session, "COMMIT", Status.AUTOCOMMIT)
     assert session.pins == {Pin.USER_VARIABLE}
     session.reset()
     assert not session.pins
-    _did(session, "SET TRANSACTION READ ONLY")
-    _did(session, "BEGIN", Status.IN_TRANS)
-    _did(session, "COMMIT")
-    assert not session.pins  # it was for one transaction
-    _did(session, "INSERT INTO t VALUES (1)", warnings=1)
+    _record(session, "SET TRANSACTION READ ONLY")
+    _record(session, "BEGIN", Status.IN_TRANS)
+    _record(session, "COMMIT")
+    assert not session.pins  # it applied to one transaction
+    _record(session, "INSERT INTO t VALUES (1)", warnings=1)
     assert session.pins == {Pin.DIAGNOSTICS}
     session.start_statement(StatementReader().read(b"SHOW WARNINGS"))
     assert session.pins == {Pin.DIAGNOSTICS}
     session.start_statement(StatementReader().read(b"SELECT 1"))
     assert not session.pins
-    _did(session, "SELECT GET_LOCK('a', 1)")
+    _record(session, "SELECT GET_LOCK('a', 1)")
     assert session.connection_lost() and session.pins == {Pin.LOCK}
 
 
@@ -374,8 +389,8 @@
 # The pool
 
 
-def test_the_pool_keeps_its_limits_whatever_comes() -> None:
-    chance = random.Random(5)
+def test_the_pool_keeps_its_limits_under_random_operations() -> None:
+    rng = random.Random(5)
     limits = PoolLimits(max_connections=12, max_connections_per_server=5, idle_us=1_000)
     pool: Pool[int] = Pool(limits)
     free: list[tuple[int, str]] = []
@@ -385,9 +400,9 @@
     now = number = 0
     seen = {"use": 0, "dial": 0, Full.SERVER: 0, Full.ALL: 0}
     for _ in range(6_000):
-        now += chance.randrange(40)
-        server, kind = f"s{chance.randrange(4)}", chance.choice("ab")
-        match chance.randrange(6):
+        now += rng.randrange(40)
+        server, kind = f"s{rng.randrange(4)}", rng.choice("ab")
+        match rng.randrange(6):
             case 0 | 1 | 2:
                 what = pool.assign(server, (kind,), now)
                 if isinstance(what, Use):
@@ -403,7 +418,7 @@
                     seen[what] += 1
             case 3 if dialling:
                 server = dialling.pop()
-                if chance.random() < 0.8:
+                if rng.random() < 0.8:
                     number += 1
                     owners[number] = server
                     pool.opened(server, number)
@@ -411,8 +426,8 @@
                 else:
                     pool.end_dial(server)
             case 4 if in_use:
-                connection, kind = in_use.pop(chance.randrange(len(in_use)))
-                if chance.random() < 0.8:
+                connection, kind = in_use.pop(rng.randrange(len(in_use)))
+                if rng.random() < 0.8:
                     assert pool.release(connection, kind, now)
                     free.append((connection, kind))
                 else:
--- a/tests/test_mysql_error_mapping.py
+++ b/tests/test_mysql_error_mapping.py
@@ -1,4 +1,4 @@
-"""The table of what befalls a statement: at every point of its life, what its client gets and what ran."""
+"""Statements that fail: at each point of a failure, what the client gets and what took effect."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 from loopback import play, soon, until
-from mysql_stage import ROWS, Scene, ask, scene
+from mysql_stage import ROWS, MysqlEnvironment, execute, mysql_environment
 
 from micadeck.mysql.error_mapping import TABLE, StatementContext, StatementFailure, Transaction
 from micadeck.mysql.protocol.answers import ResponseKind
@@ -17,33 +17,38 @@
 from micadeck.stand_ins.mysql import Fault, Point, What
 
 READ = "SELECT * FROM tariff ORDER BY code"
-LODGE = "INSERT INTO lodged VALUES ('L1', 'desk')"
-WHOLE = list(ROWS)
+INSERT = "INSERT INTO lodged VALUES ('L1', 'desk')"
+ALL_ROWS = list(ROWS)
 UNKNOWN = (1105, "whether it took effect is not known")
-BACK = (1213, "the transaction was rolled back")
+ROLLED_BACK = (1213, "the transaction was rolled back")
 
 
-def fails(answer: Any, expected: tuple[int, str]) -> bool:
+def is_error_answer(answer: Any, expected: tuple[int, str]) -> bool:
     return isinstance(answer, tuple) and answer[0] == expected[0] and expected[1] in answer[1]
 
 
-def fault_all(stage: Scene, match: str, point: Point, what: What, rows: int = 0) -> None:
-    """The first server that it comes to has the fault; no other has."""
+def inject_fault(env: MysqlEnvironment, match: str, point: Point, what: What, rows: int = 0) -> None:
+    """Inject one fault, at the first server that runs a matching statement."""
     shared = Fault(match, point, what, rows)
-    for server in stage.servers:
+    for server in env.servers:
         server.faults.append(shared)
 
 
-def test_the_table_has_a_fate_for_everything_and_promises_only_what_holds() -> None:
-    assert TABLE.keys() == {(row, befell) for row in StatementContext for befell in StatementFailure}
-    for (row, befell), fate in TABLE.items():
-        if befell is StatementFailure.REFUSED or row in (StatementContext.READ, StatementContext.ROLLBACK):
+def test_the_table_is_complete_and_promises_no_more_than_holds() -> None:
+    assert TABLE.keys() == {
+        (context, failure) for context in StatementContext for failure in StatementFailure
+    }
+    for (context, failure), answer in TABLE.items():
+        if failure is StatementFailure.REFUSED or context in (
+            StatementContext.READ,
+            StatementContext.ROLLBACK,
+        ):
             continue
-        if row is StatementContext.IN_TRANSACTION:
-            assert fate.error is not None and fate.error.sqlstate == "40001"
-            assert fate.transaction is Transaction.ROLLED_BACK
+        if context is StatementContext.IN_TRANSACTION:
+            assert answer.error is not None and answer.error.sqlstate == "40001"
+            assert answer.transaction is Transaction.ROLLED_BACK
         else:
-            assert fate.error is not None and fate.error.sqlstate == "08007"
+            assert answer.error is not None and answer.error.sqlstate == "08007"
 
 
 @pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN, What.SPOIL])
@@ -51,93 +56,93 @@
     ("point", "rows"),
     [(Point.START, 0), (Point.RAN, 0), (Point.HEAD, 0), (Point.COLUMNS, 0), (Point.ROWS, 2), (Point.LAST, 0)],
 )
-def test_a_read_is_read_again_elsewhere_unseen(point: Point, rows: int, what: What) -> None:
+def test_a_failed_read_is_retried_at_another_server(point: Point, rows: int, what: What) -> None:
     async def work() -> None:
-        async with scene() as stage:
-            client = await stage.connect()
-            fault_all(stage, "FROM tariff", point, what, rows)
-            answer = await ask(client, READ)
+        async with mysql_environment() as env:
+            client = await env.connect()
+            inject_fault(env, "FROM tariff", point, what, rows)
+            answer = await execute(client, READ)
             if what is What.GO_DOWN and point is Point.HEAD:
-                # In place of a column's definition an ERR can't be told from one: it is spoilt.
-                assert answer == WHOLE or isinstance(answer, tuple)
+                # In place of a column definition, an ERR reads as a malformed one.
+                assert answer == ALL_ROWS or isinstance(answer, tuple)
             else:
-                assert answer == WHOLE
-            assert len(stage.ran("FROM tariff")) <= 2
+                assert answer == ALL_ROWS
+            assert len(env.statements("FROM tariff")) <= 2
 
     play(work)
 
 
 @pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN, What.SPOIL])
 @pytest.mark.parametrize(("point", "effects"), [(Point.START, 0), (Point.RAN, 1)])
-def test_a_write_that_may_have_run_is_never_sent_again_and_never_called_harmless(
+def test_a_write_that_may_have_run_is_not_retried_and_its_effect_is_reported_as_unknown(
     point: Point, effects: int, what: What
 ) -> None:
     async def work() -> None:
-        async with scene() as stage:
-            client = await stage.connect(autocommit=True)
-            fault_all(stage, LODGE, point, what)
-            assert fails(await ask(client, LODGE), UNKNOWN)
-            assert stage.lodged("L1") == effects
-            assert len(stage.ran(LODGE)) == effects
-            assert await ask(client, READ) == WHOLE  # the session goes on
+        async with mysql_environment() as env:
+            client = await env.connect(autocommit=True)
+            inject_fault(env, INSERT, point, what)
+            assert is_error_answer(await execute(client, INSERT), UNKNOWN)
+            assert env.count_lodged("L1") == effects
+            assert len(env.statements(INSERT)) == effects
+            assert await execute(client, READ) == ALL_ROWS  # the session continues
 
     play(work)
 
 
-def test_a_write_goes_elsewhere_where_it_cannot_have_run() -> None:
+def test_a_write_that_cannot_have_run_is_retried_at_another_server() -> None:
     async def work() -> None:
-        async with scene(3) as stage:
-            stage.servers[0].read_only = True  # ERR 1290
-            stage.servers[1].is_full = True  # ERR 1040 at log-in
-            client = await stage.connect(autocommit=True)
+        async with mysql_environment(3) as env:
+            env.servers[0].read_only = True  # ERR 1290
+            env.servers[1].is_full = True  # ERR 1040 at log-in
+            client = await env.connect(autocommit=True)
             for number in range(6):
-                assert await ask(client, f"INSERT INTO lodged VALUES ('W{number}', 'x')") == 1
-            assert [stage.lodged(f"W{number}") for number in range(6)] == [1] * 6
-            assert len(stage.servers[2].texts("INSERT")) == 6
+                assert await execute(client, f"INSERT INTO lodged VALUES ('W{number}', 'x')") == 1
+            assert [env.count_lodged(f"W{number}") for number in range(6)] == [1] * 6
+            assert len(env.servers[2].texts("INSERT")) == 6
 
     play(work)
 
 
 @pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN])
-def test_a_write_goes_elsewhere_if_its_server_is_lost_before_the_session_is_there(what: What) -> None:
+def test_a_write_is_retried_if_its_server_is_lost_while_the_session_is_applied(what: What) -> None:
     async def work() -> None:
-        async with scene() as stage:
-            client = await stage.connect(autocommit=True)
-            await ask(client, "SET time_zone = '+04:00'")
-            for server in stage.servers:  # new connections, on which the session must be put first
-                stage.service.transport.close_idle(server.name)
-            fault_all(stage, "SET NAMES", Point.START, what)
-            assert await ask(client, LODGE) == 1
-            assert stage.lodged("L1") == 1
+        async with mysql_environment() as env:
+            client = await env.connect(autocommit=True)
+            await execute(client, "SET time_zone = '+04:00'")
+            for server in env.servers:  # so that the session must be applied to a new connection
+                env.service.transport.close_idle(server.name)
+            inject_fault(env, "SET NAMES", Point.START, what)
+            assert await execute(client, INSERT) == 1
+            assert env.count_lodged("L1") == 1
 
     play(work)
 
 
-@pytest.mark.parametrize("text", [READ, LODGE])
-def test_word_of_a_drain_while_the_session_is_put_there_sends_the_statement_elsewhere(text: str) -> None:
+@pytest.mark.parametrize("text", [READ, INSERT])
+def test_a_drain_while_the_session_is_applied_sends_the_statement_to_another_server(text: str) -> None:
     async def work() -> None:
-        async with scene() as stage:
-            client = await stage.connect(autocommit=True)
-            for server in stage.servers:
-                server.takes_s = 0.3  # also for what puts the session there
-            asked = asyncio.create_task(ask(client, text))
-            await until(lambda: bool(stage.ran("SET NAMES")))
-            first = stage.server_of("SET NAMES")
-            await stage.drain(first)
-            assert await soon(asked) == (WHOLE if text == READ else 1)
+        async with mysql_environment() as env:
+            client = await env.connect(autocommit=True)
+            for server in env.servers:
+                server.takes_s = 0.3  # also for the commands that apply the session
+            query = asyncio.create_task(execute(client, text))
+            await until(lambda: bool(env.statements("SET NAMES")))
+            first = env.server_of("SET NAMES")
+            await env.drain(first)
+            assert await soon(query) == (ALL_ROWS if text == READ else 1)
             assert not first.texts(text)
 
     play(work)
 
 
-def test_the_carrier_itself_writes_nothing_new_to_a_server_that_drains() -> None:
+def test_the_transport_starts_no_statement_at_a_draining_server() -> None:
     async def work() -> None:
-        async with scene(1) as stage:
-            client = await stage.connect()
-            assert await ask(client, READ) == WHOLE
-            await stage.drain(stage.servers[0])
-            carrier, ended = stage.service.transport, []
-            session = next(iter(stage.service.listener.clients)).session
+        async with mysql_environment(1) as env:
+            client = await env.connect()
+            assert await execute(client, READ) == ALL_ROWS
+            await env.drain(env.servers[0])
+            transport, outcomes = env.service.transport, []
+            session = next(iter(env.service.listener.clients)).session
             assert session is not None
             request = StatementRequest(
                 "read", None, None, 1_000_000, None, False, b"x", False,
@@ -145,24 +150,26 @@
                 command=b"\x03" + READ.encode(),
                 kind=ResponseKind.RESULT, sink=None,  # type: ignore[arg-type]
             )  # fmt: skip
-            until_us = stage.service.listener.network.now() + 1_000_000
-            carrier.start("m-0", until_us, request, lambda outcome, answer, report: ended.append(outcome))
-            await until(lambda: bool(ended))
-            assert ended == [Outcome.NOT_SENT] and len(stage.ran("FROM tariff")) == 1
+            until_us = env.service.listener.network.now() + 1_000_000
+            transport.start(
+                "m-0", until_us, request, lambda outcome, answer, report: outcomes.append(outcome)
+            )
+            await until(lambda: bool(outcomes))
+            assert outcomes == [Outcome.NOT_SENT] and len(env.statements("FROM tariff")) == 1
 
     play(work)
 
 
 IN_TRANSACTION = [
-    # statement, point, what the client gets, lodgings that took effect
-    (LODGE, Point.START, BACK, 0),
-    (LODGE, Point.RAN, BACK, 0),
-    (READ, Point.ROWS, BACK, 0),
+    # statement, point of the failure, the client's answer, rows inserted
+    (INSERT, Point.START, ROLLED_BACK, 0),
+    (INSERT, Point.RAN, ROLLED_BACK, 0),
+    (READ, Point.ROWS, ROLLED_BACK, 0),
     ("COMMIT", Point.START, UNKNOWN, 0),
     ("COMMIT", Point.RAN, UNKNOWN, 1),
     ("ROLLBACK", Point.START, None, 0),
     ("ROLLBACK", Point.RAN, None, 0),
-    ("BEGIN", Point.RAN, UNKNOWN, 1),  # it commits what is open
+    ("BEGIN", Point.RAN, UNKNOWN, 1),  # BEGIN commits the open transaction
 ]
 
 
@@ -172,220 +179,224 @@
     text: str, point: Point, expected: tuple[int, str] | None, effects: int, what: What
 ) -> None:
     async def work() -> None:
-        async with scene() as stage:
-            client = await stage.connect()
-            await ask(client, "BEGIN")
-            assert await ask(client, "INSERT INTO lodged VALUES ('T1', 'desk')") == 1
-            stage.server_of("'T1'").faults.append(Fault(text, point, what))
-            answer = await ask(client, text)
+        async with mysql_environment() as env:
+            client = await env.connect()
+            await execute(client, "BEGIN")
+            assert await execute(client, "INSERT INTO lodged VALUES ('T1', 'desk')") == 1
+            env.server_of("'T1'").faults.append(Fault(text, point, what))
+            answer = await execute(client, text)
             if expected is None:
                 assert answer == 0
             else:
-                assert fails(answer, expected)
-            assert stage.lodged("T1") == effects
-            assert len(stage.ran("'T1'")) == 1
-            # The session goes on, without the transaction.
-            assert await ask(client, READ) == WHOLE
-            assert stage.service.transport.pool.in_use_count(stage.servers[0].name) == 0
+                assert is_error_answer(answer, expected)
+            assert env.count_lodged("T1") == effects
+            assert len(env.statements("'T1'")) == 1
+            # The session continues without the transaction.
+            assert await execute(client, READ) == ALL_ROWS
+            assert env.service.transport.pool.in_use_count(env.servers[0].name) == 0
 
     play(work)
 
 
-def test_after_an_error_in_a_transaction_nothing_is_called_rolled_back_that_may_have_committed() -> None:
-    """A deadlock ends the transaction, which its error does not say: what follows commits by itself."""
+def test_after_an_error_in_a_transaction_a_possible_commit_is_reported_as_unknown() -> None:
+    """A deadlock ends the transaction, which its error does not say; later statements autocommit."""
 
     async def work() -> None:
-        async with scene(1) as stage:
-            server = stage.servers[0]
-            client = await stage.connect(autocommit=True)
-            await ask(client, "BEGIN")
-            await ask(client, "INSERT INTO lodged VALUES ('T1', 'desk')")
-            (session,) = [each for each in server.sessions.values() if each.sql.in_transaction]
+        async with mysql_environment(1) as env:
+            server = env.servers[0]
+            client = await env.connect(autocommit=True)
+            await execute(client, "BEGIN")
+            await execute(client, "INSERT INTO lodged VALUES ('T1', 'desk')")
+            (session,) = [session for session in server.sessions.values() if session.sql.in_transaction]
             session.sql.run(session.sql.parse("ROLLBACK")[0])  # as a deadlock does
-            assert (await ask(client, "SELECT absent FROM tariff"))[0] == 1054
-            server.faults.append(Fault(LODGE, Point.RAN, What.RESET))
-            assert fails(await ask(client, LODGE), UNKNOWN)
-            assert (stage.lodged("T1"), stage.lodged("L1")) == (0, 1)
-            # With its word that all is well, the transaction is one again.
-            await ask(client, "BEGIN")
-            assert (await ask(client, "SELECT absent FROM tariff"))[0] == 1054
-            assert await ask(client, READ) == WHOLE
+            assert (await execute(client, "SELECT absent FROM tariff"))[0] == 1054
+            server.faults.append(Fault(INSERT, Point.RAN, What.RESET))
+            assert is_error_answer(await execute(client, INSERT), UNKNOWN)
+            assert (env.count_lodged("T1"), env.count_lodged("L1")) == (0, 1)
+            # The status of a successful read shows that the transaction is open.
+            await execute(client, "BEGIN")
+            assert (await execute(client, "SELECT absent FROM tariff"))[0] == 1054
+            assert await execute(client, READ) == ALL_ROWS
             server.faults.append(Fault("'L2'", Point.RAN, What.RESET))
-            assert fails(await ask(client, "INSERT INTO lodged VALUES ('L2', 'x')"), BACK)
-            assert stage.lodged("L2") == 0
+            assert is_error_answer(
+                await execute(client, "INSERT INTO lodged VALUES ('L2', 'x')"), ROLLED_BACK
+            )
+            assert env.count_lodged("L2") == 0
 
     play(work)
 
 
-@pytest.mark.parametrize(("text", "is_told"), [(LODGE, True), ("COMMIT", True), ("ROLLBACK", False)])
-def test_a_transaction_whose_server_dies_between_statements_is_rolled_back_and_the_next_one_says_so(
-    text: str, is_told: bool
+@pytest.mark.parametrize(("text", "is_error"), [(INSERT, True), ("COMMIT", True), ("ROLLBACK", False)])
+def test_a_server_lost_between_statements_rolls_the_transaction_back_and_the_next_gets_the_error(
+    text: str, is_error: bool
 ) -> None:
     async def work() -> None:
-        async with scene() as stage:
-            client = await stage.connect()
-            await ask(client, "BEGIN")
-            await ask(client, "INSERT INTO lodged VALUES ('T1', 'desk')")
-            stage.server_of("'T1'").die()
-            await until(lambda: stage.service.listener.busy_count == 0)
-            answer = await ask(client, text)
-            assert fails(answer, BACK) if is_told else answer == 0
-            assert stage.lodged("T1") == 0 and not stage.ran(LODGE)
-            await ask(client, "BEGIN")
-            assert await ask(client, LODGE) == 1
-            assert await ask(client, "COMMIT") == 0
-            assert stage.lodged("L1") == 1
+        async with mysql_environment() as env:
+            client = await env.connect()
+            await execute(client, "BEGIN")
+            await execute(client, "INSERT INTO lodged VALUES ('T1', 'desk')")
+            env.server_of("'T1'").die()
+            await until(lambda: env.service.listener.busy_count == 0)
+            answer = await execute(client, text)
+            assert is_error_answer(answer, ROLLED_BACK) if is_error else answer == 0
+            assert env.count_lodged("T1") == 0 and not env.statements(INSERT)
+            await execute(client, "BEGIN")
+            assert await execute(client, INSERT) == 1
+            assert await execute(client, "COMMIT") == 0
+            assert env.count_lodged("L1") == 1
 
     play(work)
 
 
-def test_a_transaction_may_commit_within_its_part_of_the_grace() -> None:
+def test_a_transaction_may_commit_within_the_session_drain_grace() -> None:
     async def work() -> None:
-        async with scene(drain={"grace_ms": 20_000, "finish_ms": 20_000}) as stage:
-            client = await stage.connect()
-            await ask(client, "BEGIN")
-            assert await ask(client, LODGE) == 1
-            server = stage.server_of(LODGE)
-            await stage.drain(server)
-            assert await ask(client, "INSERT INTO lodged VALUES ('L2', 'x')") == 1
-            assert await ask(client, "COMMIT") == 0
-            assert (stage.lodged("L1"), stage.lodged("L2")) == (1, 1)
+        async with mysql_environment(drain={"grace_ms": 20_000, "finish_ms": 20_000}) as env:
+            client = await env.connect()
+            await execute(client, "BEGIN")
+            assert await execute(client, INSERT) == 1
+            server = env.server_of(INSERT)
+            await env.drain(server)
+            assert await execute(client, "INSERT INTO lodged VALUES ('L2', 'x')") == 1
+            assert await execute(client, "COMMIT") == 0
+            assert (env.count_lodged("L1"), env.count_lodged("L2")) == (1, 1)
             before = len(server.ran)
-            assert await ask(client, READ) == WHOLE
-            assert len(server.ran) == before  # what needs no transaction went elsewhere
+            assert await execute(client, READ) == ALL_ROWS
+            assert len(server.ran) == before  # a read outside a transaction went to another server
 
     play(work)
 
 
-def test_past_its_part_of_the_grace_a_transaction_is_rolled_back_and_nothing_more_is_sent() -> None:
+def test_after_the_session_drain_grace_a_transaction_is_rolled_back_and_nothing_is_sent() -> None:
     async def work() -> None:
-        async with scene(drain={"grace_ms": 500, "finish_ms": 0}) as stage:
-            client = await stage.connect()
-            await ask(client, "BEGIN")
-            assert await ask(client, LODGE) == 1
-            server = stage.server_of(LODGE)
+        async with mysql_environment(drain={"grace_ms": 500, "finish_ms": 0}) as env:
+            client = await env.connect()
+            await execute(client, "BEGIN")
+            assert await execute(client, INSERT) == 1
+            server = env.server_of(INSERT)
             before = len(server.ran)
-            await stage.drain(server)
-            await until(lambda: not server.sessions)  # and so the server has rolled it back
-            assert fails(await ask(client, "COMMIT"), BACK)
-            assert stage.lodged("L1") == 0
+            await env.drain(server)
+            await until(lambda: not server.sessions)  # so the server rolled the transaction back
+            assert is_error_answer(await execute(client, "COMMIT"), ROLLED_BACK)
+            assert env.count_lodged("L1") == 0
             assert len(server.ran) == before
 
     play(work)
 
 
 @pytest.mark.parametrize("text", ["COMMIT", "INSERT INTO lodged VALUES ('L2', 'x')"])
-def test_a_drain_during_a_statement_lets_that_one_end(text: str) -> None:
+def test_a_drain_lets_the_running_statement_end(text: str) -> None:
     async def work() -> None:
-        async with scene(drain={"grace_ms": 500, "finish_ms": 0}) as stage:
-            client = await stage.connect()
-            await ask(client, "BEGIN")
-            await ask(client, LODGE)
-            server = stage.server_of(LODGE)
+        async with mysql_environment(drain={"grace_ms": 500, "finish_ms": 0}) as env:
+            client = await env.connect()
+            await execute(client, "BEGIN")
+            await execute(client, INSERT)
+            server = env.server_of(INSERT)
             server.takes_s = 0.3
-            answer = asyncio.create_task(ask(client, text))
+            answer = asyncio.create_task(execute(client, text))
             await until(lambda: bool(server.texts(text)))
-            await stage.drain(server)
+            await env.drain(server)
             assert await soon(answer) == (0 if text == "COMMIT" else 1)
             if text == "COMMIT":
-                assert stage.lodged("L1") == 1
+                assert env.count_lodged("L1") == 1
             else:
-                assert fails(await ask(client, "COMMIT"), BACK)
-                assert stage.lodged("L1") == stage.lodged("L2") == 0
+                assert is_error_answer(await execute(client, "COMMIT"), ROLLED_BACK)
+                assert env.count_lodged("L1") == env.count_lodged("L2") == 0
 
     play(work)
 
 
-def test_a_session_with_state_at_a_server_that_is_lost_hears_so_and_ends() -> None:
+def test_a_session_whose_server_state_is_lost_gets_an_error_and_is_closed() -> None:
     async def work() -> None:
-        async with scene() as stage:
-            client = await stage.connect()
-            await ask(client, "SET @code = '0202'")
-            assert await ask(client, "SELECT note FROM tariff WHERE code = @code") == [("beef",)]
-            assert "Held for: user variables: 1" in stage.service.listener.statistics()
-            holder = next(each for each in stage.servers if each.texts("@code"))
+        async with mysql_environment() as env:
+            client = await env.connect()
+            await execute(client, "SET @code = '0202'")
+            assert await execute(client, "SELECT note FROM tariff WHERE code = @code") == [("beef",)]
+            assert "Held for: user variables: 1" in env.service.listener.statistics()
+            holder = next(server for server in env.servers if server.texts("@code"))
             holder.die()
-            await until(lambda: stage.service.listener.busy_count == 0)
-            assert fails(await ask(client, READ), (1105, "the server that held this session's state"))
-            await until(lambda: not stage.service.listener.clients)
+            await until(lambda: env.service.listener.busy_count == 0)
+            assert is_error_answer(
+                await execute(client, READ), (1105, "the server that held this session's state")
+            )
+            await until(lambda: not env.service.listener.clients)
 
     play(work)
 
 
-@pytest.mark.parametrize(("text", "code"), [(READ, 3024), (LODGE, 1105)])
-def test_a_statement_past_its_time_is_answered_at_once(text: str, code: int) -> None:
+@pytest.mark.parametrize(("text", "code"), [(READ, 3024), (INSERT, 1105)])
+def test_a_statement_is_answered_at_its_deadline(text: str, code: int) -> None:
     async def work() -> None:
-        async with scene(1) as stage:
-            client = await stage.connect(autocommit=True)
-            stage.servers[0].faults.append(Fault(text, Point.START, What.HANG))
-            answer = await ask(client, f"/*micadeck: deadline_ms=300*/ {text}")
+        async with mysql_environment(1) as env:
+            client = await env.connect(autocommit=True)
+            env.servers[0].faults.append(Fault(text, Point.START, What.HANG))
+            answer = await execute(client, f"/*micadeck: deadline_ms=300*/ {text}")
             assert answer[0] == code
-            await until(lambda: stage.service.engine.open_requests == 0)
-            assert stage.service.transport.pool.in_use_count("m-0") == 0  # its connection is closed
+            await until(lambda: env.service.engine.open_requests == 0)
+            assert env.service.transport.pool.in_use_count("m-0") == 0  # its connection is closed
 
     play(work)
 
 
-def test_a_statement_past_its_time_is_killed_where_that_is_allowed() -> None:
+def test_a_statement_past_its_deadline_is_killed_if_kill_is_enabled() -> None:
     async def work() -> None:
-        async with scene(1, kill=True) as stage:
-            client = await stage.connect(autocommit=True)
-            await ask(client, READ)  # a connection is up: a statement that expires unwritten needs no KILL
-            server = stage.servers[0]
+        async with mysql_environment(1, kill=True) as env:
+            client = await env.connect(autocommit=True)
+            await execute(client, READ)  # opens a connection: a statement that expires unsent needs no KILL
+            server = env.servers[0]
             before = server.commands["QUERY"]
-            answer = await ask(client, "/*micadeck: deadline_ms=1000*/ SELECT SLEEP(20)")
+            answer = await execute(client, "/*micadeck: deadline_ms=1000*/ SELECT SLEEP(20)")
             assert answer[0] == 3024
             assert [each.text for each in server.ran][-1].endswith("SLEEP(20)")
-            await until(lambda: server.commands["QUERY"] >= before + 2)  # KILL QUERY came
+            await until(lambda: server.commands["QUERY"] >= before + 2)  # KILL QUERY arrived
 
     play(work)
 
 
-def test_a_client_that_goes_away_half_way_leaves_nothing_behind() -> None:
+def test_a_client_that_disconnects_during_a_statement_leaks_nothing() -> None:
     async def work() -> None:
-        async with scene(1) as stage:
-            for text in (READ, LODGE, "SELECT * FROM wide"):
-                client = await stage.connect(autocommit=True)
-                server = stage.servers[0]
+        async with mysql_environment(1) as env:
+            for text in (READ, INSERT, "SELECT * FROM wide"):
+                client = await env.connect(autocommit=True)
+                server = env.servers[0]
                 server.takes_s = 0.2
-                asked = asyncio.create_task(ask(client, text))
+                query = asyncio.create_task(execute(client, text))
                 await until(lambda text=text, server=server: bool(server.texts(text)))  # type: ignore[misc]
-                asked.cancel()
+                query.cancel()
                 client.close()
-                await until(lambda: stage.service.engine.open_requests == 0)
-                await until(lambda: stage.service.transport.pool.in_use_count("m-0") == 0)
-            assert stage.service.listener.clients == set()
-            assert stage.service.transport.held_bytes == 0
+                await until(lambda: env.service.engine.open_requests == 0)
+                await until(lambda: env.service.transport.pool.in_use_count("m-0") == 0)
+            assert env.service.listener.clients == set()
+            assert env.service.transport.held_bytes == 0
 
     play(work)
 
 
 @pytest.mark.parametrize("what", [What.DIE, What.RESET])
-def test_a_result_that_streams_ends_with_an_error_where_its_server_dies(what: What) -> None:
+def test_a_streamed_result_ends_with_an_error_if_its_server_is_lost(what: What) -> None:
     async def work() -> None:
-        async with scene(limits={"hold_bytes": 64 << 10}) as stage:
-            for server in stage.servers:
+        async with mysql_environment(limits={"hold_bytes": 64 << 10}) as env:
+            for server in env.servers:
                 server.wide, server.wide_rows = True, 64
                 server.database.run("CREATE TABLE wide (w TEXT)")
-            client = await stage.connect()
-            fault_all(stage, "FROM wide", Point.LAST, what)
-            assert fails(await ask(client, "SELECT * FROM wide"), (1317, "not whole"))
-            assert len(stage.ran("FROM wide")) == 1  # rows went out: it is not read again
-            rows = await ask(client, "SELECT * FROM wide")
+            client = await env.connect()
+            inject_fault(env, "FROM wide", Point.LAST, what)
+            assert is_error_answer(await execute(client, "SELECT * FROM wide"), (1317, "not whole"))
+            assert len(env.statements("FROM wide")) == 1  # rows were sent, so it is not retried
+            rows = await execute(client, "SELECT * FROM wide")
             assert len(rows) == 64 and all(len(row[0]) == 16 << 10 for row in rows)
-            assert stage.service.transport.held_bytes == 0
+            assert env.service.transport.held_bytes == 0
 
     play(work)
 
 
 def test_without_any_server_a_statement_is_refused_as_harmless() -> None:
     async def work() -> None:
-        async with scene() as stage:
-            client = await stage.connect(autocommit=True)
-            for server in stage.servers:
-                await stage.drain(server)
-            for text in (READ, LODGE, "BEGIN"):
-                assert fails(await ask(client, text), (1213, "running it again is harmless"))
-            assert stage.lodged("L1") == 0
+        async with mysql_environment() as env:
+            client = await env.connect(autocommit=True)
+            for server in env.servers:
+                await env.drain(server)
+            for text in (READ, INSERT, "BEGIN"):
+                assert is_error_answer(await execute(client, text), (1213, "running it again is harmless"))
+            assert env.count_lodged("L1") == 0
 
     play(work)
--- a/tests/test_mysql_proof.py
+++ b/tests/test_mysql_proof.py
@@ -14,7 +14,7 @@
 
 import pytest
 from loopback import play
-from mysql_stage import Scene, ask, load, scene
+from mysql_stage import MysqlEnvironment, create_tables, execute, mysql_environment
 from pymysql.err import MySQLError
 
 from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
@@ -41,7 +41,9 @@
 class Desk:
     """One client: it reads, lodges and runs transactions, and checks all that it is told."""
 
-    def __init__(self, stage: Scene, number: int, chance: random.Random, counts: Counter[str]) -> None:
+    def __init__(
+        self, stage: MysqlEnvironment, number: int, chance: random.Random, counts: Counter[str]
+    ) -> None:
         self.stage = stage
         self.number = number
         self.chance = chance
@@ -66,13 +68,13 @@
     async def _connect(self) -> None:
         self.client = await self.stage.connect(autocommit=True)
         zone = f"+{self.number % 14:02}:00"
-        while (answer := await ask(self.client, f"SET time_zone = '{zone}'")) != 0:
+        while (answer := await execute(self.client, f"SET time_zone = '{zone}'")) != 0:
             assert answer[0] == 1213, answer
         self.zone = zone
 
     async def _ask(self, text: str) -> Any:
         self.counts["asked"] += 1
-        answer = await ask(self.client, text)
+        answer = await execute(self.client, text)
         self.counts["answered"] += 1
         if isinstance(answer, tuple):
             self.counts[str(answer[0])] += 1
@@ -121,7 +123,7 @@
             self.client = None
 
 
-async def _trouble(stage: Scene, chance: random.Random, drained: dict[str, float]) -> None:
+async def _trouble(stage: MysqlEnvironment, chance: random.Random, drained: dict[str, float]) -> None:
     loop = asyncio.get_running_loop()
     for number in range(10):
         await asyncio.sleep(0.4)
@@ -137,7 +139,7 @@
         if number % 3 == 2:
             # One goes, drained or killed, and a new one comes in its place.
             fresh = StandInMysql(f"m-{len(stage.servers)}")
-            load(fresh)
+            create_tables(fresh)
             fresh.database.append_only.add("lodged")
             await fresh.start()
             stage.servers.append(fresh)
@@ -155,7 +157,7 @@
 def test_every_statement_has_one_true_answer_while_servers_drain_and_die(seed: int) -> None:
     async def work() -> None:
         chance, counts = random.Random(seed), Counter[str]()
-        async with scene(4, limits={"connections_per_server": 64}) as stage:
+        async with mysql_environment(4, limits={"connections_per_server": 64}) as stage:
             for server in stage.servers:
                 server.takes_s = 0.002
                 server.database.append_only.add("lodged")
--- a/tests/test_mysql_protocol.py
+++ b/tests/test_mysql_protocol.py
@@ -1,4 +1,4 @@
-"""The codec and the log-in: what they write, what they refuse, and that nothing makes them hang."""
+"""The codec and the log-in: what they encode and reject; no input makes them hang."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize(
     "length", [0, 1, MAX_PAYLOAD_BYTES - 1, MAX_PAYLOAD_BYTES, MAX_PAYLOAD_BYTES + 1, 2 * MAX_PAYLOAD_BYTES]
 )
-def test_payloads_go_in_pieces_of_16_mib_and_come_together(length: int) -> None:
+def test_payloads_are_split_into_packets_of_16_mib_and_joined(length: int) -> None:
     payload = bytes(length)
     data, after = frame(payload, 254)
     pieces = length // MAX_PAYLOAD_BYTES + 1
@@ -54,7 +54,7 @@
     assert reader.is_empty and reader.sequence == after
 
 
-def test_a_wrong_sequence_and_too_long_a_payload_are_errors_before_it_is_here() -> None:
+def test_a_wrong_sequence_or_too_long_a_payload_is_an_error_before_it_is_complete() -> None:
     reader = PacketReader(10)
     reader.feed(b"\x0b\0\0\0")
     with pytest.raises(PacketTooLargeError, match="over 10 bytes"):
@@ -81,7 +81,7 @@
 
 
 @given(st.integers(0, 2**64 - 1), st.binary(max_size=70_000))
-def test_lengths_and_texts_come_back(number: int, text: bytes) -> None:
+def test_length_encoded_values_round_trip(number: int, text: bytes) -> None:
     read = Cursor(lenenc_int(number) + lenenc(text) + b"rest", "test")
     assert (read.lenenc_int("a"), read.lenenc("b"), read.rest()) == (number, text, b"rest")
 
@@ -121,7 +121,7 @@
 ]
 
 
-def _written(message: Any) -> bytes:
+def _encoded(message: Any) -> bytes:
     if isinstance(message, Ok):
         written: bytes = message.encode(MODERN if message.state else CLASSIC)
         return written
@@ -130,16 +130,16 @@
 
 
 @pytest.mark.parametrize(("message", "decode"), _MESSAGES, ids=lambda each: type(each).__name__)
-def test_messages_come_back_and_every_shorter_form_is_an_error_or_another_message(
+def test_messages_round_trip_and_truncated_ones_are_an_error_or_another_message(
     message: Any, decode: Any
 ) -> None:
-    raw = _written(message)
+    raw = _encoded(message)
     assert decode(raw) == message
     for cut in range(1, len(raw)):
         try:
             decode(raw[:cut])
-        except ProtocolError as fault:
-            assert ": " in str(fault)  # it names the packet and the field
+        except ProtocolError as error:
+            assert ": " in str(error)  # the error names the packet and the field
 
 
 @given(st.binary(min_size=1, max_size=200))
@@ -152,7 +152,7 @@
 
 
 # ---------------------------------------------------------------------------------------------------
-# Answers
+# Responses
 
 
 def _result(capabilities: Capability, rows: int, status: Status = Status.AUTOCOMMIT) -> list[bytes]:
@@ -171,25 +171,29 @@
     reader = ResponseReader(kind, capabilities)
     parts = []
     for number, each in enumerate(payloads):
-        assert not reader.is_complete, f"over before packet {number}"
+        assert not reader.is_complete, f"complete before packet {number}"
         parts.append(reader.read(each))
     return reader, parts
 
 
-@pytest.mark.parametrize("towards", [CLASSIC, MODERN])
-def test_a_result_reads_and_is_written_as_the_other_end_agreed(towards: Capability) -> None:
+@pytest.mark.parametrize("client_capabilities", [CLASSIC, MODERN])
+def test_a_result_is_encoded_for_the_capabilities_of_the_client(client_capabilities: Capability) -> None:
     more = Status.AUTOCOMMIT | Status.MORE_RESULTS
     payloads = [*_result(CLASSIC, 2, more), Ok(4, status=more).encode(CLASSIC), *_result(CLASSIC, 0)]
     reader, parts = _read(ResponseKind.RESULT, CLASSIC, payloads)
     assert reader.is_complete and reader.rows == 2 and reader.status == Status.AUTOCOMMIT
-    written = [raw for each in parts if (raw := encode(each, towards)) is not None]
-    wanted = [*_result(towards, 2, more), Ok(4, status=more).encode(towards), *_result(towards, 0)]
+    written = [raw for each in parts if (raw := encode(each, client_capabilities)) is not None]
+    wanted = [
+        *_result(client_capabilities, 2, more),
+        Ok(4, status=more).encode(client_capabilities),
+        *_result(client_capabilities, 0),
+    ]
     assert written == wanted
-    again, _ = _read(ResponseKind.RESULT, towards, written)
+    again, _ = _read(ResponseKind.RESULT, client_capabilities, written)
     assert again.is_complete
 
 
-def test_an_answer_is_over_only_at_its_end_and_an_error_ends_it_anywhere() -> None:
+def test_a_response_is_complete_at_its_end_or_at_an_error() -> None:
     payloads = _result(CLASSIC, 3)
     for cut in range(len(payloads)):
         reader, _ = _read(ResponseKind.RESULT, CLASSIC, payloads[:cut])
@@ -203,7 +207,7 @@
         _read(ResponseKind.RESULT, CLASSIC, payloads)[0].read(b"\0")
 
 
-def test_long_rows_that_begin_like_an_end_are_rows() -> None:
+def test_long_rows_that_start_like_an_end_packet_are_rows() -> None:
     row = b"\xfe" + (1 << 24).to_bytes(8, "little") + bytes(1 << 24)
     for capabilities in (CLASSIC, MODERN):
         head = _result(capabilities, 0)[:-1]
@@ -220,7 +224,7 @@
 
 
 @pytest.mark.parametrize(("capabilities", "columns", "parameters", "packets"), _PREPARED_PACKETS)
-def test_what_a_prepare_answers_is_as_long_as_it_says(
+def test_a_prepare_response_is_complete_after_its_definitions(
     capabilities: Capability, columns: int, parameters: int, packets: int
 ) -> None:
     payloads = [PrepareOk(1, columns, parameters).encode()]
@@ -237,15 +241,15 @@
     st.sampled_from(ResponseKind),
     st.sampled_from([CLASSIC, MODERN]),
 )
-def test_any_packets_are_an_answer_or_an_error(
-    packets: list[bytes], kind: ResponseKind, agreed: Capability
+def test_any_packets_are_a_response_or_an_error(
+    packets: list[bytes], kind: ResponseKind, capabilities: Capability
 ) -> None:
-    reader = ResponseReader(kind, agreed)
+    reader = ResponseReader(kind, capabilities)
     for each in packets:
         if reader.is_complete:
             break
         try:
-            encode(reader.read(each), agreed)
+            encode(reader.read(each), capabilities)
         except ProtocolError:
             return
 
@@ -260,72 +264,74 @@
 }
 
 
-def _dialogue(users: Users, name: bytes, password: bytes, plugin: bytes) -> tuple[bool, list[bytes]]:
-    """What the gate and the login of this program say to each other; whether it lets in."""
+def _log_in(users: Users, name: bytes, password: bytes, plugin: bytes) -> tuple[bool, list[bytes]]:
+    """Run a log-in; return whether it succeeded, and the server's payloads."""
     salt = new_salt()
     login = Login(password, plugin, salt)
-    gate = ServerAuthentication(users, salt, "here")
-    step = gate.begin(name, plugin, login.auth_response())
-    said = []
+    authentication = ServerAuthentication(users, salt, "here")
+    step = authentication.begin(name, plugin, login.auth_response())
+    payloads = []
     for _ in range(6):
         match step:
             case SendPacket(payload):
-                said.append(payload)
+                payloads.append(payload)
                 answer = login.read(payload)
                 assert answer is not None
                 assert password not in answer or not password
-                step = gate.read(answer)
+                step = authentication.read(answer)
             case PasswordCheck(run):
-                step = gate.password_checked(run())
+                step = authentication.password_checked(run())
             case Authenticated():
-                return True, said
+                return True, payloads
             case AccessDenied(error):
                 assert error.code == 1045
                 assert not password or password.decode("utf-8", "replace") not in error.text
-                return False, said
-    raise AssertionError("no end")
+                return False, payloads
+    raise AssertionError("the log-in does not end")
 
 
 @pytest.mark.parametrize("name", ["both", "sha2", "nobody"])
 @pytest.mark.parametrize("plugin", [NATIVE, CACHING_SHA2])
-def test_who_knows_the_password_is_let_in_and_nobody_else(name: str, plugin: bytes) -> None:
+def test_only_the_right_password_logs_in(name: str, plugin: bytes) -> None:
     users = Users(_USERS)
     is_known = name != "nobody"
-    first, said_first = _dialogue(users, name.encode(), SECRET, plugin)
+    first, payloads_first = _log_in(users, name.encode(), SECRET, plugin)
     assert first is is_known
-    wrong, said_wrong = _dialogue(users, name.encode(), b"wrong", plugin)
+    wrong, payloads_wrong = _log_in(users, name.encode(), b"wrong", plugin)
     assert not wrong
-    empty, _ = _dialogue(users, name.encode(), b"", plugin)
+    empty, _ = _log_in(users, name.encode(), b"", plugin)
     assert not empty
-    again, said_again = _dialogue(users, name.encode(), SECRET, plugin)
+    again, payloads_again = _log_in(users, name.encode(), SECRET, plugin)
     assert again is is_known
     if is_known and (name, plugin) != ("both", NATIVE):
-        assert len(said_again) < len(said_first)  # by what was learnt, without the password
+        assert len(payloads_again) < len(payloads_first)  # from the cached digest, without the password
     elif not is_known:
-        # An unknown user is asked all that a known one with a wrong password is asked.
-        known = [_dialogue(users, each, b"wrong", plugin)[1] for each in (b"sha2", b"both")]
-        assert [each[:2] for each in said_wrong] in [[said[:2] for said in each] for each in known]
+        # An unknown user gets the same packets as a known one with a wrong password.
+        known = [_log_in(users, each, b"wrong", plugin)[1] for each in (b"sha2", b"both")]
+        assert [each[:2] for each in payloads_wrong] in [
+            [payloads[:2] for payloads in each] for each in known
+        ]
 
 
-def test_no_key_is_made_while_somebody_logs_in(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_key_is_generated_during_a_log_in(monkeypatch: pytest.MonkeyPatch) -> None:
     users = Users(_USERS)
 
-    def made_late(*given: object) -> None:
-        raise AssertionError("a key takes tenths of a second to make, and the event loop stands still")
+    def make_key(*given: object) -> None:
+        raise AssertionError("making a key takes tenths of a second, which blocks the event loop")
 
-    monkeypatch.setattr("micadeck.mysql.auth.rsa.generate_private_key", made_late)
-    assert _dialogue(users, b"sha2", SECRET, CACHING_SHA2)[0]
+    monkeypatch.setattr("micadeck.mysql.auth.rsa.generate_private_key", make_key)
+    assert _log_in(users, b"sha2", SECRET, CACHING_SHA2)[0]
 
 
-def test_a_user_whose_password_changed_must_show_the_new_one() -> None:
+def test_after_a_password_change_only_the_new_one_logs_in() -> None:
     users = Users(_USERS)
-    assert _dialogue(users, b"sha2", SECRET, CACHING_SHA2)[0]
+    assert _log_in(users, b"sha2", SECRET, CACHING_SHA2)[0]
     users.replace({"sha2": User("sha2", Verifier.of(b"new"))})
-    assert not _dialogue(users, b"sha2", SECRET, CACHING_SHA2)[0]
-    assert _dialogue(users, b"sha2", b"new", CACHING_SHA2)[0]
+    assert not _log_in(users, b"sha2", SECRET, CACHING_SHA2)[0]
+    assert _log_in(users, b"sha2", b"new", CACHING_SHA2)[0]
 
 
-def test_no_secret_is_shown_by_what_holds_one() -> None:
+def test_no_repr_or_error_shows_a_secret() -> None:
     salt = new_salt()
     shown = [
         repr(_USERS["both"]),
@@ -333,18 +339,18 @@
         repr(ChangeUser(b"u", SECRET, b"", 45, NATIVE)),
         repr(PasswordCheck(lambda: True)),
     ]
-    gate = ServerAuthentication(Users(_USERS), salt, "here")
-    with pytest.raises(ProtocolError) as fault:
-        gate.begin(b"sha2", CACHING_SHA2, b"x" * 32)
-        gate.read(SECRET * 64)
-    shown.append(str(fault.value))
+    authentication = ServerAuthentication(Users(_USERS), salt, "here")
+    with pytest.raises(ProtocolError) as error:
+        authentication.begin(b"sha2", CACHING_SHA2, b"x" * 32)
+        authentication.read(SECRET * 64)
+    shown.append(str(error.value))
     for each in shown:
         assert SECRET.decode() not in each and repr(SECRET)[2:-1] not in each
         assert native_stored(SECRET).hex() not in each
 
 
 @given(st.binary(max_size=64))
-def test_what_a_server_says_at_log_in_is_answered_or_refused(payload: bytes) -> None:
+def test_any_server_payload_at_log_in_is_answered_or_an_error(payload: bytes) -> None:
     try:
         Login(SECRET, CACHING_SHA2, new_salt()).read(payload)
     except (ProtocolError, LoginFailed):
--- a/tests/test_mysql_reload.py
+++ b/tests/test_mysql_reload.py
@@ -6,17 +6,17 @@
 from contextlib import contextmanager
 
 from loopback import played
-from mysql_stage import PASSWORD_FILE, configured
+from mysql_stage import PASSWORD_FILE, make_config
 
 from micadeck.mysql.config import MysqlConfig
 from micadeck.mysql.service import MysqlService
 from micadeck.network import LoopNetwork
 
 
-def _listing(*names: str) -> MysqlConfig:
+def _static_config(*names: str) -> MysqlConfig:
     static = [{"name": name, "address": f"127.0.0.1:{number}"} for number, name in enumerate(names, 1)]
     servers = {"user": "sidecar", "password_file": str(PASSWORD_FILE), "static": static}
-    return configured(servers=servers)
+    return make_config(servers=servers)
 
 
 @contextmanager
@@ -30,9 +30,9 @@
 
 
 @played
-async def test_a_static_list_that_is_put_back_is_in_force_again() -> None:
-    """Against a reload that compares with the list of the start in place of the one in force."""
-    first, second = _listing("m-0"), _listing("m-0", "m-1", "m-2")
+async def test_a_reload_to_an_earlier_static_list_restores_it() -> None:
+    """A reload must compare with the current list, not with the one at the start."""
+    first, second = _static_config("m-0"), _static_config("m-0", "m-1", "m-2")
     with _running(first) as service:
         counts = []
         for config in (second, first, first, second):
@@ -42,8 +42,8 @@
 
 
 @played
-async def test_a_static_list_stays_while_a_roster_waits_for_a_restart() -> None:
-    """Against a reload that drops every server, though it can't take up what is to list them."""
-    with _running(_listing("m-0", "m-1")) as service:
-        service.reload(configured("127.0.0.1:1"))
+async def test_a_static_list_stays_if_the_reload_changes_to_a_roster() -> None:
+    """The roster needs a restart, so the reload must not drop the servers."""
+    with _running(_static_config("m-0", "m-1")) as service:
+        service.reload(make_config("127.0.0.1:1"))
         assert service.engine.known_servers == 2
--- a/tests/test_mysql_server_connection.py
+++ b/tests/test_mysql_server_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a MySQL server whose dial is given up while the server answers."""
+"""Connections to MySQL servers whose dial is cancelled."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @played
-async def test_an_answer_that_meets_a_log_in_just_given_up_ends_the_connection_quietly() -> None:
-    """Against an exception out of the event loop's callback, after which the owner is not told of the end."""
+async def test_a_response_after_the_log_in_was_cancelled_closes_the_connection() -> None:
+    """An exception in the event loop's callback would keep `on_closed` from being called."""
     closed: list[ServerConnection] = []
     connection = ServerConnection(
         mock.Mock(),
@@ -23,6 +23,6 @@
         on_closed=closed.append,
     )
     connection.connection_made(mock.Mock())
-    connection._logged_in.cancel()  # as by a dial whose time is up
+    connection._logged_in.cancel()  # as by a dial that timed out
     connection.data_received(frame(b"\0\0\0", 0)[0])
     assert closed == [connection] and not connection.is_open
--- a/tests/test_scheduling_delay.py
+++ b/tests/test_scheduling_delay.py
@@ -9,7 +9,7 @@
 
 import pytest
 from loopback import played
-from mysql_stage import ROWS, ask, scene
+from mysql_stage import ROWS, execute, mysql_environment
 
 from micadeck.network import LoopNetwork
 from micadeck.network.scheduling_delay import wait_excluding_lag
@@ -80,9 +80,9 @@
 
 @played
 async def test_a_late_process_logs_in_at_servers_that_are_well() -> None:
-    async with scene() as stage:
+    async with mysql_environment() as stage:
         client = await stage.connect()
         async with late_by(0.07):
-            answer = await ask(client, READ)
+            answer = await execute(client, READ)
         assert answer == ROWS
         assert not [each for each in stage.log if "failed" in each]
