--- a/micadeck/mysql/config.py
+++ b/micadeck/mysql/config.py
@@ -242,9 +242,9 @@
         raise MysqlConfigError(str(error)) from None
 
 
-def _users(given: tuple[_User, ...]) -> dict[str, User]:
+def _users(entries: tuple[_User, ...]) -> dict[str, User]:
     users: dict[str, User] = {}
-    for number, user in enumerate(given):
+    for number, user in enumerate(entries):
         if user.name in users:
             _fail(f"users[{number}].name", f"{user.name!r} occurs twice")
         try:
--- a/micadeck/mysql/response_writer.py
+++ b/micadeck/mysql/response_writer.py
@@ -39,8 +39,8 @@
     def write_parts(self, parts: list[Part]) -> None:
         """Write many parts at once."""
         out, sequence, capabilities = bytearray(), self.sequence, self.capabilities
-        for each in parts:
-            payload = each.payload if type(each) is Row else encode(each, capabilities)
+        for part in parts:
+            payload = part.payload if type(part) is Row else encode(part, capabilities)
             if payload is None:
                 continue
             if len(payload) < MAX_PAYLOAD_BYTES:
--- a/micadeck/mysql/service.py
+++ b/micadeck/mysql/service.py
@@ -19,7 +19,7 @@
 
 
 class StaticSource:
-    """A configured endpoint list."""
+    """A configured list, which only a reload changes."""
 
     def __init__(self, update: EndpointUpdate) -> None:
         self._update = update
--- a/tests/test_mysql_protocol.py
+++ b/tests/test_mysql_protocol.py
@@ -183,12 +183,12 @@
     reader, parts = _read(ResponseKind.RESULT, CLASSIC, payloads)
     assert reader.is_complete and reader.rows == 2 and reader.status == Status.AUTOCOMMIT
     written = [raw for each in parts if (raw := encode(each, client_capabilities)) is not None]
-    wanted = [
+    expected = [
         *_result(client_capabilities, 2, more),
         Ok(4, status=more).encode(client_capabilities),
         *_result(client_capabilities, 0),
     ]
-    assert written == wanted
+    assert written == expected
     again, _ = _read(ResponseKind.RESULT, client_capabilities, written)
     assert again.is_complete
 
--- a/tests/test_mysql_sessions.py
+++ b/tests/test_mysql_sessions.py
@@ -282,15 +282,15 @@
             while await execute(client, setting) != 0:
                 await asyncio.sleep(0)
         for turn in range(12):
-            wanted = [(zone, schema)]
-            assert await execute(client, "SELECT @@time_zone, DATABASE()") == wanted
+            expected = [(zone, schema)]
+            assert await execute(client, "SELECT @@time_zone, DATABASE()") == expected
             if turn % 4 == number % 4:
                 answer = await execute(client, f"INSERT INTO lodged VALUES ('n{number}', '{turn}')")
                 if answer == 1:
                     assert await execute(client, "SELECT LAST_INSERT_ID(), @@time_zone") != []
             if turn % 5 == 0:
                 await execute(client, "BEGIN")
-                assert await execute(client, "SELECT @@time_zone, DATABASE()") == wanted
+                assert await execute(client, "SELECT @@time_zone, DATABASE()") == expected
                 await execute(client, "ROLLBACK")
 
     async def work() -> None:
@@ -319,10 +319,10 @@
             for server in env.servers:
                 others = [each for each in env.servers if each is not server]
                 server.die()
-                wanted = [("+04:00", "", "latin1", "tariff")]
+                expected = [("+04:00", "", "latin1", "tariff")]
                 query = "SELECT @@time_zone, @@sql_mode, @@character_set_client, DATABASE()"
                 if others[0].sessions or len(env.servers) == 2:
-                    assert await execute(client, query) == wanted
+                    assert await execute(client, query) == expected
                 break
 
     play(work)
