--- a/micadeck/traces/__init__.py
+++ b/micadeck/traces/__init__.py
@@ -1,7 +1,7 @@
-"""What the decisions heard on a day: recorded by the daemon on demand, replayed offline, drawn.
+"""Traces: the balancer's input events, recorded by the daemon on demand, replayed offline and drawn.
 
-`BALANCER_TRACE=PATH` switches the recording on; without it nothing of this is loaded.  A trace holds events
-only: the decisions are a function of them and a seed, so a replay gives every action and figure again.
+`BALANCER_TRACE=PATH` enables recording; without it this package is not loaded.  A trace holds only events:
+the balancer is a deterministic function of them and a seed, so a replay reproduces every action.
 """
 
 from __future__ import annotations
@@ -10,5 +10,5 @@
 import sys
 
 if "micadeck.policy" not in sys.modules:
-    # The types of compiled decisions can be neither written down nor read.
+    # msgspec can neither encode nor decode the types of the compiled policy.
     os.environ.setdefault("MICADECK_INTERPRETED", "1")
--- a/micadeck/traces/__main__.py
+++ b/micadeck/traces/__main__.py
@@ -18,85 +18,86 @@
 
 from micadeck.policy import Balancer
 from micadeck.traces.format import Trace, TraceError, decode
-from micadeck.traces.replay import Foreign, Make, compare, spans, totals
+from micadeck.traces.replay import BalancerFactory, OtherBuild, compare, spans, totals
 
-_TYPES = ("micadeck.policy.settings", "micadeck.policy.events")  # what a balancer takes
-_WIDE = 200  # where nobody's screen sets a width
+_TYPES = ("micadeck.policy.settings", "micadeck.policy.events")  # modules whose types a balancer takes
+_WIDTH_WITHOUT_TERMINAL = 200  # columns
 
 
 def _read(path: str) -> Trace:
     try:
         trace = decode(Path(path).read_bytes())
-    except (OSError, TraceError) as fault:
-        click.echo(f"micadeck: trace: {path}: {fault}", err=True)
+    except (OSError, TraceError) as error:
+        click.echo(f"micadeck: trace: {path}: {error}", err=True)
         raise SystemExit(2) from None
-    if not trace.is_whole:
+    if not trace.is_complete:
         click.echo(f"{path}: it breaks off after {len(trace.events)} events", err=True)
     return trace
 
 
-def _resolve(interface: ModuleType) -> None:
-    """Have the names in its classes' annotations looked up while they mean that tree's own classes."""
-    for each in vars(interface).values():
-        if isinstance(each, type) and is_dataclass(each):
+def _resolve_annotations(module: ModuleType) -> None:
+    """Resolve the annotations of a module's dataclasses while its own tree is imported."""
+    for value in vars(module).values():
+        if isinstance(value, type) and is_dataclass(value):
             try:
-                msgspec.convert({}, each)
+                msgspec.convert({}, value)
             except msgspec.ValidationError:
-                pass  # a field is missing; its type is known from here on
+                pass  # a field is missing; msgspec has cached the types
 
 
-def _build(folder: str) -> Make:
-    """The decisions of another tree, beside this one's."""
+def _load_build(folder: str) -> BalancerFactory:
+    """Import the balancer of another tree."""
     loaded: dict[str, ModuleType] = {}
-    kept = {name: module for name, module in sys.modules.items() if name.split(".")[0] == "micadeck"}
-    for name in kept:
+    own_modules = {name: module for name, module in sys.modules.items() if name.split(".")[0] == "micadeck"}
+    for name in own_modules:
         del sys.modules[name]
     sys.path.insert(0, folder)
     try:
-        for part in ("micadeck.policy", *_TYPES, "micadeck.policy.balancer"):
-            loaded[part] = importlib.import_module(part)
-        for part in _TYPES:
-            _resolve(loaded[part])
-    except ImportError as fault:
-        click.echo(f"micadeck: trace: {folder}: {fault}", err=True)
+        for name in ("micadeck.policy", *_TYPES, "micadeck.policy.balancer"):
+            loaded[name] = importlib.import_module(name)
+        for name in _TYPES:
+            _resolve_annotations(loaded[name])
+    except ImportError as error:
+        click.echo(f"micadeck: trace: {folder}: {error}", err=True)
         raise SystemExit(2) from None
     finally:
         sys.path.remove(folder)
-        for name in [each for each in sys.modules if each.split(".")[0] == "micadeck"]:
+        for name in [name for name in sys.modules if name.split(".")[0] == "micadeck"]:
             del sys.modules[name]
-        sys.modules.update(kept)
+        sys.modules.update(own_modules)
     balancer = loaded["micadeck.policy.balancer"].Balancer
-    settings, events = (loaded[part] for part in _TYPES)
-    return lambda given, seed: Foreign(balancer, settings, events, given, seed)
+    settings, events = (loaded[name] for name in _TYPES)
+    return lambda given, seed: OtherBuild(balancer, settings, events, given, seed)
 
 
 @click.group("trace")
 def command() -> None:
-    """What the decisions heard on a day."""
+    """Show, draw and replay traces."""
 
 
 @command.command()
 @click.argument("path", type=click.Path(dir_okay=False))
 @click.option("--span", default=1.0, type=click.FloatRange(0.01), help="Seconds for each line.")
 def show(path: str, span: float) -> None:
-    """The day in lines, and its totals."""
+    """A table of time spans, and the totals."""
     trace = _read(path)
-    console = Console(width=None if sys.stdout.isatty() else _WIDE, highlight=False)
+    console = Console(width=None if sys.stdout.isatty() else _WIDTH_WITHOUT_TERMINAL, highlight=False)
     table = Table(
         "s", "arrived", "refused", "failed", "load", "window", "spent", "late", "cores", "out", "ejected"
     )
-    listed = list(spans(trace, span))
-    for each in listed:
-        window = f"{each.window:.0f}" if each.window is not None else "-"
-        cores = f"{each.cores:.2f}" if each.cores is not None else "-"
+    span_list = list(spans(trace, span))
+    for row in span_list:
+        limit = f"{row.concurrency_limit:.0f}" if row.concurrency_limit is not None else "-"
+        cores = f"{row.core_utilization:.2f}" if row.core_utilization is not None else "-"
         table.add_row(
-            f"{each.at_s:g}", str(each.arrived), str(each.refused), str(each.failed), str(each.load),
-            window, f"{each.spent:.2f}", f"{each.late:.2f}", cores, str(each.out), "; ".join(each.ejected),
+            f"{row.end_s:g}", str(row.arrived), str(row.refused), str(row.failed), str(row.load),
+            limit, f"{row.objective_fraction:.2f}", f"{row.late_fraction:.2f}", cores,
+            str(row.ejected_servers), "; ".join(row.ejections),
         )  # fmt: skip
     console.print(table)
-    told = totals(listed)
-    click.echo(f"{told.arrived} arrived, {told.refused} refused, {told.failed} failed")
-    for title, counts in (("attempts", told.outcomes), ("ejections", told.ejections)):
+    total = totals(span_list)
+    click.echo(f"{total.arrived} arrived, {total.refused} refused, {total.failed} failed")
+    for title, counts in (("attempts", total.outcomes), ("ejections", total.ejections)):
         click.echo(f"{title}: " + ", ".join(f"{count} {name}" for name, count in counts.most_common()))
 
 
@@ -105,7 +106,7 @@
 @click.argument("picture", type=click.Path(dir_okay=False))
 @click.option("--span", default=0.25, type=click.FloatRange(0.01), help="Seconds for each point.")
 def draw_command(path: str, picture: str, span: float) -> None:
-    """The day as a PNG."""
+    """Draw a trace as a PNG."""
     from micadeck.traces.plot import draw
 
     draw(list(spans(_read(path), span)), Path(picture), Path(path).name)
@@ -117,15 +118,15 @@
     "--against", required=True, type=click.Path(file_okay=False), help="Another tree of this project."
 )
 def replay(path: str, against: str) -> None:
-    """Where the decisions of another tree first part from this one's."""
+    """The first action of another tree that differs from this one's."""
     trace = _read(path)
-    difference = compare(trace, Balancer, _build(against))
+    difference = compare(trace, Balancer, _load_build(against))
     if difference is None:
         click.echo(f"the same actions for all {len(trace.events)} events")
         return
     click.echo(f"event {difference.number} at {difference.at_s:.3f} s: {difference.event}")
-    click.echo(f"  here:  {difference.one}")
-    click.echo(f"  there: {difference.other}")
+    click.echo(f"  here:  {difference.actions}")
+    click.echo(f"  there: {difference.other_actions}")
     raise SystemExit(1)
 
 
--- a/micadeck/traces/plot.py
+++ b/micadeck/traces/plot.py
@@ -1,4 +1,4 @@
-"""A trace as a picture: five panels over one clock, as a PNG (by matplotlib)."""
+"""Draws a trace as a PNG: five panels over a common time axis (matplotlib)."""
 
 from __future__ import annotations
 
@@ -15,37 +15,49 @@
 
 
 def draw(spans: list[Span], path: Path, title: str) -> None:
-    """Write the picture; the spans are those of one trace, in order."""
-    times = [each.at_s for each in spans]
+    """Write the picture of one trace's spans, which are in order."""
+    times = [span.end_s for span in spans]
     figure, panels = pyplot.subplots(5, 1, sharex=True, figsize=(12, 13), layout="constrained")
-    requests, ends, load, parts, out = panels
-    requests.plot(times, [each.arrived for each in spans], label="arrived", color="black")
-    requests.plot(times, [each.refused for each in spans], label="refused", color="tab:red")
-    requests.plot(times, [each.failed for each in spans], label="failed", color="tab:orange")
+    requests, failures, load, fractions, ejected = panels
+    requests.plot(times, [span.arrived for span in spans], label="arrived", color="black")
+    requests.plot(times, [span.refused for span in spans], label="refused", color="tab:red")
+    requests.plot(times, [span.failed for span in spans], label="failed", color="tab:orange")
     requests.set_ylabel("requests in a span")
-    heights = [[each.outcomes[name] for each in spans] for name in _OUTCOMES[1:]]
-    ends.stackplot(times, heights, labels=_OUTCOMES[1:])
-    ends.set_ylabel("attempts that did\nnot deliver")
-    load.plot(times, [each.load for each in spans], label="load: own requests in flight", color="tab:blue")
+    heights = [[span.outcomes[name] for span in spans] for name in _OUTCOMES[1:]]
+    failures.stackplot(times, heights, labels=_OUTCOMES[1:])
+    failures.set_ylabel("attempts that did\nnot deliver")
+    load.plot(times, [span.load for span in spans], label="load: own requests in flight", color="tab:blue")
     load.plot(
         times,
-        [each.window if each.window is not None else float("nan") for each in spans],
+        [span.concurrency_limit if span.concurrency_limit is not None else float("nan") for span in spans],
         label="window (none drawn: it bounds nothing)",
         color="tab:red",
     )
     load.set_ylabel("requests")
-    parts.plot(times, [each.spent for each in spans], label="spent: of its aim, by the typical answer")
-    parts.plot(times, [each.late for each in spans], label="late: part of the answers")
-    cores = [each.cores if each.cores is not None else float("nan") for each in spans]
-    parts.plot(times, cores, label="cores busy, as servers report")
-    parts.set_ylabel("part of one")
-    out.step(times, [each.out for each in spans], where="post", label="ejected servers", color="black")
-    reasons = sorted({text.rpartition(": ")[2] for each in spans for text in each.ejected})
+    fractions.plot(
+        times, [span.objective_fraction for span in spans], label="spent: of its aim, by the typical answer"
+    )
+    fractions.plot(times, [span.late_fraction for span in spans], label="late: part of the answers")
+    cores = [span.core_utilization if span.core_utilization is not None else float("nan") for span in spans]
+    fractions.plot(times, cores, label="cores busy, as servers report")
+    fractions.set_ylabel("part of one")
+    ejected.step(
+        times, [span.ejected_servers for span in spans], where="post", label="ejected servers", color="black"
+    )
+    reasons = sorted({text.rpartition(": ")[2] for span in spans for text in span.ejections})
     for number, reason in enumerate(reasons):
-        at = [each.at_s for each in spans for text in each.ejected if text.endswith(f": {reason}")]
-        out.plot(at, [-0.5 - 0.5 * number] * len(at), "|", markersize=10, label=f"ejection: {reason}")
-    out.set_ylabel("servers")
-    out.set_xlabel("seconds from the first event")
+        ejection_times = [
+            span.end_s for span in spans for text in span.ejections if text.endswith(f": {reason}")
+        ]
+        ejected.plot(
+            ejection_times,
+            [-0.5 - 0.5 * number] * len(ejection_times),
+            "|",
+            markersize=10,
+            label=f"ejection: {reason}",
+        )
+    ejected.set_ylabel("servers")
+    ejected.set_xlabel("seconds from the first event")
     for panel in panels:
         panel.grid(alpha=0.3)
         if panel.get_legend_handles_labels()[0]:
--- a/micadeck/traces/record.py
+++ b/micadeck/traces/record.py
@@ -1,4 +1,4 @@
-"""Writes what the decisions hear to a file as it happens."""
+"""Records the events that a balancer handles in a file."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from micadeck.policy.events import Event
 from micadeck.traces.format import Encoder
 
-_AT_ONCE = 1 << 16  # bytes before they are written
-_MOST_BYTES = 1 << 30  # of a file: a recording that was forgotten must not fill a disk
+_FLUSH_BYTES = 1 << 16
+_MAX_FILE_BYTES = 1 << 30  # so that a recording that was left on does not fill the disk
 
 
 class Recorder:
-    """Stands before a balancer.  Whatever goes wrong ends the recording, and costs the balancer no event."""
+    """Wraps a balancer.  An error ends the recording; the balancer still gets every event."""
 
     def __init__(
         self, balancer: Balancer, settings: Settings, seed: int, path: Path, log: Callable[[str], None]
@@ -23,12 +23,12 @@
         self._balancer = balancer
         self._encoder = Encoder(settings, seed)
         self._log = log
-        self._written = 0
-        self._file = path.open("wb", buffering=0)  # OSError is the caller's
+        self._written_bytes = 0
+        self._file = path.open("wb", buffering=0)  # the caller handles OSError
         log(f"trace: recording to {path}")
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Record an event, and pass it on."""
+        """Record an event, and forward it."""
         if not self._file.closed:
             self._record(now, event)
         return self._balancer.handle(now, event)
@@ -40,16 +40,16 @@
 
     def _record(self, now: int, event: Event) -> None:
         try:
-            waiting = self._encoder.add(now, event)
+            buffered = self._encoder.add(now, event)
         except Exception as error:
-            # What was recorded before stays readable.
+            # Flush, so that the events before this one can be read.
             self._write(last=True)
-            self._end(f"{type(event).__name__}: {error!r}")
+            self._stop(f"{type(event).__name__}: {error!r}")
             return
-        if waiting >= _AT_ONCE:
+        if buffered >= _FLUSH_BYTES:
             self._write()
 
-    def _end(self, reason: str) -> None:
+    def _stop(self, reason: str) -> None:
         if not self._file.closed:
             self._log(f"trace: recording ends: {reason}")
             self._file.close()
@@ -58,8 +58,8 @@
         data = self._encoder.take(last=last)
         try:
             self._file.write(data)
-            self._written += len(data)
-            if self._written > _MOST_BYTES:
-                raise OSError(f"over {_MOST_BYTES} bytes")
+            self._written_bytes += len(data)
+            if self._written_bytes > _MAX_FILE_BYTES:
+                raise OSError(f"over {_MAX_FILE_BYTES} bytes")
         except OSError as error:
-            self._end(str(error))
+            self._stop(str(error))
--- a/micadeck/traces/replay.py
+++ b/micadeck/traces/replay.py
@@ -1,8 +1,8 @@
-"""A trace through the decisions once more: figures over time, and where two builds part.
+"""Replays a trace: statistics over time, and the first difference between two builds.
 
-A replay is open: what follows from an action that was not taken on the day did not happen there.  So another
-build is compared up to the first action that differs; after that its figures answer only what it would have
-made of the same news.  No I/O.
+A replay is open-loop: the events don't react to actions that the original run did not take.  So builds are
+compared up to the first action that differs; after that, statistics only show a build's reaction to the same
+events.  No I/O.
 """
 
 from __future__ import annotations
@@ -22,47 +22,47 @@
 from micadeck.traces.format import Trace
 
 
-class Decides(Protocol):
-    """A build of the decisions."""
+class EventHandler(Protocol):
+    """A balancer of any build."""
 
     def handle(self, now: int, event: Event) -> list[Action]: ...
 
 
-Make = Callable[[Settings, int], Any]
+BalancerFactory = Callable[[Settings, int], Any]
 
 
 @dataclass(slots=True)
 class Span:
-    """What happened in one span of time, and the figures at its end."""
+    """What happened in a span of time, and statistics at its end."""
 
-    at_s: float  # its end, from the first event
+    end_s: float  # since the first event
     arrived: int = 0
     sent: int = 0
     refused: int = 0
     failed: int = 0
-    ejected: list[str] = field(default_factory=list)  # server and reason
+    ejections: list[str] = field(default_factory=list)  # `SERVER: REASON`
     outcomes: Counter[str] = field(default_factory=Counter)
     load: int = 0
-    window: float | None = None  # None: it bounds nothing
-    spent: float = 0.0
-    late: float = 0.0
-    cores: float | None = None
-    out: int = 0  # servers that are ejected
+    concurrency_limit: float | None = None  # None: unlimited
+    objective_fraction: float = 0.0
+    late_fraction: float = 0.0
+    core_utilization: float | None = None
+    ejected_servers: int = 0
 
 
-def spans(trace: Trace, span_s: float, make: Make = Balancer) -> Iterator[Span]:
-    """The day in spans."""
-    balancer = make(trace.settings, trace.seed)
+def spans(trace: Trace, span_s: float, make_balancer: BalancerFactory = Balancer) -> Iterator[Span]:
+    """Replay a trace and yield its spans."""
+    balancer = make_balancer(trace.settings, trace.seed)
     if not trace.events:
         return
-    begin = trace.events[0][0]
+    start = trace.events[0][0]
     span = Span(span_s)
     for now, event in trace.events:
-        while now - begin >= span.at_s * 1e6:
-            yield _with_figures(span, balancer)
-            span = Span(span.at_s + span_s)
+        while now - start >= span.end_s * 1e6:
+            yield _with_statistics(span, balancer)
+            span = Span(span.end_s + span_s)
         _count(span, event, balancer.handle(now, event))
-    yield _with_figures(span, balancer)
+    yield _with_statistics(span, balancer)
 
 
 def _count(span: Span, event: Event, actions: list[Action]) -> None:
@@ -79,65 +79,71 @@
             case Fail():
                 span.failed += 1
             case Log(text) if text.startswith("ejected "):
-                span.ejected.append(text.removeprefix("ejected "))
+                span.ejections.append(text.removeprefix("ejected "))
 
 
-def _with_figures(span: Span, balancer: Any) -> Span:
+def _with_statistics(span: Span, balancer: Any) -> Span:
     statistics = balancer.statistics()
     span.load = statistics.load
     limit = statistics.concurrency_limit
-    span.window = None if math.isinf(limit) else limit
-    span.spent, span.late = statistics.objective_fraction, statistics.late_fraction
-    span.cores = statistics.core_utilization
-    span.out = statistics.ejected
+    span.concurrency_limit = None if math.isinf(limit) else limit
+    span.objective_fraction, span.late_fraction = statistics.objective_fraction, statistics.late_fraction
+    span.core_utilization = statistics.core_utilization
+    span.ejected_servers = statistics.ejected
     return span
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """The first event after which two builds do not do the same."""
+    """The first event with different actions from two builds."""
 
     number: int
     at_s: float
     event: Event
-    one: list[Action]
-    other: list[Action]
+    actions: list[Action]
+    other_actions: list[Action]
 
 
-def compare(trace: Trace, make: Make, other: Make) -> Difference | None:
-    """Where the builds part; None if they do the same all day."""
-    first, second = make(trace.settings, trace.seed), other(trace.settings, trace.seed)
-    begin = trace.events[0][0] if trace.events else 0
+def compare(trace: Trace, make_balancer: BalancerFactory, make_other: BalancerFactory) -> Difference | None:
+    """The first difference of two builds; None if there is none."""
+    balancer = make_balancer(trace.settings, trace.seed)
+    other = make_other(trace.settings, trace.seed)
+    start = trace.events[0][0] if trace.events else 0
     for number, (now, event) in enumerate(trace.events):
-        one, two = first.handle(now, event), second.handle(now, event)
-        if [_told(each) for each in one] != [_told(each) for each in two]:
-            return Difference(number, (now - begin) / 1e6, event, one, two)
+        actions, other_actions = balancer.handle(now, event), other.handle(now, event)
+        if [_comparable(action) for action in actions] != [_comparable(action) for action in other_actions]:
+            return Difference(number, (now - start) / 1e6, event, actions, other_actions)
     return None
 
 
-class Foreign:
-    """The balancer of another tree: events are made anew of its classes, which may know fewer fields."""
+class OtherBuild:
+    """The balancer of another tree: converts events to its classes, which may have fewer fields."""
 
     def __init__(
-        self, make: Make, settings_module: Any, events_module: Any, settings: Settings, seed: int
+        self,
+        make_balancer: BalancerFactory,
+        settings_module: Any,
+        events_module: Any,
+        settings: Settings,
+        seed: int,
     ) -> None:
         self._events = events_module
-        known = msgspec.convert(msgspec.to_builtins(settings), settings_module.Settings)
-        self._balancer: Decides = make(known, seed)
+        own_settings = msgspec.convert(msgspec.to_builtins(settings), settings_module.Settings)
+        self._balancer: EventHandler = make_balancer(own_settings, seed)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        kind = getattr(self._events, type(event).__name__)
-        return self._balancer.handle(now, msgspec.convert(msgspec.to_builtins(event), kind))
+        event_type = getattr(self._events, type(event).__name__)
+        return self._balancer.handle(now, msgspec.convert(msgspec.to_builtins(event), event_type))
 
 
-def _told(action: Action) -> str:
-    """Builds have classes of their own: actions are compared as they read."""
+def _comparable(action: Action) -> str:
+    """Each build has its own classes, so actions are compared by their `repr`."""
     return repr(action)
 
 
 @dataclass(slots=True)
 class Totals:
-    """A day in figures."""
+    """Totals of a trace."""
 
     arrived: int = 0
     refused: int = 0
@@ -151,11 +157,11 @@
 
 
 def totals(all_spans: list[Span]) -> Totals:
-    told = Totals()
-    for each in all_spans:
-        told.arrived += each.arrived
-        told.refused += each.refused
-        told.failed += each.failed
-        told.outcomes += each.outcomes
-        told.ejections.update(text.rpartition(": ")[2] for text in each.ejected)
-    return told
+    total = Totals()
+    for span in all_spans:
+        total.arrived += span.arrived
+        total.refused += span.refused
+        total.failed += span.failed
+        total.outcomes += span.outcomes
+        total.ejections.update(text.rpartition(": ")[2] for text in span.ejections)
+    return total
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -85,7 +85,7 @@
 def test_a_stored_trace_is_decoded_to_the_same_values() -> None:
     expected = json.loads((FIXTURES / "trace_decoded.json").read_text())
     trace = decode((FIXTURES / "decisions.trace").read_bytes())
-    assert trace.is_whole
+    assert trace.is_complete
     assert by_position(trace.settings) == expected["settings"]
     assert trace.seed == expected["seed"]
     decoded = [[now, KINDS.index(type(event)), by_position(event)] for now, event in trace.events]
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -75,7 +75,7 @@
 def test_what_is_recorded_comes_back_and_replays_action_for_action() -> None:
     day = _day()
     trace = decode(encode(settings(limits={"second_copies": False}), 7, day.heard))
-    assert trace.is_whole and trace.seed == 7
+    assert trace.is_complete and trace.seed == 7
     assert trace.settings == settings(limits={"second_copies": False})
     assert trace.events == day.heard
     again = Balancer(trace.settings, trace.seed)
@@ -89,9 +89,10 @@
     told = totals(listed)
     assert told.arrived == 300 == sum(isinstance(event, RequestArrived) for _, event in day.heard)
     assert sum(each.sent for each in listed) == sum(isinstance(a, Send) for did in day.did for a in did)
-    assert told.ejections["error"] >= 1 and max(each.out for each in listed) >= 1
-    assert any(each.load > 0 for each in listed) and all(each.cores is not None for each in listed[2:])
-    assert [each.at_s for each in listed] == [0.5 * number for number in range(1, len(listed) + 1)]
+    assert told.ejections["error"] >= 1 and max(each.ejected_servers for each in listed) >= 1
+    assert any(each.load > 0 for each in listed)
+    assert all(each.core_utilization is not None for each in listed[2:])
+    assert [each.end_s for each in listed] == [0.5 * number for number in range(1, len(listed) + 1)]
 
 
 def test_a_trace_that_breaks_off_is_read_as_far_as_it_is_whole() -> None:
@@ -102,10 +103,10 @@
         encoder.add(now, event)
         data += encoder.take()
     trace = decode(data)
-    assert not trace.is_whole and trace.events == day.heard
+    assert not trace.is_complete and trace.events == day.heard
     for cut in range(len(data) // 2, len(data), 97):
         part = decode(data[:cut])
-        assert part.events == day.heard[: len(part.events)] and not part.is_whole
+        assert part.events == day.heard[: len(part.events)] and not part.is_complete
 
 
 @given(st.binary(max_size=300), st.integers(0, 4_000))
@@ -135,7 +136,7 @@
     trace = decode(encode(settings(limits={"second_copies": False}), 7, day.heard))
     assert compare(trace, Balancer, Balancer) is None
     difference = compare(trace, Balancer, _Other)
-    assert difference is not None and difference.one != difference.other
+    assert difference is not None and difference.actions != difference.other_actions
     arrived = [
         event.request
         for _, event in trace.events[: difference.number + 1]
@@ -167,7 +168,7 @@
 
     play(work)
     trace = decode(path.read_bytes())
-    assert trace.is_whole and totals(list(spans(trace, 1.0))).delivered == 30
+    assert trace.is_complete and totals(list(spans(trace, 1.0))).delivered == 30
     shown = CliRunner().invoke(main, ["trace", "show", str(path)])
     assert shown.exit_code == 0 and "30 arrived, 0 refused, 0 failed" in shown.output
     picture = tmp_path / "day.png"
