--- a/micadeck/simulation/roster.py
+++ b/micadeck/simulation/roster.py
@@ -60,11 +60,12 @@
             return
         frozen = StandInRoster()
         frozen.version, frozen.entries = self.version, copy.deepcopy(self.entries)
-        frozen._changed_at, frozen._left = dict(self._changed_at), copy.deepcopy(self._left)
+        frozen._change_versions = dict(self._change_versions)
+        frozen._removed = copy.deepcopy(self._removed)
         self._stuck.append(frozen)
 
     def move_on(self) -> None:
-        self._stuck.pop()._wake()
+        self._stuck.pop()._notify_watches()
 
     async def _answer(self, target: str) -> dict[str, Any]:
         for seconds in list(self.late_s):
--- a/micadeck/simulation/simulated_day.py
+++ b/micadeck/simulation/simulated_day.py
@@ -172,7 +172,7 @@
         self.sidecar = None
         self.world.oracles.note(f"{self.name} has ended")
         self.world.later(0.0, machine.kill)
-        self.world.later(_TERM_PAUSE_S, self.start, self.world.discovery.whole())
+        self.world.later(_TERM_PAUSE_S, self.start, self.world.discovery.snapshot())
 
     def restart(self) -> None:
         if self.sidecar is None and self._stopping is None and self.machine.host.is_dead:
@@ -274,7 +274,7 @@
         for server in self.servers:
             server.start(cold=False)
             self._list(server)
-        self.first_list = self.discovery.whole()
+        self.first_list = self.discovery.snapshot()
         for process in self.sidecars:
             process.start(self.first_list)
             machine = self.wire.machine(Host(f"clients-{process.number}"), f"10.3.0.{process.number + 1}")
@@ -337,7 +337,7 @@
             if server.started_at is None
             else 1_700_000_000_000 + int(server.started_at * 1e3),
         }
-        self.discovery._change(server.name, entry)
+        self.discovery._put_entry(server.name, entry)
         self.oracles.listed(server.name, state)
         if self.registry is not None:
             self.registry.put(entry)
@@ -451,7 +451,7 @@
     def _silent(self, fault: Fault) -> None:
         """For one sidecar or for all; where Consul tells the servers, it is the roster of nobody."""
         towards = None if fault.amount else self._process(fault).address[0]
-        self.oracles.counts["watch fell silent"] += self.discovery.fall_silent(towards)
+        self.oracles.counts["watch fell silent"] += self.discovery.mute_watches(towards)
 
     def _new_discovery(self, fault: Fault) -> None:
         """All sidecars are told; the old one goes on until then, and ends."""
@@ -461,7 +461,7 @@
         self.discovery = new
         for server in self.servers:
             if server.name in old.entries:
-                new._change(server.name, old.entries[server.name])
+                new._put_entry(server.name, old.entries[server.name])
         for process in self.sidecars:
             process.discovery = new
             process.reload(process.config(self.first_list))
--- a/micadeck/stand_ins/__init__.py
+++ b/micadeck/stand_ins/__init__.py
@@ -1,10 +1,10 @@
-"""Stand-ins for the systems round a balancer: servers and the platform's roster, on loopback sockets.
+"""Stand-ins for the systems around a balancer: servers and the platform's roster, on loopback sockets.
 
-They are written from the protocol alone, for the demo, the benchmarks and tests that need a process of their
-own. Nothing else of the package imports them.
+They implement the protocols on their own, for the demo, the benchmarks, the simulation and tests. The product
+does not import them.
 """
 
 from micadeck.stand_ins.discovery_server import StandInRoster
-from micadeck.stand_ins.http_server import Heard, Mode, StandInServer
+from micadeck.stand_ins.http_server import Mode, ReceivedRequest, StandInServer
 
-__all__ = ["Heard", "Mode", "StandInRoster", "StandInServer"]
+__all__ = ["Mode", "ReceivedRequest", "StandInRoster", "StandInServer"]
--- a/micadeck/stand_ins/http_server.py
+++ b/micadeck/stand_ins/http_server.py
@@ -1,4 +1,4 @@
-"""A server that does nothing but take its time, and remembers all that came."""
+"""An HTTP server that answers after a delay and records its requests."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @unique
 class Mode(Enum):
-    """What becomes of a request."""
+    """How the server handles requests."""
 
     SERVES = "serves"
-    ERRS = "errs"  # 500: it may have run
-    HANGS = "hangs"  # taken, and never answered
-    TURNS_AWAY = "turns away"  # 503 with Not-Started: it never ran
+    FAILS = "errs"  # 500: the request may have run
+    HANGS = "hangs"  # never answers
+    REJECTS = "turns away"  # 503 with Not-Started: the request did not run
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A request that began here."""
+class ReceivedRequest:
+    """A request that reached the server."""
 
-    at: float  # seconds, on the machine's monotonic clock
+    at: float  # seconds on the machine's monotonic clock
     server: str
     method: str
     target: str
@@ -36,16 +36,16 @@
 
 
 class StandInServer:
-    """One server.  Each request holds it for `takes_s`; any number are served side by side."""
+    """One server.  Each request takes `takes_s`; any number run concurrently."""
 
     def __init__(self, name: str, takes_s: float = 0.0, body: bytes = b"served") -> None:
         self.name = name
         self.mode = Mode.SERVES
         self.takes_s = takes_s
         self.body = body
-        self.heard: list[Heard] = []
-        self.keeps = True  # what it heard; off for long runs
-        self.abandoned: list[float] = []  # when a connection ended with a request of its own unanswered
+        self.received: list[ReceivedRequest] = []
+        self.records_requests = True  # off for long runs
+        self.abandoned: list[float] = []  # times when a connection closed before its request was answered
         self.connections = 0
         self._server: asyncio.Server | None = None
         self._connections: set[_Connection] = set()
@@ -61,20 +61,20 @@
         return f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     def die(self) -> None:
-        """End as a killed process does: every connection is reset and new ones are refused."""
+        """Act as a killed process: reset every connection and refuse new ones."""
         assert self._server is not None
         self._server.close()
-        for each in list(self._connections):
-            each.transport.abort()
+        for connection in list(self._connections):
+            connection.transport.abort()
 
 
 class _Connection(asyncio.Protocol):
-    """One request at a time."""
+    """A connection, with one request at a time."""
 
     def __init__(self, server: StandInServer) -> None:
         self._server = server
         self._reader = RequestReader(MAX_BODY_BYTES)
-        self._is_working = False
+        self._is_serving = False
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -84,18 +84,18 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._server._connections.discard(self)
-        if self._is_working:
+        if self._is_serving:
             self._server.abandoned.append(asyncio.get_running_loop().time())
 
     def data_received(self, data: bytes) -> None:
         self._reader.feed(data)
         while self._reader.requests:
-            self._begin(self._reader.requests.popleft())
+            self._handle(self._reader.requests.popleft())
         if self._reader.error_status is not None:
             self.transport.write(Response(self._reader.error_status, []).encode())
             self.transport.close()
 
-    def _begin(self, request: Request) -> None:
+    def _handle(self, request: Request) -> None:
         server, headers = self._server, dict(request.headers)
         if request.target.startswith((b"/ping", b"/_load")):
             self.transport.write(Response(200, []).encode())
@@ -105,30 +105,30 @@
             self.transport.write(Response(404, []).encode())
             return
         loop = asyncio.get_running_loop()
-        if server.keeps:
-            server.heard.append(
-                Heard(
-                    at=time.monotonic(),  # finer than the event loop's clock: what came first is told first
+        if server.records_requests:
+            server.received.append(
+                ReceivedRequest(
+                    at=time.monotonic(),  # finer than the event loop's clock, to keep the order of arrival
                     server=server.name,
                     method=request.method.decode(),
                     target=request.target.decode("latin-1"),
                     ident=ident.decode("latin-1"),
                     key=key.decode("latin-1") if key is not None else None,
-                    ran=server.mode is not Mode.TURNS_AWAY,
+                    ran=server.mode is not Mode.REJECTS,
                 )
             )
-        if server.mode is Mode.TURNS_AWAY:
+        if server.mode is Mode.REJECTS:
             self.transport.write(Response(503, [(b"not-started", b"1")]).encode())
             return
-        self._is_working = True
+        self._is_serving = True
         if server.mode is not Mode.HANGS:
-            answer = Response(200, [], server.body) if server.mode is Mode.SERVES else Response(500, [])
+            response = Response(200, [], server.body) if server.mode is Mode.SERVES else Response(500, [])
             if server.takes_s:
-                loop.call_later(server.takes_s, self._end, answer)
+                loop.call_later(server.takes_s, self._send, response)
             else:
-                self._end(answer)
+                self._send(response)
 
-    def _end(self, answer: Response) -> None:
-        self._is_working = False
+    def _send(self, response: Response) -> None:
+        self._is_serving = False
         if not self.transport.is_closing():
-            self.transport.write(answer.encode())
+            self.transport.write(response.encode())
--- a/micadeck/stand_ins/world.py
+++ b/micadeck/stand_ins/world.py
@@ -1,18 +1,18 @@
-"""Stand-in servers and a roster in a process of their own, told what to do by lines of JSON.
+"""Stand-in servers and a roster in a process of their own, controlled by lines of JSON.
 
-`python -m micadeck.stand_ins.world COUNT` prints a line with the addresses, then answers each line on its
-standard input with one on its standard output, until the input ends:
+`python -m micadeck.stand_ins.world COUNT` prints a line with the addresses, then answers each line on
+standard input with one on standard output, until the input ends:
 
     {"do": "mode", "server": "s-0", "mode": "hangs", "takes_s": 0.2}
     {"do": "list", "server": "s-0", "state": "leaving"}      or "active", or "left"
-    {"do": "add", "server": "s-9"}                           a new process, cold
-    {"do": "start", "server": "s-9"}                         a server that the roster does not list
-    {"do": "note", ...}                                      what was done elsewhere, kept with its time
+    {"do": "add", "server": "s-9"}                           a new process, in slow start
+    {"do": "start", "server": "s-9"}                         a new process, not listed
+    {"do": "note", ...}                                      only recorded, with its time
     {"do": "die", "server": "s-0"}
     {"do": "later", "s": 1.5, "what": {"do": ...}}
-    {"do": "heard"}                                          all that came, in the order it came
+    {"do": "heard"}                                          all requests, in order of arrival
 
-Times are seconds on the machine's monotonic clock.  With `forget` behind COUNT, nothing is kept of what came.
+Times are seconds on the machine's monotonic clock.  With `forget` after COUNT, requests are not recorded.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 
 class World:
-    """Servers and the roster that lists them."""
+    """Servers and their roster."""
 
-    def __init__(self, *, keeps: bool = True) -> None:
-        self._keeps = keeps
+    def __init__(self, *, record_requests: bool = True) -> None:
+        self._record_requests = record_requests
         self.roster = StandInRoster()
         self.servers: dict[str, StandInServer] = {}
-        self.told: list[dict[str, Any]] = []  # what was done, and when
+        self.commands: list[dict[str, Any]] = []  # with their times
 
     async def start(self, count: int) -> World:
         await self.roster.start()
@@ -51,28 +51,28 @@
 
     async def start_server(self, name: str) -> StandInServer:
         server = self.servers[name] = await StandInServer(name).start()
-        server.keeps = self._keeps
+        server.records_requests = self._record_requests
         return server
 
     def addresses(self) -> dict[str, Any]:
         return {
             "roster": self.roster.address,
-            "servers": {name: each.address for name, each in self.servers.items()},
-            "known": self.roster.whole(),
+            "servers": {name: server.address for name, server in self.servers.items()},
+            "known": self.roster.snapshot(),
         }
 
-    async def do(self, what: dict[str, Any]) -> Any:
-        """Carry out one line; raise KeyError or ValueError on nonsense."""
-        name = what.get("server", "")
-        self.told.append({**what, "at": asyncio.get_running_loop().time()})
-        match what["do"]:
+    async def execute(self, command: dict[str, Any]) -> Any:
+        """Execute a command; raise KeyError or ValueError if it is invalid."""
+        name = command.get("server", "")
+        self.commands.append({**command, "at": asyncio.get_running_loop().time()})
+        match command["do"]:
             case "mode":
-                self.servers[name].mode = Mode(what["mode"])
-                self.servers[name].takes_s = float(what.get("takes_s", 0.0))
-            case "list" if what["state"] == "left":
+                self.servers[name].mode = Mode(command["mode"])
+                self.servers[name].takes_s = float(command.get("takes_s", 0.0))
+            case "list" if command["state"] == "left":
                 self.roster.remove(name)
             case "list":
-                self.roster.put(name, self.servers[name].address, what["state"])
+                self.roster.put(name, self.servers[name].address, command["state"])
             case "add":
                 await self.add(name, is_new=True)
             case "start":
@@ -82,35 +82,35 @@
             case "die":
                 self.servers[name].die()
             case "later":
-                asyncio.get_running_loop().call_later(float(what["s"]), self._do_soon, what["what"])
+                asyncio.get_running_loop().call_later(float(command["s"]), self._start_task, command["what"])
             case "heard":
                 return {
                     "heard": sorted(
-                        (asdict(heard) for each in self.servers.values() for heard in each.heard),
-                        key=lambda heard: heard["at"],
+                        (asdict(request) for server in self.servers.values() for request in server.received),
+                        key=lambda request: request["at"],
                     ),
-                    "abandoned": {name: each.abandoned for name, each in self.servers.items()},
-                    "connections": {name: each.connections for name, each in self.servers.items()},
-                    "told": self.told,
+                    "abandoned": {name: server.abandoned for name, server in self.servers.items()},
+                    "connections": {name: server.connections for name, server in self.servers.items()},
+                    "told": self.commands,
                 }
             case _:
-                raise ValueError(f"nobody knows how to {what['do']}")
-        return {"at": self.told[-1]["at"]}
+                raise ValueError(f"unknown command: {command['do']}")
+        return {"at": self.commands[-1]["at"]}
 
-    def _do_soon(self, what: dict[str, Any]) -> None:
-        self._task = asyncio.get_running_loop().create_task(self.do(what))
+    def _start_task(self, command: dict[str, Any]) -> None:
+        self._task = asyncio.get_running_loop().create_task(self.execute(command))
 
 
-async def _serve(count: int, *, keeps: bool) -> None:
-    world = await World(keeps=keeps).start(count)
+async def _serve(count: int, *, record_requests: bool) -> None:
+    world = await World(record_requests=record_requests).start(count)
     print(json.dumps(world.addresses()), flush=True)
     reader = asyncio.StreamReader(limit=1 << 20)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        print(json.dumps(await world.do(json.loads(line))), flush=True)
+        print(json.dumps(await world.execute(json.loads(line))), flush=True)
 
 
 if __name__ == "__main__":
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(_serve(int(sys.argv[1]), keeps=sys.argv[2:] != ["forget"]))
+        runner.run(_serve(int(sys.argv[1]), record_requests=sys.argv[2:] != ["forget"]))
--- a/tests/discovery_stage.py
+++ b/tests/discovery_stage.py
@@ -62,15 +62,15 @@
                 self._wire.cut("discovery-0", name)
         elif self._kind is Kind.NO_DESCRIPTORS:
             self._let_dial(hosts, 0)
-            for writer in list(self._open):
+            for writer in list(self._connections):
                 writer.transport.abort()
         else:
             self._is_out = True
-            for writer in list(self._open):
+            for writer in list(self._connections):
                 if self._kind is Kind.RESET:
                     writer.transport.abort()
             if self._kind is not Kind.RESET:
-                self.fall_silent()  # a call that waits could not distinguish a 503 from silence
+                self.mute_watches()  # a call that waits could not distinguish a 503 from silence
 
     def end(self, hosts: list[str]) -> None:
         if self._kind is Kind.REFUSED:
@@ -90,7 +90,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         spoilt = False
-        self._open.add(writer)
+        self._connections.add(writer)
         try:
             while True:
                 target = (await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode()
@@ -110,13 +110,13 @@
                     writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{"version": 1,')
                 spoilt = spoilt or self._is_out
                 answer = await self.answer(target, writer)
-                if answer and not spoilt and writer not in self._mute:
+                if answer and not spoilt and writer not in self._muted:
                     writer.write(answer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            self._open.discard(writer)
-            self._mute.discard(writer)
+            self._connections.discard(writer)
+            self._muted.discard(writer)
             writer.close()
 
     async def answer(self, target: str, writer: asyncio.StreamWriter) -> bytes:
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -268,7 +268,7 @@
                     self._log.lags.append((began, took_s))  # longer than the pages allow: it shows nothing
             case Fault.SILENT_DISCOVERY:
                 for roster in self._rosters:
-                    roster.fall_silent()
+                    roster.mute_watches()
             case Fault.CLOCK_STEP:
                 (self.folder / "clock").write_text(str(event.figure))
             case _:
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -79,11 +79,11 @@
         """Wait until new work goes to all of these servers, and to no other."""
         async with asyncio.timeout(20):
             while True:
-                before = [len(each.heard) for each in self.servers]
+                before = [len(each.received) for each in self.servers]
                 # Side by side: one after the other, all go to the quickest.
                 for each in await asyncio.gather(*(self.statuses(2) for _ in range(4 * len(self.servers)))):
                     assert set(each) <= {200, 503}
-                got = [len(each.heard) > old for each, old in zip(self.servers, before, strict=True)]
+                got = [len(each.received) > old for each, old in zip(self.servers, before, strict=True)]
                 if got == [number in numbers for number in range(len(self.servers))]:
                     return
 
@@ -204,7 +204,7 @@
             late = [
                 (each.server, each.at - since)
                 for number, since, until_ in spans
-                for each in scene.servers[number].heard
+                for each in scene.servers[number].received
                 if since + GRACE_S < each.at < until_
             ]
             assert late == []
@@ -228,9 +228,9 @@
             fresh.stop()
             seen = lagging.reads
             await until(lambda: lagging.reads > seen + 1)  # it was read, and says that all is well
-            before = len(scene.servers[0].heard)
+            before = len(scene.servers[0].received)
             assert set(await scene.statuses(40)) == {200}
-            assert len(scene.servers[0].heard) == before
+            assert len(scene.servers[0].received) == before
 
     played(work)
 
@@ -278,7 +278,7 @@
             askers = [asyncio.ensure_future(scene.statuses(60)) for _ in range(4)]
             await until(lambda: any(each.startswith("ejected") for each in scene.log))
             await soon(asyncio.gather(*askers))
-            heard = len(hung.heard)
+            heard = len(hung.received)
             merge = scene.sidecar._runtime.sources.merge  # type: ignore[union-attr]
             for weight in (
                 2,
@@ -291,7 +291,7 @@
                     lambda weight=weight: weight in [e.endpoint.nominal for e in merge.snapshot().entries]  # type: ignore[misc]
                 )
                 assert set(await scene.statuses(5)) == {200}
-            assert len(hung.heard) <= heard + 1  # a trial, if one fell due
+            assert len(hung.received) <= heard + 1  # a trial, if one fell due
             assert not any(each.startswith("readmitted") for each in scene.log)
 
     played(work)
@@ -356,13 +356,13 @@
             server = scene.servers[0]
             server.takes_s = 0.8
             client = await scene.client()
-            heard = len(server.heard)
+            heard = len(server.received)
             asking = asyncio.ensure_future(client.ask("lodge"))
-            await until(lambda: len(server.heard) == heard + 1)
+            await until(lambda: len(server.received) == heard + 1)
             scene.drop(0)
             await until(lambda: scene.sidecar._runtime.sources.merge.snapshot().entries == ())  # type: ignore[union-attr]
             assert (await soon(asking)).status == 200
-            assert len(server.heard) == heard + 1
+            assert len(server.received) == heard + 1
             assert (await (await scene.client()).ask()).status == 503
 
     played(work)
