--- a/micadeck/simulation/consul.py
+++ b/micadeck/simulation/consul.py
@@ -22,7 +22,7 @@
 
     def __init__(self, wire: Wire, seed: int) -> None:
         super().__init__()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.late_s: list[float] = []
         self._wire = wire
         self._stuck = self._downs = 0
--- a/micadeck/stand_ins/consul/__main__.py
+++ b/micadeck/stand_ins/consul/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m micadeck.stand_ins.consul [INSTANCES]`: prints its address, and serves till its input ends.
+"""`python -m micadeck.stand_ins.consul [INSTANCES]`: prints its address, and serves until its input ends.
 
-With a number, the service `tariff` has so many instances, at ports of 10.0.0.0/16 where nobody listens.
+The service `tariff` has INSTANCES instances, in 10.0.0.0/16 where nothing listens.
 """
 
 from __future__ import annotations
--- a/micadeck/stand_ins/consul/server.py
+++ b/micadeck/stand_ins/consul/server.py
@@ -1,4 +1,4 @@
-"""The stand-in's HTTP: what is asked, what is answered, and what goes wrong on command."""
+"""The stand-in's HTTP server: reads, writes and injected faults."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 from micadeck.stand_ins.consul.state import HOST, NODE, State
 
-_WAIT_S, _WAIT_MOST_S = 300.0, 600.0
+_DEFAULT_WAIT_S, _MAX_WAIT_S = 300.0, 600.0
 
 
 @dataclass
 class Fault:
-    """What goes wrong with the next reads.
+    """A fault of the next reads.
 
-    `hang`: no answer.  `reset`: the connection is reset in the middle of the body.  `truncated`: half the
-    JSON, under a right length.  `trickle`: a byte each 50 ms.  `status`: that status, with `text`.  `index`:
-    this X-Consul-Index. `huge`: a body of 5 MiB.  `redirect`: a 307 to `to`.
+    `hang`: no response.  `reset`: the connection is reset in the middle of the body.  `truncated`: half the
+    JSON, with a matching length.  `trickle`: a byte every 50 ms.  `status`: that status, with `text`.
+    `index`: this X-Consul-Index.  `huge`: a body of 5 MiB.  `redirect`: a 307 to `to`.
     """
 
     kind: str
@@ -36,11 +36,11 @@
 
 
 class NotFound(Exception):
-    """There is no such thing: 404."""
+    """Answered with 404."""
 
 
-def _look(state: State, path: str, query: dict[str, str], tags: list[str]) -> Any:
-    """What a read answers; raise NotFound."""
+def _read_state(state: State, path: str, query: dict[str, str], tags: list[str]) -> Any:
+    """The result of a read; raise NotFound."""
     kind, _, name = path.removeprefix("/v1/").rpartition("/")
     match kind, name:
         case "health/service", _:
@@ -50,28 +50,28 @@
         case "catalog", "nodes":
             return list(state.nodes.values())
         case "catalog", "services":
-            return state.names()
+            return state.service_tags()
         case "catalog", "datacenters":
             return ["dc1"]
         case "catalog/node", _:
             node = state.nodes.get(name)
-            return {"Node": node, "Services": state.on_node(name)} if node else None
+            return {"Node": node, "Services": state.node_services(name)} if node else None
         case "health/node", _:
-            return state.checks_on(name)
+            return state.node_checks(name)
         case "health/checks", _:
-            return state.checks_of_service(name)
+            return state.service_checks(name)
         case "health/state", "any" | "passing" | "warning" | "critical":
             return [row for row in state.checks.values() if name in ("any", row["Status"])]
         case _ if path.startswith("/v1/kv/"):
-            return _look_for_keys(state, path.removeprefix("/v1/kv/"), query)
+            return _read_keys(state, path.removeprefix("/v1/kv/"), query)
         case _:
             raise NotFound(path)
 
 
-def _look_for_keys(state: State, key: str, query: dict[str, str]) -> Any:
+def _read_keys(state: State, key: str, query: dict[str, str]) -> Any:
     is_prefix = "recurse" in query or "keys" in query
     rows = [
-        row for each, row in sorted(state.keys.items()) if each == key or (is_prefix and each.startswith(key))
+        row for name, row in sorted(state.keys.items()) if name == key or (is_prefix and name.startswith(key))
     ]
     if not rows:
         raise NotFound("")
@@ -81,7 +81,7 @@
 
 
 def _is_true(text: str) -> bool:
-    """The forms in which Go reads a truth; raise ValueError on any other."""
+    """Parse a boolean as Go does; raise ValueError on anything else."""
     if text in ("1", "t", "T", "TRUE", "true", "True"):
         return True
     if text in ("0", "f", "F", "FALSE", "false", "False"):
@@ -90,21 +90,21 @@
 
 
 class StandInConsul:
-    """One server that is also its agent."""
+    """A server with its agent."""
 
     def __init__(self, *, tokens: set[str] | None = None) -> None:
         self.state = State()  # the leader's
         self._follower = State()
-        for each in (self.state, self._follower):
-            each.put_node(NODE, HOST)
+        for state in (self.state, self._follower):
+            state.put_node(NODE, HOST)
         self.tokens = tokens  # None: no access control
         self.has_leader = True
-        self.stale_by_s = 0.0  # how far a read in stale mode lies behind
+        self.stale_by_s = 0.0  # replication lag that stale reads see
         self.faults: list[Fault] = []
-        self.reads = 0  # of catalogue and health
-        self.chance = random.Random()  # of when blocking reads give up waiting
-        self._news = asyncio.Event()
-        self._log: deque[tuple[float, Callable[[State], object]]] = deque()  # what the follower has to do yet
+        self.reads = 0  # of the catalogue, health and keys
+        self.rng = random.Random()  # for the jitter of blocking queries
+        self._changed = asyncio.Event()
+        self._pending: deque[tuple[float, Callable[[State], object]]] = deque()  # not yet on the follower
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -123,37 +123,37 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    def change(self, make: Callable[[State], object]) -> Any:
-        """Change the catalogue, and wake whoever waits for that; give what the change gave.
+    def change(self, apply: Callable[[State], object]) -> Any:
+        """Apply a change, wake blocking queries and return the change's result.
 
-        A follower does the same later, as with a log that is replicated: `make` must do the same each time.
+        The follower applies it later, as from a replicated log, so `apply` must be deterministic.
         """
-        self._log.append((asyncio.get_running_loop().time(), make))
-        self._follow()
-        result = make(self.state)
-        self._news.set()
-        self._news = asyncio.Event()
+        self._pending.append((asyncio.get_running_loop().time(), apply))
+        self._catch_up()
+        result = apply(self.state)
+        self._changed.set()
+        self._changed = asyncio.Event()
         return result
 
     def restart_empty(self) -> None:
-        """What an agent is that lost its data: no services, and an index that begins anew."""
+        """Lose all data, as an agent can: no services, and the index starts over."""
 
-        def forget(state: State) -> None:
+        def clear(state: State) -> None:
             state.__init__()  # type: ignore[misc]
             state.put_node(NODE, HOST)
 
-        self.change(forget)
+        self.change(clear)
 
-    def _follow(self) -> None:
-        before = asyncio.get_running_loop().time() - self.stale_by_s
-        while self._log and self._log[0][0] <= before:
-            self._log.popleft()[1](self._follower)
+    def _catch_up(self) -> None:
+        applied_until = asyncio.get_running_loop().time() - self.stale_by_s
+        while self._pending and self._pending[0][0] <= applied_until:
+            self._pending.popleft()[1](self._follower)
 
-    def _seen(self, is_stale: bool) -> State:
-        """The catalogue as the leader has it, or a follower that lags."""
+    def _state_for_read(self, is_stale: bool) -> State:
+        """The leader's state, or a lagging follower's."""
         if not is_stale or not self.stale_by_s:
             return self.state
-        self._follow()
+        self._catch_up()
         return self._follower
 
     # HTTP
@@ -179,41 +179,44 @@
     async def _answer(
         self, method: str, target: str, headers: dict[str, str], body: bytes, writer: asyncio.StreamWriter
     ) -> bool:
-        """Write one answer; whether the connection goes on."""
+        """Answer a request; return whether the connection stays open."""
         parts = urlsplit(target)
         path = unquote(parts.path)
-        several = parse_qs(parts.query, keep_blank_values=True)
-        query = {name: values[-1] for name, values in several.items()}
+        query_values = parse_qs(parts.query, keep_blank_values=True)
+        query = {name: values[-1] for name, values in query_values.items()}
         is_read = path.startswith(("/v1/catalog/", "/v1/health/", "/v1/kv/")) and method == "GET"
         self.reads += is_read
         fault = self._next_fault() if is_read else None
         if fault is not None and fault.kind not in ("truncated", "index", "reset", "trickle", "huge"):
-            return await self._go_wrong(fault, target, writer)
+            return await self._inject(fault, target, writer)
         token = headers.get("x-consul-token", query.get("token", ""))
         if self.tokens is not None and path.startswith("/v1/") and token not in self.tokens:
-            _write(writer, 403, b"Permission denied")
+            _write_response(writer, 403, b"Permission denied")
             return True
         if is_read and not self.has_leader and "stale" not in query:
-            _write(writer, 500, b"No cluster leader")
+            _write_response(writer, 500, b"No cluster leader")
             return True
         try:
             if is_read:
-                index, result = await self._read(path, query, several.get("tag", []))
+                index, result = await self._read(path, query, query_values.get("tag", []))
             elif path.startswith("/v1/kv/"):
                 index, result = 0, self._write_key(method, path.removeprefix("/v1/kv/"), query, body)
             else:
-                given = _canonical(json.loads(body or b"null"))
-                index, result = 0, self._write_or_tell(method, path, query, given)
-        except NotFound as missing:
-            told = {"X-Consul-Index": str(self._index(self._seen("stale" in query), path))} if is_read else {}
-            _write(writer, 404, str(missing).encode(), told)
+                fields = _canonical(json.loads(body or b"null"))
+                index, result = 0, self._handle_other(method, path, query, fields)
+        except NotFound as error:
+            response_headers = {}
+            if is_read:
+                index = self._index(self._state_for_read("stale" in query), path)
+                response_headers["X-Consul-Index"] = str(index)
+            _write_response(writer, 404, str(error).encode(), response_headers)
             return True
-        except (KeyError, TypeError, ValueError) as nonsense:
-            _write(writer, 400, f"Request decode failed: {nonsense!r}".encode())
+        except (KeyError, TypeError, ValueError) as error:
+            _write_response(writer, 400, f"Request decode failed: {error!r}".encode())
             return True
-        told = {}
+        response_headers = {}
         if is_read:
-            told = {
+            response_headers = {
                 "X-Consul-Index": str(fault.index if fault is not None and fault.kind == "index" else index),
                 "X-Consul-KnownLeader": "true" if self.has_leader else "false",
                 "X-Consul-LastContact": str(int(self.stale_by_s * 1_000) if "stale" in query else 0),
@@ -226,10 +229,10 @@
             else json.dumps(result).encode()
         )
         if fault is not None and fault.kind != "index":
-            return await self._go_wrong(fault, target, writer, raw, told)
+            return await self._inject(fault, target, writer, raw, response_headers)
         if "gzip" in headers.get("accept-encoding", "") and len(raw) > 1_024:
-            raw, told["Content-Encoding"] = gzip.compress(raw, 1), "gzip"
-        _write(writer, 200, raw, told)
+            raw, response_headers["Content-Encoding"] = gzip.compress(raw, 1), "gzip"
+        _write_response(writer, 200, raw, response_headers)
         return True
 
     def _next_fault(self) -> Fault | None:
@@ -241,68 +244,68 @@
             self.faults.pop(0)
         return fault
 
-    async def _go_wrong(
+    async def _inject(
         self,
         fault: Fault,
         target: str,
         writer: asyncio.StreamWriter,
         raw: bytes = b"",
-        told: dict[str, str] | None = None,
+        headers: dict[str, str] | None = None,
     ) -> bool:
         match fault.kind:
             case "hang":
                 await asyncio.sleep(3_600)
             case "status":
-                _write(writer, fault.status, fault.text.encode())
+                _write_response(writer, fault.status, fault.text.encode())
             case "redirect":
-                _write(writer, 307, b"", {"Location": f"http://{fault.to}{target}"})
+                _write_response(writer, 307, b"", {"Location": f"http://{fault.to}{target}"})
             case "truncated":
-                _write(writer, 200, raw[: len(raw) // 2], told)
+                _write_response(writer, 200, raw[: len(raw) // 2], headers)
             case "huge":
-                _write(writer, 200, b'["' + b"x" * (5 << 20) + b'"]', told)
+                _write_response(writer, 200, b'["' + b"x" * (5 << 20) + b'"]', headers)
             case "reset":
-                whole = _worded(200, raw, told)
-                writer.write(whole[: len(whole) - len(raw) // 2 - 1])
+                response = _encode_response(200, raw, headers)
+                writer.write(response[: len(response) - len(raw) // 2 - 1])
                 await writer.drain()
                 writer.transport.abort()
                 return False
             case "trickle":
-                for byte in _worded(200, raw, told):
+                for byte in _encode_response(200, raw, headers):
                     writer.write(bytes((byte,)))
                     await asyncio.sleep(0.05)
             case _:
                 raise ValueError(f"no such fault: {fault.kind}")
         return True
 
-    # What is asked
+    # Reads and writes
 
     async def _read(self, path: str, query: dict[str, str], tags: list[str]) -> tuple[int, Any]:
         if "filter" in query:
             raise ValueError("the stand-in knows no filters")
-        asked = int(query.get("index", "0"))
+        known_index = int(query.get("index", "0"))
         is_stale = "stale" in query
         loop = asyncio.get_running_loop()
-        wait_s = min(_seconds(query.get("wait", "")) or _WAIT_S, _WAIT_MOST_S)
-        until = loop.time() + wait_s + self.chance.random() * wait_s / 16
-        index = self._index(self._seen(is_stale), path)
-        while asked and index == asked and loop.time() < until:
-            # A follower that lags changes by the passing of time alone.
+        wait_s = min(_seconds(query.get("wait", "")) or _DEFAULT_WAIT_S, _MAX_WAIT_S)
+        until = loop.time() + wait_s + self.rng.random() * wait_s / 16
+        index = self._index(self._state_for_read(is_stale), path)
+        while known_index and index == known_index and loop.time() < until:
+            # A lagging follower changes as time passes, without an event.
             step_s = 0.05 if is_stale and self.stale_by_s else until - loop.time()
-            news = self._news
+            changed = self._changed
             try:
                 async with asyncio.timeout(min(step_s, until - loop.time())):
-                    await news.wait()
+                    await changed.wait()
             except TimeoutError:
                 pass
-            index = self._index(self._seen(is_stale), path)
-        return index, _look(self._seen(is_stale), path, query, tags)
+            index = self._index(self._state_for_read(is_stale), path)
+        return index, _read_state(self._state_for_read(is_stale), path, query, tags)
 
     @staticmethod
     def _index(state: State, path: str) -> int:
         kind, _, name = path.removeprefix("/v1/").rpartition("/")
         if kind in ("health/service", "health/checks", "catalog/service"):
             return state.service_index(name)
-        return state.keys_changed if path.startswith("/v1/kv/") else state.index
+        return state.keys_index if path.startswith("/v1/kv/") else state.index
 
     def _write_key(self, method: str, key: str, query: dict[str, str], body: bytes) -> bool:
         cas = int(query["cas"]) if "cas" in query else None
@@ -314,30 +317,30 @@
             return bool(self.change(lambda state: state.drop_keys(key, recurse=recurse, cas=cas)))
         raise NotFound(f"{method} of a key")
 
-    def _write_or_tell(self, method: str, path: str, query: dict[str, str], given: Any) -> Any:
+    def _handle_other(self, method: str, path: str, query: dict[str, str], fields: Any) -> Any:
         if (method, path) == ("GET", "/v1/status/leader"):
             return f"{HOST}:8300" if self.has_leader else ""
         if (method, path) == ("GET", "/v1/agent/self"):
             return {"Config": {"Datacenter": "dc1", "NodeName": NODE, "Version": "standin"}, "Member": {}}
         if (method, path) == ("GET", "/v1/agent/services"):
-            return self.state.on_node(NODE)
+            return self.state.node_services(NODE)
         if (method, path) == ("GET", "/v1/agent/checks"):
-            return {row["CheckID"]: row for row in self.state.checks_on(NODE)}
+            return {row["CheckID"]: row for row in self.state.node_checks(NODE)}
         if method != "PUT":
             raise NotFound(path)
         if path == "/_standin/fault":
-            self.faults.append(Fault(**{name.lower(): value for name, value in given.items()}))
+            self.faults.append(Fault(**{name.lower(): value for name, value in fields.items()}))
             return True
         if not self.has_leader:
             raise ValueError("No cluster leader")
         change: Callable[[State], object]
         head, _, ident = path.rpartition("/")
         if path == "/v1/catalog/register":
-            change = lambda state: _register(state, given)  # noqa: E731
+            change = lambda state: _register(state, fields)  # noqa: E731
         elif path == "/v1/catalog/deregister":
-            change = lambda state: _deregister(state, given)  # noqa: E731
+            change = lambda state: _deregister(state, fields)  # noqa: E731
         elif path == "/v1/agent/service/register":
-            change = lambda state: _register_here(state, given)  # noqa: E731
+            change = lambda state: _register_at_agent(state, fields)  # noqa: E731
         elif head == "/v1/agent/service/deregister":
             if (NODE, ident) not in self.state.services:
                 raise NotFound(f"Unknown service ID {ident!r}")
@@ -349,11 +352,11 @@
                 change = lambda state: state.put_check(NODE, name, "critical", service_id)  # noqa: E731
             else:
                 change = lambda state: state.drop_check(NODE, name)  # noqa: E731
-        elif head in _CHECK_ENDS:
-            known = self.state.checks.get((NODE, ident))
-            if known is None:
+        elif head in _CHECK_STATUSES:
+            check = self.state.checks.get((NODE, ident))
+            if check is None:
                 raise NotFound(f"Unknown check ID {ident!r}")
-            status, service_id = _CHECK_ENDS[head], known["ServiceID"]
+            status, service_id = _CHECK_STATUSES[head], check["ServiceID"]
             change = lambda state: state.put_check(NODE, ident, status, service_id)  # noqa: E731
         else:
             raise NotFound(path)
@@ -361,74 +364,76 @@
         return True if path.startswith("/v1/catalog/") else None
 
 
-_CHECK_ENDS = {
+_CHECK_STATUSES = {
     "/v1/agent/check/pass": "passing",
     "/v1/agent/check/warn": "warning",
     "/v1/agent/check/fail": "critical",
 }
 
 
-_FIELDS = {
-    each.lower(): each
-    for each in (
+_FIELD_NAMES = {
+    name.lower(): name
+    for name in (
         "Address Check Checks CheckID Datacenter ID Meta Name Node NodeMeta Output Passing Port Service "
         "ServiceID Status TaggedAddresses Tags TTL Warning Weights"
     ).split()
 }
 
 
-def _canonical(given: Any) -> Any:
-    """Field names as they are documented: Consul takes them in any case, as Go's JSON does."""
-    if isinstance(given, list):
-        return [_canonical(each) for each in given]
-    if not isinstance(given, dict):
-        return given
-    named = {_FIELDS.get(key.lower(), key): value for key, value in given.items()}
+def _canonical(fields: Any) -> Any:
+    """Restore documented field names: Consul ignores their case, as Go's JSON decoder does."""
+    if isinstance(fields, list):
+        return [_canonical(item) for item in fields]
+    if not isinstance(fields, dict):
+        return fields
+    named = {_FIELD_NAMES.get(key.lower(), key): value for key, value in fields.items()}
     return {key: value if key in ("Meta", "NodeMeta") else _canonical(value) for key, value in named.items()}
 
 
-def _register(state: State, given: dict[str, Any]) -> None:
-    node = given["Node"]
-    state.put_node(node, given["Address"], given.get("ID") or "", given.get("NodeMeta"))
-    if given.get("Service"):
-        state.put_service(node, given["Service"])
-    checks = [given["Check"]] if given.get("Check") else given.get("Checks") or []
-    for each in checks:
-        ident = each.get("CheckID") or each["Name"]
-        state.put_check(node, ident, each["Status"], each.get("ServiceID") or "")
+def _register(state: State, fields: dict[str, Any]) -> None:
+    node = fields["Node"]
+    state.put_node(node, fields["Address"], fields.get("ID") or "", fields.get("NodeMeta"))
+    if fields.get("Service"):
+        state.put_service(node, fields["Service"])
+    checks = [fields["Check"]] if fields.get("Check") else fields.get("Checks") or []
+    for check in checks:
+        ident = check.get("CheckID") or check["Name"]
+        state.put_check(node, ident, check["Status"], check.get("ServiceID") or "")
 
 
-def _deregister(state: State, given: dict[str, Any]) -> None:
-    if given.get("ServiceID"):
-        state.drop_service(given["Node"], given["ServiceID"])
-    elif given.get("CheckID"):
-        state.drop_check(given["Node"], given["CheckID"])
+def _deregister(state: State, fields: dict[str, Any]) -> None:
+    if fields.get("ServiceID"):
+        state.drop_service(fields["Node"], fields["ServiceID"])
+    elif fields.get("CheckID"):
+        state.drop_check(fields["Node"], fields["CheckID"])
     else:
-        state.drop_node(given["Node"])
+        state.drop_node(fields["Node"])
 
 
-def _register_here(state: State, given: dict[str, Any]) -> None:
-    state.put_service(NODE, given)
-    ident = given.get("ID") or given["Name"]
-    checks = [given["Check"]] if given.get("Check") else given.get("Checks") or []
-    for number, each in enumerate(checks):
-        # A check that is new is critical until it has passed, unless the registration says otherwise.
+def _register_at_agent(state: State, fields: dict[str, Any]) -> None:
+    state.put_service(NODE, fields)
+    ident = fields.get("ID") or fields["Name"]
+    checks = [fields["Check"]] if fields.get("Check") else fields.get("Checks") or []
+    for number, check in enumerate(checks):
+        # A new check is critical until it passes, unless the registration sets a status.
         name = f"service:{ident}" if len(checks) == 1 else f"service:{ident}:{number + 1}"
-        state.put_check(NODE, each.get("CheckID") or name, each.get("Status") or "critical", ident)
+        state.put_check(NODE, check.get("CheckID") or name, check.get("Status") or "critical", ident)
 
 
 def _seconds(text: str) -> float:
-    for end, factor in (("ms", 0.001), ("s", 1.0), ("m", 60.0)):
-        if text.endswith(end):
-            return float(text.removesuffix(end)) * factor
+    for unit, factor in (("ms", 0.001), ("s", 1.0), ("m", 60.0)):
+        if text.endswith(unit):
+            return float(text.removesuffix(unit)) * factor
     return 0.0
 
 
-def _worded(status: int, raw: bytes, told: dict[str, str] | None = None) -> bytes:
-    headers = {"Content-Type": "application/json", **(told or {}), "Content-Length": str(len(raw))}
+def _encode_response(status: int, raw: bytes, extra: dict[str, str] | None = None) -> bytes:
+    headers = {"Content-Type": "application/json", **(extra or {}), "Content-Length": str(len(raw))}
     head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status} Status\r\n{head}\r\n".encode() + raw
 
 
-def _write(writer: asyncio.StreamWriter, status: int, raw: bytes, told: dict[str, str] | None = None) -> None:
-    writer.write(_worded(status, raw, told))
+def _write_response(
+    writer: asyncio.StreamWriter, status: int, raw: bytes, extra: dict[str, str] | None = None
+) -> None:
+    writer.write(_encode_response(status, raw, extra))
--- a/micadeck/stand_ins/consul/state.py
+++ b/micadeck/stand_ins/consul/state.py
@@ -1,7 +1,7 @@
-"""The catalogue, the checks and the keys as one of Consul's servers has them.  No input or output.
+"""The catalogue, checks and keys of a Consul server.  No I/O.
 
-Rows are replaced, never changed, and each table is indexed by what reads ask for: a change costs the same
-among ten services and ten thousand.
+Rows are replaced, never changed, and tables are indexed by what reads look up, so that a change's cost does
+not depend on the number of services.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class State:
-    """What a server knows at one index.  Each change is one step of it, and touches what it concerns."""
+    """A server's state at one index.  Each change increments the index and marks what it affects."""
 
     def __init__(self) -> None:
         self.index = 10
@@ -28,40 +28,40 @@
         self.services: dict[Key, Row] = {}  # by node and id
         self.checks: dict[Key, Row] = {}  # by node and id
         self.keys: dict[str, Row] = {}
-        self.changed: dict[str, int] = {}  # the index of the last change to a service's instances
-        self.keys_changed = 1
-        self._instances: dict[str, dict[Key, None]] = {}  # by name of the service
-        self._on_node: dict[str, dict[str, None]] = {}  # ids of services
-        self._checks_of: dict[Key, dict[str, None]] = {}  # by node and id of the service, empty: the node's
-        self._worded: dict[tuple[str, Key], bytes] = {}  # entries of health and catalogue, as JSON
+        self.service_indexes: dict[str, int] = {}  # of the last change to a service's instances
+        self.keys_index = 1
+        self._instances: dict[str, dict[Key, None]] = {}  # by service name
+        self._service_ids: dict[str, dict[str, None]] = {}  # by node
+        self._check_ids: dict[Key, dict[str, None]] = {}  # by node and service id; empty id: the node's
+        self._encoded: dict[tuple[str, Key], bytes] = {}  # entries of health and catalogue, as JSON
 
     def touch(self, *names: str) -> None:
         self.index += 1
         for name in names:
-            self.changed[name] = self.index
+            self.service_indexes[name] = self.index
 
     def service_index(self, name: str) -> int:
-        """A service that never was waits on the index of all: no change of its own can come first."""
-        return self.changed.get(name, self.index)
+        """The index to watch for a service; the global one if it never had instances."""
+        return self.service_indexes.get(name, self.index)
 
-    def _touch_on(self, node: str, service_id: str = "") -> None:
-        """What a node, or one service there, is part of has changed."""
-        idents = [service_id] if service_id else list(self._on_node.get(node, ()))
+    def _touch_services(self, node: str, service_id: str = "") -> None:
+        """Mark the services of a node, or one of them, as changed."""
+        idents = [service_id] if service_id else list(self._service_ids.get(node, ()))
         rows = [self.services[node, ident] for ident in idents if (node, ident) in self.services]
         for ident in idents:
-            self._forget_words((node, ident))
+            self._drop_encoded((node, ident))
         self.touch(*{row["Service"] for row in rows})
 
-    def _forget_words(self, key: Key) -> None:
+    def _drop_encoded(self, key: Key) -> None:
         for kind in ("health", "catalog"):
-            self._worded.pop((kind, key), None)
+            self._encoded.pop((kind, key), None)
 
     # Changes
 
     def put_node(self, name: str, address: str, ident: str = "", meta: dict[str, str] | None = None) -> None:
-        before = self.nodes.get(name)
+        old = self.nodes.get(name)
         digest = hashlib.blake2b(name.encode(), digest_size=16).hexdigest()
-        ident = ident or (before or {}).get("ID") or digest
+        ident = ident or (old or {}).get("ID") or digest
         self.nodes[name] = {
             "ID": ident,
             "Node": name,
@@ -69,18 +69,18 @@
             "Datacenter": "dc1",
             "Meta": meta or {},
         }
-        if before != self.nodes[name]:
-            self._touch_on(name)
+        if old != self.nodes[name]:
+            self._touch_services(name)
 
     def put_service(self, node: str, given: Row) -> None:
         name = given.get("Service") or given["Name"]
         key = node, given.get("ID") or name
-        before = self.services.get(key)
-        if before is not None and before["Service"] != name:
-            self._instances[before["Service"]].pop(key, None)
-            self.touch(before["Service"])
+        old = self.services.get(key)
+        if old is not None and old["Service"] != name:
+            self._instances[old["Service"]].pop(key, None)
+            self.touch(old["Service"])
         self._instances.setdefault(name, {})[key] = None
-        self._on_node.setdefault(node, {})[key[1]] = None
+        self._service_ids.setdefault(node, {})[key[1]] = None
         self.touch(name)
         self.services[key] = {
             "ID": key[1],
@@ -93,7 +93,7 @@
             "Weights": given.get("Weights") or {"Passing": 1, "Warning": 1},
             "ModifyIndex": self.index,
         }
-        self._forget_words(key)
+        self._drop_encoded(key)
 
     def put_check(self, node: str, ident: str, status: str, service_id: str = "", output: str = "") -> None:
         self.checks[node, ident] = {
@@ -105,60 +105,60 @@
             "ServiceID": service_id,
             "ServiceName": self.services.get((node, service_id), {}).get("Service", ""),
         }
-        self._checks_of.setdefault((node, service_id), {})[ident] = None
-        self._touch_on(node, service_id)
+        self._check_ids.setdefault((node, service_id), {})[ident] = None
+        self._touch_services(node, service_id)
 
     def drop_check(self, node: str, ident: str) -> None:
-        gone = self.checks.pop((node, ident), None)
-        if gone is not None:
-            del self._checks_of[node, gone["ServiceID"]][ident]
-            self._touch_on(node, gone["ServiceID"])
+        removed = self.checks.pop((node, ident), None)
+        if removed is not None:
+            del self._check_ids[node, removed["ServiceID"]][ident]
+            self._touch_services(node, removed["ServiceID"])
 
     def drop_service(self, node: str, ident: str) -> bool:
-        gone = self.services.pop((node, ident), None)
-        if gone is None:
+        removed = self.services.pop((node, ident), None)
+        if removed is None:
             return False
-        for check in self._checks_of.pop((node, ident), {}):
+        for check in self._check_ids.pop((node, ident), {}):
             del self.checks[node, check]
-        del self._instances[gone["Service"]][node, ident]
-        del self._on_node[node][ident]
-        self._forget_words((node, ident))
-        self.touch(gone["Service"])
+        del self._instances[removed["Service"]][node, ident]
+        del self._service_ids[node][ident]
+        self._drop_encoded((node, ident))
+        self.touch(removed["Service"])
         return True
 
     def drop_node(self, name: str) -> None:
-        for ident in list(self._on_node.get(name, ())):
+        for ident in list(self._service_ids.get(name, ())):
             self.drop_service(name, ident)
-        for check in self._checks_of.pop((name, ""), {}):
+        for check in self._check_ids.pop((name, ""), {}):
             del self.checks[name, check]
         self.nodes.pop(name, None)
         self.touch()
 
     def put_key(self, key: str, value: bytes, flags: int = 0, cas: int | None = None) -> bool:
-        """Set a key; with `cas`, only if it stands at that index (0: only if there is none)."""
-        before = self.keys.get(key)
-        if cas is not None and cas != (before["ModifyIndex"] if before else 0):
+        """Set a key; with `cas`, only if its index is that (0: only if it does not exist)."""
+        old = self.keys.get(key)
+        if cas is not None and cas != (old["ModifyIndex"] if old else 0):
             return False
         self.touch()
-        self.keys_changed = self.index
+        self.keys_index = self.index
         self.keys[key] = {
             "LockIndex": 0,
             "Key": key,
             "Flags": flags,
             "Value": base64.b64encode(value).decode() if value else None,
-            "CreateIndex": before["CreateIndex"] if before else self.index,
+            "CreateIndex": old["CreateIndex"] if old else self.index,
             "ModifyIndex": self.index,
         }
         return True
 
     def drop_keys(self, key: str, *, recurse: bool = False, cas: int | None = None) -> bool:
-        gone = [each for each in self.keys if each == key or (recurse and each.startswith(key))]
-        if cas is not None and cas and any(self.keys[each]["ModifyIndex"] != cas for each in gone):
+        removed = [name for name in self.keys if name == key or (recurse and name.startswith(key))]
+        if cas is not None and cas and any(self.keys[name]["ModifyIndex"] != cas for name in removed):
             return False
-        for each in gone:
-            del self.keys[each]
+        for name in removed:
+            del self.keys[name]
         self.touch()
-        self.keys_changed = self.index
+        self.keys_index = self.index
         return True
 
     # Reads
@@ -167,45 +167,45 @@
         wanted = set(tags)
         return [key for key in self._instances.get(name, ()) if wanted <= set(self.services[key]["Tags"])]
 
-    def checks_at(self, node: str, service_id: str) -> list[Row]:
-        """A node's own checks and those of one of its services."""
+    def instance_checks(self, node: str, service_id: str) -> list[Row]:
+        """The checks of a node and one of its services."""
         return [
             self.checks[node, ident]
-            for of in ("", service_id)
-            for ident in self._checks_of.get((node, of), ())
+            for owner in ("", service_id)
+            for ident in self._check_ids.get((node, owner), ())
         ]
 
     def health(self, name: str, *, passing: bool = False, tags: Iterable[str] = ()) -> bytes:
-        """The answer of /v1/health/service/:name."""
+        """The response to /v1/health/service/:name."""
         keys = self.instances(name, tags)
         if passing:
             keys = [
                 (node, ident)
                 for node, ident in keys
-                if all(each["Status"] == "passing" for each in self.checks_at(node, ident))
+                if all(check["Status"] == "passing" for check in self.instance_checks(node, ident))
             ]
         return self._list("health", keys)
 
     def catalog(self, name: str, tags: Iterable[str] = ()) -> bytes:
-        """The answer of /v1/catalog/service/:name."""
+        """The response to /v1/catalog/service/:name."""
         return self._list("catalog", self.instances(name, tags))
 
     def _list(self, kind: str, keys: list[Key]) -> bytes:
-        return b"[" + b",".join(self._words(kind, key) for key in keys) + b"]"
+        return b"[" + b",".join(self._encode_entry(kind, key) for key in keys) + b"]"
 
-    def _words(self, kind: str, key: Key) -> bytes:
-        worded = self._worded.get((kind, key))
-        if worded is None:
+    def _encode_entry(self, kind: str, key: Key) -> bytes:
+        encoded = self._encoded.get((kind, key))
+        if encoded is None:
             entry = self._health_entry(key) if kind == "health" else self._catalog_entry(key)
-            worded = self._worded[kind, key] = json.dumps(entry).encode()
-        return worded
+            encoded = self._encoded[kind, key] = json.dumps(entry).encode()
+        return encoded
 
     def _health_entry(self, key: Key) -> Row:
         node, ident = key
         return {
             "Node": self.nodes[node],
             "Service": self.services[key],
-            "Checks": self.checks_at(node, ident),
+            "Checks": self.instance_checks(node, ident),
         }
 
     def _catalog_entry(self, key: Key) -> Row:
@@ -226,24 +226,24 @@
             "ModifyIndex": service["ModifyIndex"],
         }
 
-    def names(self) -> dict[str, list[str]]:
-        """Every service with the tags that its instances have."""
+    def service_tags(self) -> dict[str, list[str]]:
+        """The tags of all instances, by service name."""
         return {
             name: sorted({tag for key in keys for tag in self.services[key]["Tags"]})
             for name, keys in self._instances.items()
             if keys
         }
 
-    def on_node(self, name: str) -> dict[str, Row]:
+    def node_services(self, name: str) -> dict[str, Row]:
         """A node's services by id."""
-        return {ident: self.services[name, ident] for ident in self._on_node.get(name, ())}
+        return {ident: self.services[name, ident] for ident in self._service_ids.get(name, ())}
 
-    def checks_on(self, node: str) -> list[Row]:
-        return [row for (on, _), row in self.checks.items() if on == node]
+    def node_checks(self, node: str) -> list[Row]:
+        return [row for (name, _), row in self.checks.items() if name == node]
 
-    def checks_of_service(self, name: str) -> list[Row]:
+    def service_checks(self, name: str) -> list[Row]:
         return [
             self.checks[node, check]
             for node, ident in self._instances.get(name, ())
-            for check in self._checks_of.get((node, ident), ())
+            for check in self._check_ids.get((node, ident), ())
         ]
