--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -15,8 +15,8 @@
 
 import uvloop
 
-from micadeck.stand_ins.hostile import LOADS, Load, Played, Side, play
-from micadeck.stand_ins.hostile.daemon_under_load import ASKED, SETTLES_S
+from micadeck.stand_ins.hostile import LOADS, Load, LoadResult, Side, run_loads
+from micadeck.stand_ins.hostile.daemon_under_load import CONTROL_REQUESTS, SETTLE_S
 
 PEAK_MB = 48.0
 SETTLED_MB = 30.0
@@ -24,7 +24,7 @@
 TOGETHER = 3
 
 
-def faults(loads: Sequence[Load], played: Played) -> list[str]:
+def faults(loads: Sequence[Load], played: LoadResult) -> list[str]:
     """Which bounds the daemon passed."""
     found = []
     if played.exit_code is not None:
@@ -35,12 +35,12 @@
         found.append("not given back")
     if all(each.side is Side.CLIENTS for each in loads) and played.served_during < LEAST_DURING:
         found.append("no service beside")
-    if played.served_after < ASKED:
+    if played.served_after < CONTROL_REQUESTS:
         found.append("no service after")
     return found
 
 
-def told(name: str, played: Played, found: Sequence[str]) -> str:
+def told(name: str, played: LoadResult, found: Sequence[str]) -> str:
     return (
         f"{name[:60]:60} idle {played.idle_mb:5.1f} peak {played.peak_mb:6.1f}"
         f" after {played.settled_mb:6.1f} MB"
@@ -50,7 +50,7 @@
 
 def one(name: str, loads: Sequence[Load], seconds: float, settles_s: float) -> bool:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        played = runner.run(play(*loads, seconds=seconds, settles_s=settles_s))
+        played = runner.run(run_loads(*loads, seconds=seconds, settle_s=settles_s))
     found = faults(loads, played)
     print(told(name, played, found), flush=True)
     return not found
@@ -59,7 +59,7 @@
 def main() -> None:
     given = argparse.ArgumentParser()
     given.add_argument("--seconds", type=float, default=6.0)
-    given.add_argument("--settles", type=float, default=SETTLES_S)
+    given.add_argument("--settles", type=float, default=SETTLE_S)
     given.add_argument("--only", default="")
     given.add_argument("--mixes", type=int, default=5)
     given.add_argument("--seed", type=int, default=1)
--- a/micadeck/stand_ins/hostile/daemon_under_load.py
+++ b/micadeck/stand_ins/hostile/daemon_under_load.py
@@ -1,4 +1,4 @@
-"""A real daemon with a limit of memory, between hostile peers; its resident memory is read all the while."""
+"""Runs a daemon with a memory limit against hostile peers, and samples its resident memory."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
 
 from micadeck.stand_ins.hostile.loads import Load, Side
 from micadeck.stand_ins.hostile.peers import (
-    ANSWERS,
     HOST,
+    OK_RESPONSE,
     Flood,
     HostileServer,
-    idents,
-    list_answer,
-    listed,
+    list_response,
+    request_ids,
     run_crowd,
+    server_list,
 )
 
 ROOT = Path(__file__).parent.parent.parent.parent
 MEMORY_MB = 80
 SOCKETS = 640
 SERVERS = 4
-ASKED = 10  # requests of the well-behaved client, in each part
-SETTLES_S = 10.0
+CONTROL_REQUESTS = 10  # of the well-behaved client, in each phase
+SETTLE_S = 10.0
 _SAMPLE_S = 0.02
 _READY_WITHIN_S = 15.0
 _ANSWER_WITHIN_S = 2.5
-_AFTER_WITHIN_S = 2.0  # of a load's end, service is whole
-_ASKED_AFTER_S = 1.0
+_RECOVERY_S = 2.0  # after a load, until all requests must be served again
+_CONTROL_AFTER_S = 1.0
 _CLASSES = [
     {"name": "check", "giveUpUs": 2_000_000, "promiseUs": 500_000, "repeat": "read_like"},
     {"name": "lodge", "giveUpUs": 2_000_000, "promiseUs": 600_000, "repeat": "non_idempotent"},
 ]
-_LAST_VERSION = 1_000_000  # of the list once a load is over, above what a load told
+_LAST_VERSION = 1_000_000  # of the list after a load, above a load's own versions
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
-    """What a load did; memory is anonymous resident memory, in MB."""
+class LoadResult:
+    """The effect of a load; memory is anonymous resident memory."""
 
     idle_mb: float
     peak_mb: float
-    settled_mb: float  # once the load is over, and some time
-    served_during: int  # of ASKED; the client beside a load
-    served_after: int  # of ASKED
-    exit_code: int | None  # None: it lived to the end
+    settled_mb: float  # some time after the load
+    served_during: int  # of CONTROL_REQUESTS
+    served_after: int  # of CONTROL_REQUESTS
+    exit_code: int | None  # None: still running
     log: str
 
 
@@ -66,8 +66,8 @@
     return 0.0
 
 
-class _Watch:
-    """Reads a process's memory over and over."""
+class _MemorySampler:
+    """Samples a process's peak memory."""
 
     def __init__(self, pid: int) -> None:
         self._pid = pid
@@ -79,19 +79,19 @@
             self.peak_mb = max(self.peak_mb, anonymous_mb(self._pid))
             await asyncio.sleep(_SAMPLE_S)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self._task.cancel()
 
 
 def _request(kind: str = "check") -> bytes:
     return (
         f"GET /api/ok HTTP/1.1\r\nHost: a\r\nRequest-Class: {kind}\r\nRequest-Timeout: 2.0\r\n"
-        f"Request-Id: good-{next(idents)}\r\nConnection: close\r\n\r\n"
+        f"Request-Id: good-{next(request_ids)}\r\nConnection: close\r\n\r\n"
     ).encode()
 
 
 async def is_served(port: int) -> bool:
-    """Whether one well-behaved request on a connection of its own is served."""
+    """Whether a well-behaved request on its own connection is served."""
     try:
         async with asyncio.timeout(_ANSWER_WITHIN_S):
             reader, writer = await asyncio.open_connection(HOST, port)
@@ -104,12 +104,12 @@
         return False
 
 
-async def _served_of(port: int, seconds: float) -> int:
-    """How many of the well-behaved client's requests are served, spread over so long."""
+async def _count_served(port: int, seconds: float) -> int:
+    """How many control requests, spread over `seconds`, are served."""
     served = 0
-    began = time.monotonic()
-    for number in range(ASKED):
-        await asyncio.sleep(max(began + seconds * number / ASKED - time.monotonic(), 0.0))
+    started_at = time.monotonic()
+    for number in range(CONTROL_REQUESTS):
+        await asyncio.sleep(max(started_at + seconds * number / CONTROL_REQUESTS - time.monotonic(), 0.0))
         served += await is_served(port)
     return served
 
@@ -121,7 +121,7 @@
         "discovery": discovery,
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
-        "known": listed(servers),
+        "known": server_list(servers),
         "settings": {
             "lanes": _CLASSES,
             "zone": "a",
@@ -131,61 +131,61 @@
     }
 
 
-class Stage:
-    """Servers, a discovery and a daemon, whose roles change with the loads that are on."""
+class HostilePeers:
+    """The daemon's servers and discovery, which turn hostile while loads run."""
 
     def __init__(self, loads: Sequence[Load]) -> None:
         self._loads = loads
-        self._is_on = False
-        self._list = ANSWERS
-        self._listed: dict[str, Any] = {}
-        self.discovery = HostileServer(self._answer_to_daemon)
-        self.servers = [HostileServer(self._answer_as_server) for _ in range(SERVERS)]
+        self._is_running = False
+        self._list_response = OK_RESPONSE
+        self._server_list: dict[str, Any] = {}
+        self.discovery = HostileServer(self._respond_as_discovery)
+        self.servers = [HostileServer(self._respond_as_server) for _ in range(SERVERS)]
         self.port = 0
 
-    def _answer_to_daemon(self, line: bytes) -> Flood:
-        hostile = [each.discovery for each in self._loads if each.discovery is not None]
-        if self._is_on and hostile:
-            return hostile[0]
+    def _respond_as_discovery(self, line: bytes) -> Flood:
+        floods = [load.discovery for load in self._loads if load.discovery is not None]
+        if self._is_running and floods:
+            return floods[0]
         if b"wait_ms=" in line and b"wait_ms=0" not in line:
-            return replace(self._list, first=b"")  # the watch has no news
-        return self._list
-
-    def _answer_as_server(self, line: bytes) -> Flood:
-        """The well-behaved client's requests are answered, unless servers are what is hostile."""
-        loads = [each for each in self._loads if each.crowd is not None]
-        if not self._is_on or not loads:
-            return ANSWERS
-        by_servers = [each for each in loads if each.side is Side.SERVERS]
+            return replace(self._list_response, first=b"")  # a watch without changes gets no response
+        return self._list_response
+
+    def _respond_as_server(self, line: bytes) -> Flood:
+        """Control requests get normal responses, unless servers are hostile."""
+        loads = [load for load in self._loads if load.crowd is not None]
+        if not self._is_running or not loads:
+            return OK_RESPONSE
+        by_servers = [load for load in loads if load.side is Side.SERVERS]
         if by_servers:
             return by_servers[0].server
-        return ANSWERS if b"/api/ok" in line or b"/ping" in line else loads[0].server
+        return OK_RESPONSE if b"/api/ok" in line or b"/ping" in line else loads[0].server
 
     @contextlib.asynccontextmanager
     async def running(self) -> Any:
         try:
-            addresses = [await each.start() for each in self.servers]
-            self._listed = listed(addresses)
-            self._list = list_answer(self._listed)
+            addresses = [await server.start() for server in self.servers]
+            self._server_list = server_list(addresses)
+            self._list_response = list_response(self._server_list)
             yield await self.discovery.start(), addresses
         finally:
-            for each in (*self.servers, self.discovery):
-                each.stop()
+            for server in (*self.servers, self.discovery):
+                server.stop()
 
     async def run(self, seconds: float) -> int:
-        """Have all loads on for so long; give what the client beside them was served."""
-        self._is_on = True
-        self.discovery.reset()  # so that it is asked anew
-        crowds = [each.crowd for each in self._loads if each.crowd is not None]
-        beside = asyncio.create_task(_served_of(self.port, seconds))
+        """Run all loads for that long; return how many control requests were served."""
+        self._is_running = True
+        self.discovery.reset()  # so that the daemon asks again
+        crowds = [load.crowd for load in self._loads if load.crowd is not None]
+        control = asyncio.create_task(_count_served(self.port, seconds))
         await asyncio.gather(
-            *(run_crowd(each, self.port, seconds) for each in crowds), asyncio.sleep(seconds)
+            *(run_crowd(crowd, self.port, seconds) for crowd in crowds), asyncio.sleep(seconds)
         )
-        served = await beside
-        self._is_on = False
-        self._list = list_answer({**self._listed, "version": _LAST_VERSION})
-        for each in (*self.servers, self.discovery):
-            each.reset()
+        served = await control
+        self._is_running = False
+        self._list_response = list_response({**self._server_list, "version": _LAST_VERSION})
+        for server in (*self.servers, self.discovery):
+            server.reset()
         return served
 
 
@@ -195,7 +195,7 @@
         yield Path(name)
 
 
-async def _begin(
+async def _start_process(
     folder: Path, config: dict[str, Any], environment: Mapping[str, str] | None = None
 ) -> asyncio.subprocess.Process:
     path = folder / "config.json"
@@ -208,7 +208,7 @@
 
 
 async def _port_of(folder: Path) -> int:
-    """Where it serves, by its log; raise TimeoutError if it does not say so."""
+    """The port from the daemon's log; raise TimeoutError if it does not appear."""
     async with asyncio.timeout(_READY_WITHIN_S):
         while True:
             for line in (folder / "log").read_text().splitlines():
@@ -218,7 +218,7 @@
 
 
 class Daemon:
-    """A daemon between hostile peers, from `async with` to its end."""
+    """Context manager of a daemon among hostile peers."""
 
     def __init__(
         self,
@@ -228,24 +228,24 @@
         sockets: int = SOCKETS,
         environment: Mapping[str, str] | None = None,
     ) -> None:
-        self.stage = Stage(loads)
+        self.peers = HostilePeers(loads)
         self._limits = (memory_mb, sockets)
         self._environment = environment
-        self._ends = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
         self._process: asyncio.subprocess.Process | None = None
         self._folder = Path()
 
     async def __aenter__(self) -> Daemon:
-        self._folder = self._ends.enter_context(_folder())
-        discovery, addresses = await self._ends.enter_async_context(self.stage.running())
+        self._folder = self._exit_stack.enter_context(_folder())
+        discovery, addresses = await self._exit_stack.enter_async_context(self.peers.running())
         config = _config(discovery, addresses, *self._limits)
-        self._process = await _begin(self._folder, config, self._environment)
-        self._ends.push_async_callback(self._kill)
-        self.stage.port = await _port_of(self._folder)
+        self._process = await _start_process(self._folder, config, self._environment)
+        self._exit_stack.push_async_callback(self._kill)
+        self.peers.port = await _port_of(self._folder)
         return self
 
-    async def __aexit__(self, *given: object) -> None:
-        await self._ends.aclose()
+    async def __aexit__(self, *exc_info: object) -> None:
+        await self._exit_stack.aclose()
 
     async def _kill(self) -> None:
         assert self._process is not None
@@ -255,8 +255,8 @@
 
     @property
     def port(self) -> int:
-        """Where clients reach it."""
-        return self.stage.port
+        """The port for clients."""
+        return self.peers.port
 
     @property
     def pid(self) -> int:
@@ -265,33 +265,33 @@
 
     @property
     def exit_code(self) -> int | None:
-        """None as long as it lives."""
+        """None while it runs."""
         assert self._process is not None
         return self._process.returncode
 
     @property
     def log(self) -> str:
-        """All that it wrote so far."""
+        """The log so far."""
         return (self._folder / "log").read_text()
 
 
-async def play(
+async def run_loads(
     *loads: Load,
     seconds: float,
-    settles_s: float = SETTLES_S,
+    settle_s: float = SETTLE_S,
     memory_mb: int = MEMORY_MB,
     sockets: int = SOCKETS,
-) -> Played:
-    """Play loads at once against a daemon of its own."""
+) -> LoadResult:
+    """Run loads concurrently against a new daemon."""
     async with Daemon(loads, memory_mb=memory_mb, sockets=sockets) as daemon:
         await is_served(daemon.port)
         idle_mb = anonymous_mb(daemon.pid)
-        watch = _Watch(daemon.pid)
-        during = await daemon.stage.run(seconds)
-        over_at = time.monotonic()
-        await asyncio.sleep(_AFTER_WITHIN_S)
-        after = await _served_of(daemon.port, _ASKED_AFTER_S)
-        await asyncio.sleep(max(over_at + settles_s - time.monotonic(), 0.0))
-        watch.end()
+        sampler = _MemorySampler(daemon.pid)
+        during = await daemon.peers.run(seconds)
+        ended_at = time.monotonic()
+        await asyncio.sleep(_RECOVERY_S)
+        after = await _count_served(daemon.port, _CONTROL_AFTER_S)
+        await asyncio.sleep(max(ended_at + settle_s - time.monotonic(), 0.0))
+        sampler.stop()
         settled_mb = anonymous_mb(daemon.pid)
-        return Played(idle_mb, watch.peak_mb, settled_mb, during, after, daemon.exit_code, daemon.log)
+        return LoadResult(idle_mb, sampler.peak_mb, settled_mb, during, after, daemon.exit_code, daemon.log)
--- a/micadeck/stand_ins/hostile/peers.py
+++ b/micadeck/stand_ins/hostile/peers.py
@@ -1,4 +1,4 @@
-"""What a hostile peer sends and reads, as data, and the connections that do it."""
+"""What hostile peers send and read, and their connections."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from typing import Any, cast
 
 HOST = "127.0.0.1"
-_WRITE_AT_ONCE = 64 << 10  # bytes of a flood that are handed to the event loop in one go
-_HIGH_WATER = 256 << 10
+_WRITE_BYTES = 64 << 10  # of a flood, in one write
+_HIGH_WATER_BYTES = 256 << 10
 _RECONNECT_S = 0.05
-ID = b"{id}"  # in a flood of requests: it becomes one that no other request has
-idents = itertools.count(1)
+ID_PLACEHOLDER = b"{id}"  # replaced by a unique request id
+request_ids = itertools.count(1)
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 @dataclass(frozen=True, slots=True)
 class Flood:
-    """`first`, then `piece` again and again, as fast as the other side takes it.
+    """`first`, then `piece` repeated as fast as the other side reads.
 
-    `pieces`: how often, None without end.  `every_s`: seconds between two pieces, 0 for none.
+    `repeats`: the number of pieces, None for endless.  `interval_s`: seconds between pieces.
     """
 
     first: bytes = b""
     piece: bytes = b""
-    pieces: int | None = 0
-    every_s: float = 0.0
+    repeats: int | None = 0
+    interval_s: float = 0.0
 
 
-HANGS = Flood()
-ANSWERS = Flood(OK)
+NO_RESPONSE = Flood()
+OK_RESPONSE = Flood(OK)
 
 
-class Flooding(asyncio.Protocol):
-    """A connection that floods; what it writes waits for the other side to take it."""
+class FloodConnection(asyncio.Protocol):
+    """A connection that sends floods, under flow control."""
 
     def __init__(self, *, reads: bool = True) -> None:
         self._reads = reads
@@ -49,7 +49,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=_HIGH_WATER)
+        self.transport.set_write_buffer_limits(high=_HIGH_WATER_BYTES)
         if not self._reads:
             self.transport.pause_reading()
 
@@ -66,7 +66,7 @@
         self._can_write.set()
 
     def begin(self, flood: Flood) -> None:
-        """Send it; one that is still being sent goes on no more."""
+        """Send a flood instead of the current one."""
         if self._flood is not None:
             self._flood.cancel()
         self._flood = asyncio.get_running_loop().create_task(self._send(flood))
@@ -76,23 +76,23 @@
         self.transport.write(flood.first)
         if not flood.piece:
             return
-        at_once = 1 if flood.every_s else max(_WRITE_AT_ONCE // len(flood.piece), 1)
-        left = flood.pieces
+        batch = 1 if flood.interval_s else max(_WRITE_BYTES // len(flood.piece), 1)
+        left = flood.repeats
         while not self.transport.is_closing() and left != 0:
-            count = at_once if left is None else min(at_once, left)
+            count = batch if left is None else min(batch, left)
             self.transport.write(flood.piece * count)
             left = None if left is None else left - count
-            await asyncio.sleep(flood.every_s)
+            await asyncio.sleep(flood.interval_s)
             await self._can_write.wait()
 
 
-class _ServerSide(Flooding):
-    """Answers each head that came whole."""
+class _ServerSide(FloodConnection):
+    """Responds to each complete request head."""
 
     def __init__(self, server: HostileServer) -> None:
         super().__init__()
         self._server = server
-        self._part = b""
+        self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -103,33 +103,33 @@
         self._server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        self._part += data
-        while b"\r\n\r\n" in self._part:
-            head, _, self._part = self._part.partition(b"\r\n\r\n")
-            self._server.heard += 1
-            self.begin(self._server.answer(head.partition(b"\r\n")[0]))
-        self._part = self._part[-_WRITE_AT_ONCE:]
+        self._buffer += data
+        while b"\r\n\r\n" in self._buffer:
+            head, _, self._buffer = self._buffer.partition(b"\r\n\r\n")
+            self._server.requests += 1
+            self.begin(self._server.respond(head.partition(b"\r\n")[0]))
+        self._buffer = self._buffer[-_WRITE_BYTES:]
 
 
 class HostileServer:
-    """A server of requests without bodies; `answer` says what a request, by its first line, gets."""
+    """A server for requests without bodies; `respond` maps a request line to a response."""
 
-    def __init__(self, answer: Callable[[bytes], Flood]) -> None:
-        self.answer = answer
-        self.heard = 0
+    def __init__(self, respond: Callable[[bytes], Flood]) -> None:
+        self.respond = respond
+        self.requests = 0
         self.connections: set[_ServerSide] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> str:
-        """Listen; give the address."""
+        """Listen; return the address."""
         self._server = await asyncio.get_running_loop().create_server(lambda: _ServerSide(self), HOST, 0)
         return f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     def reset(self) -> None:
-        """Cut every connection that is open."""
-        for each in list(self.connections):
-            if each.transport is not None:
-                each.transport.abort()
+        """Reset every open connection."""
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
 
     def stop(self) -> None:
         if self._server is not None:
@@ -139,40 +139,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Crowd:
-    """So many clients that each connect, flood, and connect anew when they are shut out."""
+    """Clients that connect, send a flood and reconnect when disconnected."""
 
     count: int
     flood: Flood
     reads: bool = True
-    leaves_after_s: float | None = None  # then it closes and connects anew; None: it stays
+    closes_after_s: float | None = None  # then a client reconnects; None: it stays connected
 
 
 def _with_ids(flood: Flood) -> Flood:
-    """The same; each of its requests has an id that no other request has."""
-    first, *rest = flood.first.split(ID)
-    return replace(flood, first=first + b"".join(b"h-%d" % next(idents) + each for each in rest))
+    """The flood with a unique id in each request."""
+    first, *rest = flood.first.split(ID_PLACEHOLDER)
+    return replace(flood, first=first + b"".join(b"h-%d" % next(request_ids) + part for part in rest))
 
 
-def _giving(made: Flooding) -> Callable[[], Flooding]:
-    return lambda: made
+def _factory(connection: FloodConnection) -> Callable[[], FloodConnection]:
+    return lambda: connection
 
 
 async def run_crowd(crowd: Crowd, port: int, seconds: float) -> None:
-    """Play it for so long; every connection is closed at the end."""
+    """Run a crowd for that long, then close its connections."""
 
     async def client() -> None:
         while True:
-            made = Flooding(reads=crowd.reads)
+            connection = FloodConnection(reads=crowd.reads)
             try:
-                await asyncio.get_running_loop().create_connection(_giving(made), HOST, port)
-                made.begin(_with_ids(crowd.flood))
-                async with asyncio.timeout(crowd.leaves_after_s):
-                    await made.lost.wait()
+                await asyncio.get_running_loop().create_connection(_factory(connection), HOST, port)
+                connection.begin(_with_ids(crowd.flood))
+                async with asyncio.timeout(crowd.closes_after_s):
+                    await connection.lost.wait()
             except (OSError, TimeoutError):
                 pass
             finally:
-                if made.transport is not None:
-                    made.transport.abort()
+                if connection.transport is not None:
+                    connection.transport.abort()
             await asyncio.sleep(_RECONNECT_S)
 
     tasks = [asyncio.create_task(client()) for _ in range(crowd.count)]
@@ -182,8 +182,8 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def listed(addresses: list[str]) -> dict[str, Any]:
-    """A whole list of servers in discovery's form."""
+def server_list(addresses: list[str]) -> dict[str, Any]:
+    """A full list of servers in discovery's format."""
     return {
         "version": 1,
         "full": True,
@@ -201,18 +201,18 @@
     }
 
 
-def whole(body: bytes) -> Flood:
-    """An answer with a body, in order."""
+def ok_response(body: bytes) -> Flood:
+    """A well-formed response."""
     return Flood(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-def list_answer(listing: dict[str, Any]) -> Flood:
-    return whole(json.dumps(listing).encode())
+def list_response(listing: dict[str, Any]) -> Flood:
+    return ok_response(json.dumps(listing).encode())
 
 
 @contextlib.asynccontextmanager
 async def running(server: HostileServer) -> Any:
-    """A server from its start to its end; gives the address."""
+    """Run a server; yield its address."""
     try:
         yield await server.start()
     finally:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -5,8 +5,8 @@
 import pytest
 from loopback import play as played_by
 
-from micadeck.stand_ins.hostile import LOADS, Side, play
-from micadeck.stand_ins.hostile.daemon_under_load import ASKED, MEMORY_MB
+from micadeck.stand_ins.hostile import LOADS, Side, run_loads
+from micadeck.stand_ins.hostile.daemon_under_load import CONTROL_REQUESTS, MEMORY_MB
 
 SECONDS = 1.5
 SETTLES_S = 4.0
@@ -27,10 +27,10 @@
 @pytest.mark.parametrize("name", SHORT)
 def test_memory_stays_far_under_its_limit(name: str) -> None:
     load = LOADS[name]
-    played = played_by(lambda: play(load, seconds=SECONDS, settles_s=SETTLES_S))
+    played = played_by(lambda: run_loads(load, seconds=SECONDS, settle_s=SETTLES_S))
     assert played.exit_code is None, played.log
     assert played.peak_mb <= PEAK_MB
     assert played.settled_mb <= SETTLED_MB
-    assert played.served_after == ASKED
+    assert played.served_after == CONTROL_REQUESTS
     if load.side is Side.CLIENTS:
         assert played.served_during >= BESIDE
