--- a/micadeck/stand_ins/mysql/__init__.py
+++ b/micadeck/stand_ins/mysql/__init__.py
@@ -1,8 +1,8 @@
-"""A stand-in MySQL server over SQLite in memory, with faults on command; `server` speaks, `sql` answers.
+"""A stand-in MySQL server on SQLite in memory with fault injection; `server`: protocol, `sql`: queries.
 
 python -m micadeck.stand_ins.mysql --port 3306 --fault "tariff:rows=2:die"
 """
 
-from micadeck.stand_ins.mysql.server import Fault, Point, StandInMysql, What
+from micadeck.stand_ins.mysql.server import Fault, FaultAction, Point, StandInMysql
 
-__all__ = ["Fault", "Point", "StandInMysql", "What"]
+__all__ = ["Fault", "FaultAction", "Point", "StandInMysql"]
--- a/micadeck/stand_ins/mysql/__main__.py
+++ b/micadeck/stand_ins/mysql/__main__.py
@@ -9,44 +9,42 @@
 
 from micadeck.mysql.protocol.messages import Column, Eof
 from micadeck.mysql.protocol.wire import lenenc, lenenc_int
-from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
+from micadeck.stand_ins.mysql import Fault, FaultAction, Point, StandInMysql
 
 
 def _fault(text: str) -> Fault:
-    """`MATCH:POINT:WHAT`, POINT one of the protocol's boundaries or `rows=N`."""
+    """Parse `MATCH:POINT:WHAT`; POINT is a value of `Point`, or `rows=N`."""
     try:
-        match, point, what = text.rsplit(":", 2)
+        match, point, action = text.rsplit(":", 2)
         point, _, rows = point.partition("=")
-        return Fault(match, Point(point), What(what), int(rows or 0))
-    except ValueError as fault:
-        raise click.BadParameter(f"MATCH:POINT:WHAT is needed, not {text!r}: {fault}") from None
+        return Fault(match, Point(point), FaultAction(action), int(rows or 0))
+    except ValueError as error:
+        raise click.BadParameter(f"MATCH:POINT:WHAT is needed, not {text!r}: {error}") from None
 
 
 def _canned(rows: int) -> list[bytes]:
-    """A result of one column, as it goes over the wire."""
-    body = [lenenc(b"%04d" % number) for number in range(rows)]
-    return [lenenc_int(1), Column(b"code").encode(), Eof().encode(), *body, Eof().encode()]
+    """The packets of a result with one column."""
+    encoded_rows = [lenenc(b"%04d" % number) for number in range(rows)]
+    return [lenenc_int(1), Column(b"code").encode(), Eof().encode(), *encoded_rows, Eof().encode()]
 
 
 async def _serve(server: StandInMysql, port: int, load: tuple[str, ...]) -> None:
-    for each in load:
-        server.database.run(each)
+    for statement in load:
+        server.database.run(statement)
     await server.start(port)
     click.echo(f"{server.name} serves on {server.address}")
     await asyncio.Event().wait()
 
 
 @click.command()
-@click.option("--port", default=0, help="0: any that is free.")
+@click.option("--port", default=0, help="0: any free port.")
 @click.option("--user", default="sidecar")
 @click.option("--password", default="server-secret")
 @click.option("--takes-ms", default=0.0, help="How long each statement takes.")
 @click.option("--fault", "faults", multiple=True, help="MATCH:POINT:WHAT, e.g. tariff:rows=2:die")
-@click.option(
-    "--canned", default=0, help="SELECT code FROM tariff has so many rows, and costs next to nothing."
-)
-@click.option("--wide", default=0, help="SELECT * FROM wide has so many rows of 16 KiB.")
-@click.option("--load", multiple=True, help="A statement in SQLite's words, run at the start.")
+@click.option("--canned", default=0, help="Number of rows that SELECT code FROM tariff returns from memory.")
+@click.option("--wide", default=0, help="Number of rows of 16 KiB that SELECT * FROM wide returns.")
+@click.option("--load", multiple=True, help="A statement in SQLite's dialect, run at the start.")
 def main(
     port: int,
     user: str,
@@ -57,9 +55,9 @@
     wide: int,
     load: tuple[str, ...],
 ) -> None:
-    """A stand-in MySQL server over SQLite in memory."""
+    """A stand-in MySQL server on in-memory SQLite."""
     server = StandInMysql("standin", user, password, takes_s=takes_ms / 1e3)
-    server.faults = [_fault(each) for each in faults]
+    server.faults = [_fault(text) for text in faults]
     if canned:
         server.canned["SELECT code FROM tariff"] = _canned(canned)
     if wide:
--- a/micadeck/stand_ins/mysql/server.py
+++ b/micadeck/stand_ins/mysql/server.py
@@ -1,4 +1,4 @@
-"""The stand-in's side of the wire: log-in, commands, result sets, and faults between any two packets."""
+"""The stand-in's MySQL protocol: log-in, commands, result sets, and faults between packets."""
 
 from __future__ import annotations
 
@@ -56,62 +56,62 @@
 
 @functools.cache
 def _key_pair() -> KeyPair:
-    """One for all servers of a process: each takes a tenth of a second to make."""
+    """One key pair for all servers, as generating one takes 0.1 s."""
     return KeyPair()
 
 
 @unique
 class Point(Enum):
-    """Where in a statement's life a fault falls."""
+    """When a fault occurs during a statement."""
 
-    START = "start"  # it came, and did not run
-    RAN = "ran"  # it ran, and no byte of the answer was written
-    HEAD = "head"  # the column count went out
-    COLUMNS = "columns"  # all definitions did
-    ROWS = "rows"  # so many rows did
-    LAST = "last"  # all rows did, but not their end
-    END = "end"  # the whole answer did
+    START = "start"  # received, not run
+    RAN = "ran"  # run, nothing of the response written
+    HEAD = "head"  # after the column count
+    COLUMNS = "columns"  # after the column definitions
+    ROWS = "rows"  # after that number of rows
+    LAST = "last"  # after all rows, before the final EOF or OK
+    END = "end"  # after the complete response
 
 
 @unique
-class What(Enum):
-    """What the fault is."""
+class FaultAction(Enum):
+    """What a fault does."""
 
-    DIE = "die"  # the whole server, as when it is killed
-    RESET = "reset"  # this connection
+    KILL_SERVER = "die"
+    RESET = "reset"  # the connection
     HANG = "hang"
-    GO_DOWN = "go down"  # ERR 1053, then the end of this connection
-    SPOIL = "spoil"  # bytes of no protocol
+    SHUT_DOWN = "go down"  # ERR 1053, then close the connection
+    CORRUPT = "spoil"  # invalid bytes
 
 
 @dataclass
 class Fault:
-    """Falls on the next statements that contain `match`, so many times."""
+    """Applies to the next `times` statements that contain `match`."""
 
     match: str
     point: Point
-    what: What
+    action: FaultAction
     rows: int = 0
     times: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Ran:
-    """A statement that began here."""
+    """A statement that the server began to run."""
 
-    at: float  # seconds, on the event loop's clock
+    at: float  # seconds on the event loop's clock
     thread: int
     text: str
     schema: str | None
 
 
-class _Ended(Exception):
-    """This connection is over."""
+class _ConnectionClosed(Exception):
+    """Raised to close the connection."""
 
 
 @dataclass
 class StandInMysql:
-    """One server.  `read_only`, `is_full` and `goes_down` turn statements away as MySQL does."""
+    """One server.  `read_only`, `is_full` and `is_shutting_down` reject as MySQL does."""
 
     name: str
     user: str = "sidecar"
@@ -121,13 +121,13 @@
     takes_s: float = 0.0
     read_only: bool = False
     is_full: bool = False
-    goes_down: bool = False
+    is_shutting_down: bool = False
     faults: list[Fault] = field(default_factory=list)
     ran: list[Ran] = field(default_factory=list)
     commands: Counter[str] = field(default_factory=Counter)
     logins: int = 0
-    canned: dict[str, list[bytes]] = field(default_factory=dict)  # answers, by text, for loads
-    defects: list[str] = field(default_factory=list)  # of the stand-in itself; tests want none
+    canned: dict[str, list[bytes]] = field(default_factory=dict)  # response packets by statement
+    defects: list[str] = field(default_factory=list)  # errors of the stand-in itself; tests expect none
     wide: bool = False  # rows of one column of 16 KiB for `SELECT * FROM wide`, as many as `wide_rows`
     wide_rows: int = 0
 
@@ -153,37 +153,37 @@
         return int(self.address.rpartition(":")[2])
 
     def die(self) -> None:
-        """End as a killed process does: every connection is reset, every transaction rolled back."""
+        """Act as a killed process: reset every connection, roll back every transaction."""
         if self._server is not None:
             self._server.close()
-        for each in list(self.sessions.values()):
-            each.abort()
+        for session in list(self.sessions.values()):
+            session.abort()
 
     def texts(self, part: str = "") -> list[str]:
-        return [each.text for each in self.ran if part in each.text]
+        return [statement.text for statement in self.ran if part in statement.text]
 
     def fault_for(self, text: str, point: Point, rows: int) -> Fault | None:
-        for each in self.faults:
-            if each.times and each.point is point and each.rows == rows and each.match in text:
-                each.times -= 1
-                return each
+        for fault in self.faults:
+            if fault.times and fault.point is point and fault.rows == rows and fault.match in text:
+                fault.times -= 1
+                return fault
         return None
 
 
 class _Session(asyncio.Protocol):
-    """One connection: a task reads commands one after another."""
+    """A connection, whose task handles commands in sequence."""
 
     def __init__(self, server: StandInMysql) -> None:
         self._server = server
         self._packets = PacketReader(1 << 26)
         self._packets.sequence = 1
         self._sequence = 0
-        self._waiting: asyncio.Future[None] | None = None
+        self._readable: asyncio.Future[None] | None = None
         self._drained: asyncio.Future[None] | None = None
-        self._is_over = False
+        self._is_closed = False
         self._prepared: dict[int, tuple[str, exp.Expr, int]] = {}
         self._types: dict[int, list[tuple[int, bool]]] = {}
-        self._long: dict[tuple[int, int], bytearray] = {}
+        self._long_data: dict[tuple[int, int], bytearray] = {}
         self._cursors: dict[int, list[tuple[Value, ...]]] = {}
         self._next_statement = 1
         self.killed: asyncio.Event = asyncio.Event()
@@ -198,8 +198,8 @@
         self._task = asyncio.get_running_loop().create_task(self._serve())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self._is_over:
-            self._is_over = True
+        if not self._is_closed:
+            self._is_closed = True
             self._server.sessions.pop(self.thread, None)
             self._task.cancel()
             self.sql.end()
@@ -210,8 +210,8 @@
 
     def data_received(self, data: bytes) -> None:
         self._packets.feed(data)
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_result(None)
+        if self._readable is not None and not self._readable.done():
+            self._readable.set_result(None)
 
     def pause_writing(self) -> None:
         self._drained = asyncio.get_running_loop().create_future()
@@ -223,8 +223,8 @@
 
     async def _payload(self, *, from_zero: bool = False) -> bytes:
         while (payload := self._packets.next(from_zero=from_zero)) is None:
-            self._waiting = asyncio.get_running_loop().create_future()
-            await self._waiting
+            self._readable = asyncio.get_running_loop().create_future()
+            await self._readable
         self._sequence = self._packets.sequence
         return payload
 
@@ -237,11 +237,11 @@
             await self._log_in()
             while True:
                 await self._command(await self._payload(from_zero=True))
-        except _Ended:
+        except _ConnectionClosed:
             self._transport.close()
             self.connection_lost(None)
-        except Exception as fault:
-            self._server.defects.append(repr(fault))
+        except Exception as error:
+            self._server.defects.append(repr(error))
             self.abort()
             raise
 
@@ -249,7 +249,7 @@
         server = self._server
         if server.is_full:
             self._write(Err(1040, "08004", "Too many connections").encode())
-            raise _Ended
+            raise _ConnectionClosed
         salt = new_salt()
         offered = server.capabilities
         self._write(Greeting(b"8.0.36-standin", self.thread, salt, offered, plugin=server.plugin).encode())
@@ -270,15 +270,15 @@
                     step = gate.checked(run())
                 case Denied(error):
                     self._write(error.encode())
-                    raise _Ended
+                    raise _ConnectionClosed
         if step.first is not None:
             self._write(step.first)
         try:
             if schema:
                 self.sql.use(schema.decode())
-        except SqlError as fault:
-            self._error(fault)
-            raise _Ended from None
+        except SqlError as error:
+            self._error(error)
+            raise _ConnectionClosed from None
         self._ok(Result())
 
     # Commands
@@ -288,7 +288,7 @@
         self._server.commands[command.name] += 1
         match command:
             case Command.QUIT:
-                raise _Ended
+                raise _ConnectionClosed
             case Command.PING:
                 self._ok(Result())
             case Command.QUERY:
@@ -296,8 +296,8 @@
             case Command.INIT_DB:
                 try:
                     self._ok(self.sql.use(payload[1:].decode("utf-8", "replace")))
-                except SqlError as fault:
-                    self._error(fault)
+                except SqlError as error:
+                    self._error(error)
             case Command.RESET_CONNECTION:
                 self.sql.reset()
                 self._prepared.clear()
@@ -310,9 +310,9 @@
                 step = gate.begin(change.user, change.plugin, change.answer, switch=True)
                 await self._admit(gate, step, change.schema)
             case Command.SET_OPTION:
-                self._multi = payload[1] == 0
+                allows_several = payload[1] == 0
                 self._capabilities &= ~Capability.MULTI_STATEMENTS
-                if self._multi:
+                if allows_several:
                     self._capabilities |= Capability.MULTI_STATEMENTS
                 self._eof(Status(0))
             case Command.STATISTICS:
@@ -325,7 +325,7 @@
                 await self._fetch(payload)
             case Command.STMT_SEND_LONG_DATA:
                 number, parameter = struct.unpack_from("<IH", payload, 1)
-                self._long.setdefault((number, parameter), bytearray()).extend(payload[7:])
+                self._long_data.setdefault((number, parameter), bytearray()).extend(payload[7:])
             case Command.STMT_CLOSE:
                 self._prepared.pop(struct.unpack_from("<I", payload, 1)[0], None)
             case Command.STMT_RESET:
@@ -338,8 +338,8 @@
         canned = self._server.canned.get(text)
         if canned is not None:
             out = b""
-            for each in canned:
-                data, self._sequence = frame(each, self._sequence)
+            for packet in canned:
+                data, self._sequence = frame(packet, self._sequence)
                 out += data
             self._transport.write(out)
             return
@@ -353,8 +353,8 @@
             trees = self.sql.parse(text)
             if len(trees) > 1 and not self._capabilities & Capability.MULTI_STATEMENTS:
                 raise SqlError(1064, "42000", "several statements")
-        except SqlError as fault:
-            self._error(fault)
+        except SqlError as error:
+            self._error(error)
             return
         for number, tree in enumerate(trees):
             more = Status.MORE_RESULTS if number + 1 < len(trees) else Status(0)
@@ -375,22 +375,22 @@
         loop = asyncio.get_running_loop()
         is_write = isinstance(tree, (exp.Insert, exp.Update, exp.Delete, exp.Create, exp.Drop))
         self.killed.clear()
-        await self._fault(text, Point.START)
-        if server.goes_down:
+        await self._inject_fault(text, Point.START)
+        if server.is_shutting_down:
             self._write(Err(1053, "08S01", "Server shutdown in progress").encode())
-            raise _Ended
+            raise _ConnectionClosed
         if server.read_only and is_write:
             self._error(SqlError(1290, "HY000", "running with the --read-only option"))
             return False
         server.ran.append(Ran(loop.time(), self.thread, text, self.sql.schema))
         try:
-            slept = _SLEEP.search(text)
-            await self._pass(server.takes_s + (float(slept[1]) if slept else 0.0))
+            sleep = _SLEEP.search(text)
+            await self._wait(server.takes_s + (float(sleep[1]) if sleep else 0.0))
             result = await self._run(tree, parameters)
-        except SqlError as fault:
-            self._error(fault)
+        except SqlError as error:
+            self._error(error)
             return False
-        await self._fault(text, Point.RAN)
+        await self._inject_fault(text, Point.RAN)
         if result.columns is None:
             self._ok(result, more)
         elif cursor is not None:
@@ -400,10 +400,10 @@
                 self._eof(Status.CURSOR_EXISTS)
         else:
             await self._rows(text, result, more, binary)
-        await self._fault(text, Point.END)
+        await self._inject_fault(text, Point.END)
         return True
 
-    async def _pass(self, seconds: float) -> None:
+    async def _wait(self, seconds: float) -> None:
         if seconds:
             try:
                 async with asyncio.timeout(seconds):
@@ -423,32 +423,32 @@
                     raise SqlError(1205, "HY000", "Lock wait timeout exceeded") from None
                 await asyncio.sleep(0.002)
 
-    async def _fault(self, text: str, point: Point, rows: int = 0) -> None:
+    async def _inject_fault(self, text: str, point: Point, rows: int = 0) -> None:
         fault = self._server.fault_for(text, point, rows)
         if fault is None:
             return
-        match fault.what:
-            case What.DIE:
+        match fault.action:
+            case FaultAction.KILL_SERVER:
                 await self._flush()
                 self._server.die()
-            case What.RESET:
+            case FaultAction.RESET:
                 await self._flush()
                 self.abort()
-            case What.HANG:
+            case FaultAction.HANG:
                 await asyncio.Event().wait()
-            case What.GO_DOWN:
+            case FaultAction.SHUT_DOWN:
                 self._write(Err(1053, "08S01", "Server shutdown in progress").encode())
-            case What.SPOIL:
+            case FaultAction.CORRUPT:
                 self._transport.write(b"\x05\x00\x00\x63spoil")
-        raise _Ended
+        raise _ConnectionClosed
 
     async def _flush(self) -> None:
-        """Let what was written leave before a reset throws it away."""
+        """Wait until the data is sent, as a reset would discard it."""
         while self._transport.get_write_buffer_size():
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.005)
 
-    # Answers
+    # Responses
 
     def _status(self) -> Status:
         status = Status.AUTOCOMMIT if self.sql.autocommit else Status(0)
@@ -465,16 +465,16 @@
         else:
             self._write(Eof(status, warnings).encode())
 
-    def _error(self, fault: SqlError) -> None:
-        self._write(Err(fault.code, fault.state, fault.text).encode())
+    def _error(self, error: SqlError) -> None:
+        self._write(Err(error.code, error.state, error.text).encode())
 
     def _definitions(self, columns: list[str], rows: list[tuple[Value, ...]]) -> list[Column]:
-        kinds = []
+        definitions = []
         for number, name in enumerate(columns):
             value = next((row[number] for row in rows if row[number] is not None), None)
             kind, charset = {int: (8, 63), float: (5, 63), bytes: (252, 63)}.get(type(value), (253, 45))
-            kinds.append(Column(name.encode(), kind, 1_024, charset))
-        return kinds
+            definitions.append(Column(name.encode(), kind, 1_024, charset))
+        return definitions
 
     def _columns(self, result: Result, status: Status) -> None:
         assert result.columns is not None
@@ -488,20 +488,20 @@
         assert result.columns is not None
         definitions = self._definitions(result.columns, result.rows)
         self._write(lenenc_int(len(definitions)))
-        await self._fault(text, Point.HEAD)
+        await self._inject_fault(text, Point.HEAD)
         for each in definitions:
             self._write(each.encode())
         if not self._capabilities & Capability.DEPRECATE_EOF:
             self._write(Eof(self._status() | more).encode())
-        await self._fault(text, Point.COLUMNS)
+        await self._inject_fault(text, Point.COLUMNS)
         if self._server.wide and "wide" in text:
             await self._wide_rows()
         for number, row in enumerate(result.rows):
-            await self._fault(text, Point.ROWS, number)
-            self._write(_binary(row, definitions) if binary else _text_row(row))
+            await self._inject_fault(text, Point.ROWS, number)
+            self._write(_binary_row(row, definitions) if binary else _text_row(row))
             if self._drained is not None:
                 await self._drained
-        await self._fault(text, Point.LAST)
+        await self._inject_fault(text, Point.LAST)
         self._eof(more, result.warnings)
 
     async def _wide_rows(self) -> None:
@@ -520,8 +520,8 @@
                 raise SqlError(1064, "42000", "one statement is needed")
             parameters = len(list(trees[0].find_all(exp.Placeholder)))
             columns = self.sql.describe(trees[0], parameters)
-        except SqlError as fault:
-            self._error(fault)
+        except SqlError as error:
+            self._error(error)
             return
         number, self._next_statement = self._next_statement, self._next_statement + 1
         self._prepared[number] = (text, trees[0], parameters)
@@ -535,11 +535,11 @@
 
     async def _execute(self, payload: bytes) -> None:
         number, flags = struct.unpack_from("<IB", payload, 1)
-        known = self._prepared.get(number)
-        if known is None:
+        prepared = self._prepared.get(number)
+        if prepared is None:
             self._error(SqlError(1243, "HY000", "Unknown prepared statement handler"))
             return
-        text, tree, count = known
+        text, tree, count = prepared
         parameters = self._parameters(number, count, Cursor(payload, "COM_STMT_EXECUTE", 10))
         cursor = number if flags & 1 and isinstance(tree, exp.Query) else None
         await self._statement(text, tree, parameters, Status(0), binary=True, cursor=cursor)
@@ -550,13 +550,13 @@
         nulls = int.from_bytes(read.take((count + 7) // 8, "nulls"), "little")
         if read.integer(1, "bound"):
             types = [read.integer(2, "type") for _ in range(count)]
-            self._types[number] = [(each & 0xFF, bool(each & 0x8000)) for each in types]
+            self._types[number] = [(code & 0xFF, bool(code & 0x8000)) for code in types]
         values: list[Value] = []
-        for at, (kind, unsigned) in enumerate(self._types[number]):
-            long = self._long.pop((number, at), None)
-            if long is not None:
-                values.append(long.decode() if kind != 252 else bytes(long))
-            elif nulls >> at & 1:
+        for position, (kind, unsigned) in enumerate(self._types[number]):
+            long_data = self._long_data.pop((number, position), None)
+            if long_data is not None:
+                values.append(long_data.decode() if kind != 252 else bytes(long_data))
+            elif nulls >> position & 1:
                 values.append(None)
             else:
                 values.append(_parameter(kind, unsigned, read))
@@ -569,9 +569,9 @@
             self._error(SqlError(1421, "HY000", "The statement has no open cursor"))
             return
         definitions = self._definitions(["?"] * (len(rows[0]) if rows else 0), rows)
-        now, self._cursors[number] = rows[:count], rows[count:]
-        for row in now:
-            self._write(_binary(row, definitions))
+        fetched, self._cursors[number] = rows[:count], rows[count:]
+        for row in fetched:
+            self._write(_binary_row(row, definitions))
         if self._cursors[number]:
             self._eof(Status.CURSOR_EXISTS)
         else:
@@ -594,14 +594,14 @@
 
 
 def _text_row(row: tuple[Value, ...]) -> bytes:
-    return b"".join(b"\xfb" if each is None else lenenc(_bytes(each)) for each in row)
+    return b"".join(b"\xfb" if value is None else lenenc(_bytes(value)) for value in row)
 
 
 def _bytes(value: Value) -> bytes:
     return value if isinstance(value, bytes) else str(value).encode()
 
 
-def _binary(row: tuple[Value, ...], columns: list[Column]) -> bytes:
+def _binary_row(row: tuple[Value, ...], columns: list[Column]) -> bytes:
     nulls = bytearray((len(row) + 9) // 8)
     out = bytearray()
     for number, (value, column) in enumerate(zip(row, columns, strict=True)):
--- a/micadeck/stand_ins/mysql/sql.py
+++ b/micadeck/stand_ins/mysql/sql.py
@@ -1,6 +1,6 @@
-"""What a session of the stand-in answers: MySQL's statements, carried out by SQLite.
+"""Runs MySQL's statements of a session on SQLite.
 
-sqlglot translates; what SQLite has not (variables, `LAST_INSERT_ID()`, locks, schemas) is done here.
+sqlglot translates them; what SQLite lacks (variables, `LAST_INSERT_ID()`, locks, schemas) is done here.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class SqlError(Exception):
-    """An ERR to be."""
+    """An ERR packet."""
 
     def __init__(self, code: int, state: str, text: str) -> None:
         super().__init__(text)
@@ -49,12 +49,12 @@
 
 
 class Busy(Exception):
-    """Another session holds the lock; ask again."""
+    """Another session holds the lock; retry."""
 
 
 @dataclass
 class Result:
-    """Rows, or what a change did."""
+    """Rows, or counts of a change."""
 
     columns: list[str] | None = None
     rows: list[tuple[Value, ...]] = field(default_factory=list)
@@ -64,19 +64,19 @@
 
 
 class Database:
-    """What all sessions of one server share."""
+    """The data that a server's sessions share."""
 
-    _next = 1
+    _next_id = 1
 
     def __init__(self, schemas: Sequence[str] = ("tariff",)) -> None:
-        self.uri = f"file:standin-{id(self)}-{Database._next}?mode=memory&cache=shared"
-        Database._next += 1
+        self.uri = f"file:standin-{id(self)}-{Database._next_id}?mode=memory&cache=shared"
+        Database._next_id += 1
         self.schemas = set(schemas)
-        # Tables of which rows are only added: SQLite locks whole databases, a server would not let such
-        # transactions wait for each other.  Their rows are written when their transaction commits.
+        # Tables that only get inserts, which are applied at commit: SQLite locks the whole database, while
+        # MySQL would not make such transactions wait for each other.
         self.append_only: set[str] = set()
-        self.locks: dict[str, int] = {}  # by GET_LOCK: the thread that holds each
-        self._keeper = self.connect()
+        self.locks: dict[str, int] = {}  # of GET_LOCK: the holder's thread
+        self._connection = self.connect()  # keeps the database in memory
 
     def connect(self) -> sqlite3.Connection:
         connection = sqlite3.connect(self.uri, uri=True, isolation_level=None, check_same_thread=False)
@@ -84,15 +84,15 @@
         return connection
 
     def run(self, sql: str) -> list[tuple[Any, ...]]:
-        """For tests: straight into the data, in SQLite's words."""
-        return self._keeper.execute(sql).fetchall()
+        """Run a statement in SQLite's dialect, for tests."""
+        return self._connection.execute(sql).fetchall()
 
     def close(self) -> None:
-        self._keeper.close()
+        self._connection.close()
 
 
 class SqlSession:
-    """One connection's."""
+    """A connection's session."""
 
     def __init__(self, database: Database, thread: int, user: str) -> None:
         self._database = database
@@ -104,7 +104,7 @@
 
     def _start(self) -> None:
         self._db = self._database.connect()
-        self._added: list[str] = []  # of tables that are only added to, until the commit
+        self._pending_inserts: list[str] = []  # into append-only tables, until the commit
         self.variables: dict[str, Value] = dict(VARIABLES)
         self.user_variables: dict[str, Value] = {}
         self.insert_id = 0
@@ -125,12 +125,12 @@
             ("release_lock", 1, self._release_lock),
             ("now", 0, lambda: time.strftime("%Y-%m-%d %H:%M:%S")),
             ("sleep", 1, lambda seconds: 0),
-            ("concat", -1, lambda *parts: "".join(str(each) for each in parts)),
+            ("concat", -1, lambda *parts: "".join(str(part) for part in parts)),
         ):
             self._db.create_function(name, count, call)
 
     def end(self) -> None:
-        """The connection is gone: what it held is let go of, and its transaction rolled back."""
+        """Release its locks and roll back its transaction."""
         self._database.locks = {k: v for k, v in self._database.locks.items() if v != self._thread}
         if self._db.in_transaction:
             self._db.rollback()
@@ -172,29 +172,29 @@
     # Statements
 
     def parse(self, text: str) -> list[exp.Expr]:
-        """Raise SqlError on what SQLite could not be asked."""
+        """Raise SqlError if it cannot be parsed."""
         try:
-            return [each for each in sqlglot.parse(text, read="mysql") if each is not None]
-        except SqlglotError as fault:
-            raise SqlError(1064, "42000", f"You have an error in your SQL syntax: {fault}"[:200]) from None
+            return [tree for tree in sqlglot.parse(text, read="mysql") if tree is not None]
+        except SqlglotError as error:
+            raise SqlError(1064, "42000", f"You have an error in your SQL syntax: {error}"[:200]) from None
 
     def run(self, tree: exp.Expr, parameters: Sequence[Value] = ()) -> Result:
-        """Carry one statement out; raise SqlError, or Busy before it has done anything."""
+        """Run a statement; raise SqlError, or Busy if it had no effect."""
         self.ran += 1
         words = tree.sql(dialect="mysql").split()
         first = words[0].upper() if words else ""
         is_show = first == "SHOW"
         if not is_show:
             self.warnings = []
-        result = self._special(tree, first, words)
+        result = self._run_special(tree, first, words)
         if result is None:
-            result = self._by_sqlite(tree, parameters, first)
+            result = self._run_on_sqlite(tree, parameters, first)
         if not is_show and result.columns is None:
             self.row_count = result.affected
         result.warnings = len(self.warnings)
         return result
 
-    def _special(self, tree: exp.Expr, first: str, words: list[str]) -> Result | None:
+    def _run_special(self, tree: exp.Expr, first: str, words: list[str]) -> Result | None:
         second = words[1].upper() if len(words) > 1 else ""
         if isinstance(tree, exp.Use):
             return self.use(tree.this.name)
@@ -211,8 +211,8 @@
         if isinstance(tree, exp.Commit) or first == "COMMIT":
             self._commit()
             return Result()
-        if isinstance(tree, exp.Rollback) and "TO" not in (each.upper() for each in words):
-            self._added = []
+        if isinstance(tree, exp.Rollback) and "TO" not in (word.upper() for word in words):
+            self._pending_inserts = []
             if self._db.in_transaction:
                 self._db.rollback()
             return Result()
@@ -225,29 +225,29 @@
         return None
 
     def _commit(self) -> None:
-        """Whole, or Busy and nothing of it."""
+        """Commit atomically; raise Busy if nothing was committed."""
         try:
-            if self._added:
+            if self._pending_inserts:
                 if not self._db.in_transaction:
                     self._db.execute("BEGIN")
                 self._db.execute("SAVEPOINT added")
-                for sql in self._added:
+                for sql in self._pending_inserts:
                     self._db.execute(sql)
             if self._db.in_transaction:
                 self._db.execute("COMMIT")
-            self._added = []
-        except sqlite3.OperationalError as fault:
-            if self._added and self._db.in_transaction:
+            self._pending_inserts = []
+        except sqlite3.OperationalError as error:
+            if self._pending_inserts and self._db.in_transaction:
                 self._db.execute("ROLLBACK TO added")
-            raise _error_of(fault) from None
+            raise _to_sql_error(error) from None
 
     def _set(self, tree: exp.Set) -> Result:
         for item in tree.expressions:
             body = item.this
             if item.args.get("kind") in ("NAMES", "CHARACTER SET"):
                 name = body.name if isinstance(body, exp.Expr) else str(body)
-                for each in ("client", "results", "connection"):
-                    self.variables[f"character_set_{each}"] = name.lower()
+                for scope in ("client", "results", "connection"):
+                    self.variables[f"character_set_{scope}"] = name.lower()
                 continue
             if not isinstance(body, exp.EQ):
                 continue
@@ -274,31 +274,31 @@
         if isinstance(tree, (exp.Column, exp.Var)):
             return tree.name
         try:
-            row = self._db.execute(f"SELECT {self._translated(tree)}").fetchone()
-        except sqlite3.Error as fault:
-            raise _error_of(fault) from None
+            row = self._db.execute(f"SELECT {self._translate(tree)}").fetchone()
+        except sqlite3.Error as error:
+            raise _to_sql_error(error) from None
         value: Value = row[0]
         return value
 
     def _show(self, words: list[str]) -> Result:
-        what = " ".join(words[1:]).upper()
-        if what.startswith(("WARNINGS", "ERRORS")):
+        subject = " ".join(words[1:]).upper()
+        if subject.startswith(("WARNINGS", "ERRORS")):
             return Result(["Level", "Code", "Message"], list(self.warnings))
-        if what.startswith(("VARIABLES", "SESSION VARIABLES", "GLOBAL VARIABLES")):
+        if subject.startswith(("VARIABLES", "SESSION VARIABLES", "GLOBAL VARIABLES")):
             wanted = words[-1].strip("'").replace("%", "").lower()
             rows: list[tuple[Value, ...]] = [
                 (name, str(value)) for name, value in self.variables.items() if wanted in name
             ]
             return Result(["Variable_name", "Value"], rows)
-        if what.startswith("TABLES"):
+        if subject.startswith("TABLES"):
             rows = self._db.execute("SELECT name FROM sqlite_master WHERE type = 'table'").fetchall()
             return Result([f"Tables_in_{self.schema}"], rows)
-        if what.startswith("DATABASES"):
-            return Result(["Database"], [(each,) for each in sorted(self._database.schemas)])
+        if subject.startswith("DATABASES"):
+            return Result(["Database"], [(name,) for name in sorted(self._database.schemas)])
         return Result(["Result"], [])
 
-    def _by_sqlite(self, tree: exp.Expr, parameters: Sequence[Value], first: str) -> Result:
-        sql = self._translated(tree)
+    def _run_on_sqlite(self, tree: exp.Expr, parameters: Sequence[Value], first: str) -> Result:
+        sql = self._translate(tree)
         if not self.autocommit and not self._db.in_transaction and first != "CREATE":
             self._db.execute("BEGIN")
         if first in ("CREATE", "DROP", "ALTER", "TRUNCATE"):
@@ -306,24 +306,24 @@
         if isinstance(tree, exp.Insert) and self._db.in_transaction and not parameters:
             table = tree.find(exp.Table)
             if table is not None and table.name in self._database.append_only:
-                self._added.append(sql)
+                self._pending_inserts.append(sql)
                 return Result(affected=1)
-        before = self._db.total_changes
+        changes_before = self._db.total_changes
         try:
             cursor = self._db.execute(sql, tuple(parameters))
             rows = cursor.fetchall()
-        except sqlite3.Error as fault:
-            raise _error_of(fault) from None
+        except sqlite3.Error as error:
+            raise _to_sql_error(error) from None
         if cursor.description is not None:
             self.found_rows = len(rows)
-            return Result([each[0] for each in cursor.description], rows)
-        changed = self._db.total_changes - before
+            return Result([column[0] for column in cursor.description], rows)
+        changed = self._db.total_changes - changes_before
         inserted = cursor.lastrowid or 0 if first in ("INSERT", "REPLACE") and changed else 0
         if inserted:
             self.insert_id = inserted
         return Result(affected=changed, insert_id=inserted)
 
-    def _translated(self, tree: exp.Expr) -> str:
+    def _translate(self, tree: exp.Expr) -> str:
         tree = tree.copy()
         for lock in list(tree.find_all(exp.Lock)):
             lock.pop()
@@ -349,20 +349,20 @@
         return sql.replace("SQL_CALC_FOUND_ROWS ", "").replace("CREATE TEMPORARY", "CREATE TEMP")
 
     def describe(self, tree: exp.Expr, parameters: int) -> list[str]:
-        """The columns that a prepared statement will have."""
+        """The column names of a prepared statement."""
         if not isinstance(tree, exp.Query):
             return []
         try:
             cursor = self._db.execute(
-                f"SELECT * FROM ({self._translated(tree)}) LIMIT 0", (None,) * parameters
+                f"SELECT * FROM ({self._translate(tree)}) LIMIT 0", (None,) * parameters
             )
-        except sqlite3.Error as fault:
-            raise _error_of(fault) from None
-        return [each[0] for each in cursor.description]
+        except sqlite3.Error as error:
+            raise _to_sql_error(error) from None
+        return [column[0] for column in cursor.description]
 
 
-def _error_of(fault: sqlite3.Error) -> Exception:
-    text = str(fault)
+def _to_sql_error(error: sqlite3.Error) -> Exception:
+    text = str(error)
     if "locked" in text or "busy" in text:
         return Busy()
     if "UNIQUE" in text:
--- a/micadeck/stand_ins/mysql_demo.py
+++ b/micadeck/stand_ins/mysql_demo.py
@@ -18,7 +18,7 @@
 from micadeck.mysql.service import MysqlService
 from micadeck.network import LoopNetwork
 from micadeck.stand_ins.discovery_server import StandInRoster
-from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
+from micadeck.stand_ins.mysql import Fault, FaultAction, Point, StandInMysql
 
 HOST = "127.0.0.1"
 PASSWORD = b"desk"
@@ -140,7 +140,7 @@
     await asyncio.sleep(DURATION_S * 0.3)
     drained[servers[0].name] = loop.time()
     roster.put(servers[0].name, servers[0].address, "leaving")
-    servers[1].faults.append(Fault("tariff", Point.ROWS, What.RESET, rows=ROWS // 2, times=3))
+    servers[1].faults.append(Fault("tariff", Point.ROWS, FaultAction.RESET, rows=ROWS // 2, times=3))
     await asyncio.sleep(DURATION_S * 0.3)
     servers[1].die()
     await running
--- a/tests/mysql_stage.py
+++ b/tests/mysql_stage.py
@@ -57,7 +57,7 @@
     server.database.run("CREATE TABLE tariff (code TEXT PRIMARY KEY, rate INT, note TEXT)")
     server.database.run("CREATE TABLE lodged (id TEXT, who TEXT)")
     for row in ROWS:
-        server.database._keeper.execute("INSERT INTO tariff VALUES (?, ?, ?)", row)
+        server.database._connection.execute("INSERT INTO tariff VALUES (?, ?, ?)", row)
 
 
 @dataclass
--- a/tests/test_mysql_error_mapping.py
+++ b/tests/test_mysql_error_mapping.py
@@ -14,7 +14,7 @@
 from micadeck.mysql.statements import Reader
 from micadeck.mysql.transport import StatementRequest
 from micadeck.policy.outcomes import Outcome
-from micadeck.stand_ins.mysql import Fault, Point, What
+from micadeck.stand_ins.mysql import Fault, FaultAction, Point
 
 READ = "SELECT * FROM tariff ORDER BY code"
 LODGE = "INSERT INTO lodged VALUES ('L1', 'desk')"
@@ -27,7 +27,7 @@
     return isinstance(answer, tuple) and answer[0] == expected[0] and expected[1] in answer[1]
 
 
-def fault_all(stage: Scene, match: str, point: Point, what: What, rows: int = 0) -> None:
+def fault_all(stage: Scene, match: str, point: Point, what: FaultAction, rows: int = 0) -> None:
     """The first server that it comes to has the fault; no other has."""
     shared = Fault(match, point, what, rows)
     for server in stage.servers:
@@ -46,18 +46,20 @@
             assert fate.error is not None and fate.error.sqlstate == "08007"
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN, What.SPOIL])
+@pytest.mark.parametrize(
+    "what", [FaultAction.KILL_SERVER, FaultAction.RESET, FaultAction.SHUT_DOWN, FaultAction.CORRUPT]
+)
 @pytest.mark.parametrize(
     ("point", "rows"),
     [(Point.START, 0), (Point.RAN, 0), (Point.HEAD, 0), (Point.COLUMNS, 0), (Point.ROWS, 2), (Point.LAST, 0)],
 )
-def test_a_read_is_read_again_elsewhere_unseen(point: Point, rows: int, what: What) -> None:
+def test_a_read_is_read_again_elsewhere_unseen(point: Point, rows: int, what: FaultAction) -> None:
     async def work() -> None:
         async with scene() as stage:
             client = await stage.connect()
             fault_all(stage, "FROM tariff", point, what, rows)
             answer = await ask(client, READ)
-            if what is What.GO_DOWN and point is Point.HEAD:
+            if what is FaultAction.SHUT_DOWN and point is Point.HEAD:
                 # In place of a column's definition an ERR can't be told from one: it is spoilt.
                 assert answer == WHOLE or isinstance(answer, tuple)
             else:
@@ -67,10 +69,12 @@
     play(work)
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN, What.SPOIL])
+@pytest.mark.parametrize(
+    "what", [FaultAction.KILL_SERVER, FaultAction.RESET, FaultAction.SHUT_DOWN, FaultAction.CORRUPT]
+)
 @pytest.mark.parametrize(("point", "effects"), [(Point.START, 0), (Point.RAN, 1)])
 def test_a_write_that_may_have_run_is_never_sent_again_and_never_called_harmless(
-    point: Point, effects: int, what: What
+    point: Point, effects: int, what: FaultAction
 ) -> None:
     async def work() -> None:
         async with scene() as stage:
@@ -98,8 +102,8 @@
     play(work)
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN])
-def test_a_write_goes_elsewhere_if_its_server_is_lost_before_the_session_is_there(what: What) -> None:
+@pytest.mark.parametrize("what", [FaultAction.KILL_SERVER, FaultAction.RESET, FaultAction.SHUT_DOWN])
+def test_a_write_goes_elsewhere_if_its_server_is_lost_before_the_session_is_there(what: FaultAction) -> None:
     async def work() -> None:
         async with scene() as stage:
             client = await stage.connect(autocommit=True)
@@ -165,10 +169,10 @@
 ]
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET])
+@pytest.mark.parametrize("what", [FaultAction.KILL_SERVER, FaultAction.RESET])
 @pytest.mark.parametrize(("text", "point", "expected", "effects"), IN_TRANSACTION)
 def test_a_statement_of_a_transaction_whose_server_is_lost(
-    text: str, point: Point, expected: tuple[int, str] | None, effects: int, what: What
+    text: str, point: Point, expected: tuple[int, str] | None, effects: int, what: FaultAction
 ) -> None:
     async def work() -> None:
         async with scene() as stage:
@@ -202,14 +206,14 @@
             (session,) = [each for each in server.sessions.values() if each.sql.in_transaction]
             session.sql.run(session.sql.parse("ROLLBACK")[0])  # as a deadlock does
             assert (await ask(client, "SELECT absent FROM tariff"))[0] == 1054
-            server.faults.append(Fault(LODGE, Point.RAN, What.RESET))
+            server.faults.append(Fault(LODGE, Point.RAN, FaultAction.RESET))
             assert fails(await ask(client, LODGE), UNKNOWN)
             assert (stage.lodged("T1"), stage.lodged("L1")) == (0, 1)
             # With its word that all is well, the transaction is one again.
             await ask(client, "BEGIN")
             assert (await ask(client, "SELECT absent FROM tariff"))[0] == 1054
             assert await ask(client, READ) == WHOLE
-            server.faults.append(Fault("'L2'", Point.RAN, What.RESET))
+            server.faults.append(Fault("'L2'", Point.RAN, FaultAction.RESET))
             assert fails(await ask(client, "INSERT INTO lodged VALUES ('L2', 'x')"), BACK)
             assert stage.lodged("L2") == 0
 
@@ -316,7 +320,7 @@
     async def work() -> None:
         async with scene(1) as stage:
             client = await stage.connect(autocommit=True)
-            stage.servers[0].faults.append(Fault(text, Point.START, What.HANG))
+            stage.servers[0].faults.append(Fault(text, Point.START, FaultAction.HANG))
             answer = await ask(client, f"/*micadeck: deadline_ms=300*/ {text}")
             assert answer[0] == code
             await until(lambda: stage.service.engine.open_requests == 0)
@@ -359,8 +363,8 @@
     play(work)
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET])
-def test_a_result_that_streams_ends_with_an_error_where_its_server_dies(what: What) -> None:
+@pytest.mark.parametrize("what", [FaultAction.KILL_SERVER, FaultAction.RESET])
+def test_a_result_that_streams_ends_with_an_error_where_its_server_dies(what: FaultAction) -> None:
     async def work() -> None:
         async with scene(limits={"hold_bytes": 64 << 10}) as stage:
             for server in stage.servers:
--- a/tests/test_mysql_proof.py
+++ b/tests/test_mysql_proof.py
@@ -17,13 +17,13 @@
 from mysql_stage import Scene, ask, load, scene
 from pymysql.err import MySQLError
 
-from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
+from micadeck.stand_ins.mysql import Fault, FaultAction, Point, StandInMysql
 
 CLIENTS = 200
 TURNS = 8
 GRACE_S = 0.5
 _POINTS = [Point.START, Point.RAN, Point.HEAD, Point.COLUMNS, Point.LAST]
-_WHATS = [What.RESET, What.SPOIL, What.GO_DOWN]
+_WHATS = [FaultAction.RESET, FaultAction.CORRUPT, FaultAction.SHUT_DOWN]
 
 Told = dict[str, str]  # what was told of each lodging: "done", "harmless" or "unknown"
 
@@ -129,7 +129,7 @@
         victim = chance.choice(ready)
         # One of each kind that must be told apart, and some by chance.
         for match in ("VALUES ('L", "VALUES ('A"):
-            chance.choice(ready).faults.append(Fault(match, Point.RAN, What.RESET))
+            chance.choice(ready).faults.append(Fault(match, Point.RAN, FaultAction.RESET))
         for _ in range(6):
             where = chance.choice(ready)
             match = chance.choice(["lodged", "tariff", "COMMIT", "@mark", "BEGIN"])
--- a/tests/test_mysql_sessions.py
+++ b/tests/test_mysql_sessions.py
@@ -15,7 +15,7 @@
 
 from micadeck.mysql.config import MysqlConfigError, parse
 from micadeck.mysql.protocol.constants import Command
-from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
+from micadeck.stand_ins.mysql import Fault, FaultAction, Point, StandInMysql
 
 # ---------------------------------------------------------------------------------------------------
 # Real clients: one script each, directly at a stand-in and through the service
@@ -394,7 +394,7 @@
             assert rest[0][2:] == b"\x040303" and rest[1][3] & 0x80
             await until(lambda: stage.service.front.busy == 0)  # the last row was sent: nothing holds it
             # Executed without types: those that were bound before hold, also on a new connection.
-            shared = Fault("rate < ?", Point.START, What.RESET)
+            shared = Fault("rate < ?", Point.START, FaultAction.RESET)
             for server in stage.servers:
                 server.faults.append(shared)
             again = b"\x00\x01\x00\x00\x00" + b"\0\0" + (10).to_bytes(8, "little")
