--- a/micadeck/stand_ins/incident_days.py
+++ b/micadeck/stand_ins/incident_days.py
@@ -1,7 +1,7 @@
-"""Scripted days of a small fleet, in memory: the real decisions, made-up servers, a roster, wrong clocks.
+"""Simulated incidents of a small fleet, in memory: the real balancer, simulated servers, roster and clocks.
 
-A day is drawn from a seed and a kind of trouble; it gives what its sidecars would have recorded, as bytes,
-and what was scripted.  No sockets, no files, no clock but its own.
+A run is drawn from a seed and a kind of trouble; its result is the records of its sidecars, as bytes, and the
+script.  No sockets, files or real clock.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 BEGIN = 1_700_000_000 * S
 DAY_S = 60
 TROUBLES = ("crash", "hang", "fails", "zone", "list", "release", "overload", "lag")
-QUIET = ("calm", "drain", "restart")  # nobody should claim an incident
+QUIET = ("calm", "drain", "restart")  # no incident must be reported
 ZONES = ("east", "west", "south")
 _WORK_MS = {"check": 40, "amend": 70, "lodge": 100}
 SETTINGS: dict[str, Any] = {
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Script:
-    """What a day holds; times are true seconds from its begin."""
+    """The trouble of a run; times are true seconds since its start."""
 
     kind: str
     where: str
@@ -71,39 +71,39 @@
 class _Server:
     name: str
     zone: str
-    room: float
+    capacity: float
     started_at: int
     state: ServerState = ServerState.READY
     busy: int = 0
-    sickness: str = ""  # "crash", "hang", "fails"
+    failure: str = ""  # "crash", "hang", "fails"
 
 
 @dataclass(slots=True)
 class Day:
-    """A day that was played."""
+    """The result of a run."""
 
     script: Script
-    sidecars: list[bytes]  # each start's records
-    offset_of: list[Callable[[int], int]] = field(default_factory=list)  # true time to its own
+    sidecars: list[bytes]  # the records of each process
+    offset_of: list[Callable[[int], int]] = field(default_factory=list)  # true time to the sidecar's clock
 
     def archive(self, missing: float = 0.0, seed: int = 0) -> Archive:
-        """What is left when a part of the records goes missing, in stretches, and some files are torn."""
-        drawn = random.Random(seed)
+        """The archive after losing runs of records and truncating some files."""
+        rng = random.Random(seed)
         segments: dict[tuple[str, str, int], Segment] = {}
         files: list[File] = []
         for data in self.sidecars:
-            left = _without(data, missing, drawn)
+            remaining = _without(data, missing, rng)
             try:
-                segment = read(left)
+                segment = read(remaining)
             except NotRecords:
                 continue
             segments[(segment.head.sidecar, segment.head.start, 0)] = segment
-        assert not any(each.found is Found.FOREIGN for each in files)
+        assert not any(file.found is Found.FOREIGN for file in files)
         return Archive(assemble(segments), files)
 
 
-def _without(data: bytes, part: float, drawn: random.Random) -> bytes:
-    """Some stretches of frames left out, some ends torn off; some files gone but for their head."""
+def _without(data: bytes, part: float, rng: random.Random) -> bytes:
+    """Drop some runs of frames and some ends; of some files, all but the head."""
     if part <= 0.0:
         return data
     frames, at = [], len(MARK)
@@ -113,16 +113,16 @@
         at += 12 + length
     kept, number = [frames[0]], 1
     while number < len(frames):
-        block = drawn.randrange(5, 60)
-        if drawn.random() >= part:
+        block = rng.randrange(5, 60)
+        if rng.random() >= part:
             kept += frames[number : number + block]
         number += block
-    whole = MARK + b"".join(kept)
-    return whole[: -drawn.randrange(1, 10)] if drawn.random() < part and len(kept) > 1 else whole
+    result = MARK + b"".join(kept)
+    return result[: -rng.randrange(1, 10)] if rng.random() < part and len(kept) > 1 else result
 
 
 class World:
-    """What is around the sidecars, and what the script does to it."""
+    """The environment of the sidecars, and the script's effects on it."""
 
     def __init__(self, seed: int, kind: str, sidecars: int, servers: int, reports: bool = True) -> None:
         self.drawn = random.Random(f"{kind} {seed}")
@@ -137,11 +137,11 @@
             self._join(ZONES[number % len(ZONES)], cold=False)
         onset = self.drawn.uniform(20, 30)
         self.script = Script(kind, self._where(), onset, onset + self.drawn.uniform(8, 18))
-        self.cut: str = ""  # a zone that nobody reaches
+        self.cut: str = ""  # an unreachable zone
         self.surge = 1.0
-        self.queue = 5.0  # times its room that a server takes in before it says full
-        self.slow = 1.0  # times the work takes
-        self.reports = reports  # whether servers tell how busy they are
+        self.queue = 5.0  # multiple of its capacity that a server accepts before FULL
+        self.slow = 1.0  # factor on the work's time
+        self.reports = reports  # whether servers send load reports
         self.list_is_down = False
         self.lagging = -1
         self.sidecars = [_Sidecar(self, number, seed) for number in range(sidecars)]
@@ -161,7 +161,7 @@
         return server
 
     def between(self, onset: float, end: float) -> None:
-        """Have the trouble at other times than were drawn."""
+        """Set the times of the trouble."""
         self.script = Script(self.script.kind, self.script.where, onset, end)
 
     def after(self, delay_us: int, work: Callable[[], None]) -> None:
@@ -180,38 +180,38 @@
         for sidecar in self.sidecars:
             sidecar.write()
 
-    # What the script does
+    # The script
 
     def _pause(self) -> int:
         return int(self.drawn.uniform(6, 16) * S)
 
     def churn(self) -> None:
-        """A server is replaced now and then, in order, as on any day."""
+        """Replace a server now and then, gracefully, as in normal operation."""
         ready = [
             each
             for each in self.servers.values()
-            if not each.sickness and each.state is ServerState.READY and each.name != self.script.where
+            if not each.failure and each.state is ServerState.READY and each.name != self.script.where
         ]
         self._retire(self.drawn.choice(ready))
         self.after(self._pause(), self.churn)
 
-    def _retire(self, server: _Server, sick_heir: bool = False) -> None:
+    def _retire(self, server: _Server, successor_fails: bool = False) -> None:
         server.state = ServerState.DRAINING
-        heir = self._join(server.zone)
-        if sick_heir:
-            heir.sickness = "fails"
-        self.tell(server, heir)
+        successor = self._join(server.zone)
+        if successor_fails:
+            successor.failure = "fails"
+        self.tell(server, successor)
 
-        def gone() -> None:
+        def remove() -> None:
             server.state = ServerState.REMOVED
             self.tell(server)
 
-        self.after(6 * S, gone)
+        self.after(6 * S, remove)
 
     def trouble(self) -> None:
         kind, where = self.script.kind, self.script.where
         if kind in ("crash", "hang", "fails"):
-            self.servers[where].sickness = kind
+            self.servers[where].failure = kind
         elif kind == "drain":
             self._retire(self.servers[where])
         elif kind == "zone":
@@ -220,13 +220,13 @@
             self.list_is_down = True
             ready = [each for each in self.servers.values() if each.state is ServerState.READY]
             for each in self.drawn.sample(ready, len(ready) // 3):
-                each.sickness = "crash"
+                each.failure = "crash"
                 each.state = ServerState.REMOVED
                 self._join(each.zone)
         elif kind == "release":
             ready = [each for each in self.servers.values() if each.state is ServerState.READY]
             for number, each in enumerate(self.drawn.sample(ready, len(ready) // 2)):
-                self.after(number * 300 * MS, lambda each=each: self._retire(each, sick_heir=True))  # type: ignore[misc]
+                self.after(number * 300 * MS, lambda each=each: self._retire(each, successor_fails=True))  # type: ignore[misc]
         elif kind == "overload":
             self.surge = 5.0
         elif kind == "lag":
@@ -239,7 +239,7 @@
         self.cut, self.surge, self.slow, self.lagging = "", 1.0, 1.0, -1
         for each in self.servers.values():
             if each.state is not ServerState.REMOVED:
-                each.sickness = ""
+                each.failure = ""
         if self.list_is_down:
             self.list_is_down = False
             for sidecar in self.sidecars:
@@ -262,22 +262,22 @@
         server = self.servers[name]
         if self.cut and server.zone == self.cut:
             return
-        if server.sickness == "crash" or server.state is ServerState.REMOVED:
+        if server.failure == "crash" or server.state is ServerState.REMOVED:
             self.after(2 * MS, lambda: done(Outcome.CONNECT_FAILED, 0.0))
-        elif server.sickness == "hang":
+        elif server.failure == "hang":
             return
-        elif server.sickness == "fails" and self.drawn.random() < 0.7:
+        elif server.failure == "fails" and self.drawn.random() < 0.7:
             self.after(4 * MS, lambda: done(Outcome.ERROR, 0.2))
-        elif server.busy > self.queue * server.room:
+        elif server.busy > self.queue * server.capacity:
             self.after(2 * MS, lambda: done(Outcome.FULL, 1.0))
         else:
             server.busy += 1
-            crowd = max(server.busy / server.room, 1.0)
-            took = self.drawn.lognormvariate(0.0, 0.4) * _WORK_MS[kind] * MS * crowd * self.slow
+            overload = max(server.busy / server.capacity, 1.0)
+            took = self.drawn.lognormvariate(0.0, 0.4) * _WORK_MS[kind] * MS * overload * self.slow
 
             def finish() -> None:
                 server.busy -= 1
-                done(Outcome.DELIVERED, min(server.busy / server.room, 1.0))
+                done(Outcome.DELIVERED, min(server.busy / server.capacity, 1.0))
 
             self.after(int(took) + MS, finish)
 
@@ -287,7 +287,7 @@
 
 
 class _Sidecar:
-    """A balancer, driven as the engine drives it, on a clock of its own."""
+    """A balancer, driven as by the engine, on its own clock."""
 
     def __init__(self, world: World, number: int, seed: int, start: int = 0) -> None:
         self.world = world
@@ -307,7 +307,7 @@
         self.data = b""
         self._requests: dict[int, list[Any]] = {}  # class, attempts' servers, answered
         self._next = count(1)
-        self._follows = False
+        self._is_watching = False
         self.is_alive = True
         self.rate = random.Random(f"rate {seed} {number}").uniform(12, 30)
         self._seen = 0
@@ -319,7 +319,7 @@
     def _now(self) -> int:
         return self.local(self.world.now)
 
-    # What the observer asks
+    # Called by the observer
 
     def request_id(self, request: int) -> bytes:
         return b"%d-%s-%d" % (self.number, self.start[-4:].encode(), request)
@@ -329,7 +329,7 @@
 
     def begin(self) -> None:
         known = [
-            ListedServer(each.server, each.zone, state=each.state, started_at=self._there(each))
+            ListedServer(each.server, each.zone, state=each.state, started_at=self._local_start(each))
             for each in self.world.listed()
         ]
         self.put(ServersListed(ListKind.REMEMBERED, known, self.world.version))
@@ -337,8 +337,8 @@
         self._arrive()
         self._second()
 
-    def _there(self, line: ListedServer) -> int | None:
-        """Start times as this sidecar's clock would have them: rosters tell ages."""
+    def _local_start(self, line: ListedServer) -> int | None:
+        """The start time on this sidecar's clock: rosters report ages."""
         return self.local(line.started_at) if line.started_at is not None else None
 
     def put(self, event: Event) -> None:
@@ -360,7 +360,7 @@
                 request, attempt = action.request, action.attempt
                 world.after(1, lambda: self._done(request, attempt, Outcome.CANCELLED, 0.0))
             case WatchEndpoints(wanted):
-                self._follows = wanted
+                self._is_watching = wanted
                 if wanted:
                     self.fetch()
             case FetchList():
@@ -377,26 +377,28 @@
             if self.world.list_is_down:
                 self._if_alive(ServersListed(ListKind.FAILED))
                 return
-            lines = [self._as_here(each) for each in self.world.listed()]
+            lines = [self._localized(each) for each in self.world.listed()]
             self._seen = self.world.version
             self._if_alive(ServersListed(ListKind.COMPLETE, lines, self.world.version))
 
         self.world.after(int(self.world.drawn.uniform(5, 50) * MS), answer)
 
-    def _as_here(self, line: ListedServer) -> ListedServer:
-        return ListedServer(line.server, line.zone, state=line.state, started_at=self._there(line))
+    def _localized(self, line: ListedServer) -> ListedServer:
+        return ListedServer(line.server, line.zone, state=line.state, started_at=self._local_start(line))
 
     def told(self, version: int, lines: list[ListedServer]) -> None:
-        def hear() -> None:
-            if not self._follows or version <= self._seen:
+        def receive() -> None:
+            if not self._is_watching or version <= self._seen:
                 return
             if self.world.list_is_down:
                 self._if_alive(ServersListed(ListKind.FAILED))
                 return
             self._seen = version
-            self._if_alive(ServersListed(ListKind.CHANGES, [self._as_here(each) for each in lines], version))
+            self._if_alive(
+                ServersListed(ListKind.CHANGES, [self._localized(each) for each in lines], version)
+            )
 
-        self.world.after(int(self.world.drawn.uniform(20, 400) * MS), hear)
+        self.world.after(int(self.world.drawn.uniform(20, 400) * MS), receive)
 
     # Requests
 
@@ -408,12 +410,12 @@
         deadline = {"check": 3, "amend": 2, "lodge": 4}[kind] * S
         number = next(self._next)
 
-        def come() -> None:
+        def receive() -> None:
             self._requests[number] = [kind, [], False]
             self._if_alive(RequestArrived(number, kind, None, drawn.randrange(1 << 20), deadline))
 
-        # A sidecar that is short of its processor takes everything up late.
-        self.world.after(self._lag(), come)
+        # A sidecar that lacks processor time handles every event late.
+        self.world.after(self._lag(), receive)
         self.world.after(int(drawn.expovariate(self.rate * self.world.surge) * S), self._arrive)
 
     def _lag(self) -> int:
@@ -442,8 +444,8 @@
         held[1][attempt][2] = True
         if outcome is Outcome.DELIVERED:
             held[2] = True
-        tells = self.world.reports and outcome in (Outcome.DELIVERED, Outcome.ERROR)
-        report = {"util": util} if tells else None
+        has_report = self.world.reports and outcome in (Outcome.DELIVERED, Outcome.ERROR)
+        report = {"util": util} if has_report else None
         elapsed = self.world.now - sent_at
         self.put(AttemptEnded(request, attempt, server, outcome, elapsed, held[2], report))
         if held[2] and all(each[2] for each in held[1]):
@@ -469,23 +471,23 @@
         self.data += b"".join(map(self._encoder.frame, records))
 
     def kill(self) -> None:
-        """It is gone without a word, and starts again soon."""
+        """Kill the process and restart it soon."""
         self.is_alive = False
         world = self.world
         world.sidecars.remove(self)
-        heir = _Sidecar(world, self.number, self._seed, self._start_number + 1)
+        successor = _Sidecar(world, self.number, self._seed, self._start_number + 1)
 
-        def again() -> None:
-            heir.start = heir._observer._start = f"{heir.local(world.now):016x}"
-            world.sidecars.append(heir)
-            world.all_sidecars.append(heir)
-            heir.begin()
+        def restart() -> None:
+            successor.start = successor._observer._start = f"{successor.local(world.now):016x}"
+            world.sidecars.append(successor)
+            world.all_sidecars.append(successor)
+            successor.begin()
 
-        world.after(int(world.drawn.uniform(1.0, 2.5) * S), again)
+        world.after(int(world.drawn.uniform(1.0, 2.5) * S), restart)
 
 
 def play(seed: int, kind: str, sidecars: int = 6, servers: int = 7) -> Day:
-    """Play one day."""
+    """Run one simulation."""
     world = World(seed, kind, sidecars, servers)
     world.run()
     made = world.all_sidecars
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -37,7 +37,7 @@
         super().__init__(seed, "overload", sidecars, 7, reports)
         self.times, self.slowed = times, slow
         self.queue = 80.0  # they say full only when all would be late: the sidecars have to know sooner
-        self.capacity = sum(each.room for each in self.servers.values()) / WORK_S
+        self.capacity = sum(each.capacity for each in self.servers.values()) / WORK_S
 
     def churn(self) -> None:
         pass
