--- a/micadeck/simulation/consul.py
+++ b/micadeck/simulation/consul.py
@@ -22,7 +22,7 @@
 
     def __init__(self, wire: Wire, seed: int) -> None:
         super().__init__()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.delays_s: list[float] = []
         self._wire = wire
         self._freezes = self._outages = 0
--- a/micadeck/simulation/roster.py
+++ b/micadeck/simulation/roster.py
@@ -60,11 +60,12 @@
             return
         copied = StandInRoster()
         copied.version, copied.entries = self.version, copy.deepcopy(self.entries)
-        copied._changed_at, copied._left = dict(self._changed_at), copy.deepcopy(self._left)
+        copied._change_versions = dict(self._change_versions)
+        copied._removed = copy.deepcopy(self._removed)
         self._frozen.append(copied)
 
     def unfreeze(self) -> None:
-        self._frozen.pop()._wake()
+        self._frozen.pop()._notify_watches()
 
     async def _answer(self, target: str) -> dict[str, Any]:
         for seconds in list(self.delays_s):
--- a/micadeck/simulation/simulated_day.py
+++ b/micadeck/simulation/simulated_day.py
@@ -172,7 +172,7 @@
         self.sidecar = None
         self.day.oracles.trace_event(f"{self.name} has ended")
         self.day.call_later(0.0, machine.kill)
-        self.day.call_later(_RESTART_DELAY_S, self.start, self.day.discovery.whole())
+        self.day.call_later(_RESTART_DELAY_S, self.start, self.day.discovery.snapshot())
 
     def restart(self) -> None:
         if self.sidecar is None and self._stopping is None and self.machine.host.is_dead:
@@ -274,7 +274,7 @@
         for server in self.servers:
             server.start(cold=False)
             self._publish(server)
-        self.initial_list = self.discovery.whole()
+        self.initial_list = self.discovery.snapshot()
         for process in self.sidecars:
             process.start(self.initial_list)
             machine = self.wire.machine(Host(f"clients-{process.number}"), f"10.3.0.{process.number + 1}")
@@ -337,7 +337,7 @@
             if server.started_at is None
             else 1_700_000_000_000 + int(server.started_at * 1e3),
         }
-        self.discovery._change(server.name, entry)
+        self.discovery._put_entry(server.name, entry)
         self.oracles.on_listed(server.name, state)
         if self.registry is not None:
             self.registry.put(entry)
@@ -451,7 +451,7 @@
     def _silent(self, fault: Fault) -> None:
         """Silence roster watches of one or all sidecars; with Consul there are none."""
         towards = None if fault.amount else self._target_sidecar(fault).address[0]
-        self.oracles.counts["watch fell silent"] += self.discovery.fall_silent(towards)
+        self.oracles.counts["watch fell silent"] += self.discovery.mute_watches(towards)
 
     def _new_discovery(self, fault: Fault) -> None:
         """Reload all sidecars with a new address, then stop the old one."""
@@ -461,7 +461,7 @@
         self.discovery = new
         for server in self.servers:
             if server.name in old.entries:
-                new._change(server.name, old.entries[server.name])
+                new._put_entry(server.name, old.entries[server.name])
         for process in self.sidecars:
             process.discovery = new
             process.reload(process.config(self.initial_list))
--- a/tests/test_mysql_error_mapping.py
+++ b/tests/test_mysql_error_mapping.py
@@ -14,7 +14,7 @@
 from micadeck.mysql.statements import StatementReader
 from micadeck.mysql.transport import StatementRequest
 from micadeck.policy.outcomes import Outcome
-from micadeck.stand_ins.mysql import Fault, Point, What
+from micadeck.stand_ins.mysql import Fault, FaultAction, Point
 
 READ = "SELECT * FROM tariff ORDER BY code"
 INSERT = "INSERT INTO lodged VALUES ('L1', 'desk')"
@@ -27,7 +27,7 @@
     return isinstance(answer, tuple) and answer[0] == expected[0] and expected[1] in answer[1]
 
 
-def inject_fault(env: MysqlEnvironment, match: str, point: Point, what: What, rows: int = 0) -> None:
+def inject_fault(env: MysqlEnvironment, match: str, point: Point, what: FaultAction, rows: int = 0) -> None:
     """Inject one fault, at the first server that runs a matching statement."""
     shared = Fault(match, point, what, rows)
     for server in env.servers:
@@ -51,18 +51,20 @@
             assert answer.error is not None and answer.error.sqlstate == "08007"
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN, What.SPOIL])
+@pytest.mark.parametrize(
+    "what", [FaultAction.KILL_SERVER, FaultAction.RESET, FaultAction.SHUT_DOWN, FaultAction.CORRUPT]
+)
 @pytest.mark.parametrize(
     ("point", "rows"),
     [(Point.START, 0), (Point.RAN, 0), (Point.HEAD, 0), (Point.COLUMNS, 0), (Point.ROWS, 2), (Point.LAST, 0)],
 )
-def test_a_failed_read_is_retried_at_another_server(point: Point, rows: int, what: What) -> None:
+def test_a_failed_read_is_retried_at_another_server(point: Point, rows: int, what: FaultAction) -> None:
     async def work() -> None:
         async with mysql_environment() as env:
             client = await env.connect()
             inject_fault(env, "FROM tariff", point, what, rows)
             answer = await execute(client, READ)
-            if what is What.GO_DOWN and point is Point.HEAD:
+            if what is FaultAction.SHUT_DOWN and point is Point.HEAD:
                 # In place of a column definition, an ERR reads as a malformed one.
                 assert answer == ALL_ROWS or isinstance(answer, tuple)
             else:
@@ -72,10 +74,12 @@
     play(work)
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN, What.SPOIL])
+@pytest.mark.parametrize(
+    "what", [FaultAction.KILL_SERVER, FaultAction.RESET, FaultAction.SHUT_DOWN, FaultAction.CORRUPT]
+)
 @pytest.mark.parametrize(("point", "effects"), [(Point.START, 0), (Point.RAN, 1)])
 def test_a_write_that_may_have_run_is_not_retried_and_its_effect_is_reported_as_unknown(
-    point: Point, effects: int, what: What
+    point: Point, effects: int, what: FaultAction
 ) -> None:
     async def work() -> None:
         async with mysql_environment() as env:
@@ -103,8 +107,8 @@
     play(work)
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN])
-def test_a_write_is_retried_if_its_server_is_lost_while_the_session_is_applied(what: What) -> None:
+@pytest.mark.parametrize("what", [FaultAction.KILL_SERVER, FaultAction.RESET, FaultAction.SHUT_DOWN])
+def test_a_write_is_retried_if_its_server_is_lost_while_the_session_is_applied(what: FaultAction) -> None:
     async def work() -> None:
         async with mysql_environment() as env:
             client = await env.connect(autocommit=True)
@@ -173,10 +177,10 @@
 ]
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET])
+@pytest.mark.parametrize("what", [FaultAction.KILL_SERVER, FaultAction.RESET])
 @pytest.mark.parametrize(("text", "point", "expected", "effects"), IN_TRANSACTION)
 def test_a_statement_of_a_transaction_whose_server_is_lost(
-    text: str, point: Point, expected: tuple[int, str] | None, effects: int, what: What
+    text: str, point: Point, expected: tuple[int, str] | None, effects: int, what: FaultAction
 ) -> None:
     async def work() -> None:
         async with mysql_environment() as env:
@@ -210,14 +214,14 @@
             (session,) = [session for session in server.sessions.values() if session.sql.in_transaction]
             session.sql.run(session.sql.parse("ROLLBACK")[0])  # as a deadlock does
             assert (await execute(client, "SELECT absent FROM tariff"))[0] == 1054
-            server.faults.append(Fault(INSERT, Point.RAN, What.RESET))
+            server.faults.append(Fault(INSERT, Point.RAN, FaultAction.RESET))
             assert is_error_answer(await execute(client, INSERT), UNKNOWN)
             assert (env.count_lodged("T1"), env.count_lodged("L1")) == (0, 1)
             # The status of a successful read shows that the transaction is open.
             await execute(client, "BEGIN")
             assert (await execute(client, "SELECT absent FROM tariff"))[0] == 1054
             assert await execute(client, READ) == ALL_ROWS
-            server.faults.append(Fault("'L2'", Point.RAN, What.RESET))
+            server.faults.append(Fault("'L2'", Point.RAN, FaultAction.RESET))
             assert is_error_answer(
                 await execute(client, "INSERT INTO lodged VALUES ('L2', 'x')"), ROLLED_BACK
             )
@@ -328,7 +332,7 @@
     async def work() -> None:
         async with mysql_environment(1) as env:
             client = await env.connect(autocommit=True)
-            env.servers[0].faults.append(Fault(text, Point.START, What.HANG))
+            env.servers[0].faults.append(Fault(text, Point.START, FaultAction.HANG))
             answer = await execute(client, f"/*micadeck: deadline_ms=300*/ {text}")
             assert answer[0] == code
             await until(lambda: env.service.engine.open_requests == 0)
@@ -371,8 +375,8 @@
     play(work)
 
 
-@pytest.mark.parametrize("what", [What.DIE, What.RESET])
-def test_a_streamed_result_ends_with_an_error_if_its_server_is_lost(what: What) -> None:
+@pytest.mark.parametrize("what", [FaultAction.KILL_SERVER, FaultAction.RESET])
+def test_a_streamed_result_ends_with_an_error_if_its_server_is_lost(what: FaultAction) -> None:
     async def work() -> None:
         async with mysql_environment(limits={"hold_bytes": 64 << 10}) as env:
             for server in env.servers:
--- a/tests/test_mysql_sessions.py
+++ b/tests/test_mysql_sessions.py
@@ -24,7 +24,7 @@
 
 from micadeck.mysql.config import MysqlConfigError, parse
 from micadeck.mysql.protocol.constants import Command
-from micadeck.stand_ins.mysql import Fault, Point, StandInMysql, What
+from micadeck.stand_ins.mysql import Fault, FaultAction, Point, StandInMysql
 
 # ---------------------------------------------------------------------------------------------------
 # Third-party clients: each runs one script, at a stand-in directly and through the service
@@ -406,7 +406,7 @@
             # The last row was sent, so the cursor no longer holds the connection.
             await until(lambda: env.service.listener.busy_count == 0)
             # Executed without types: the types bound before apply, also on a new connection.
-            shared = Fault("rate < ?", Point.START, What.RESET)
+            shared = Fault("rate < ?", Point.START, FaultAction.RESET)
             for server in env.servers:
                 server.faults.append(shared)
             again = b"\x00\x01\x00\x00\x00" + b"\0\0" + (10).to_bytes(8, "little")
