--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small stage for scripted events: it plays them and keeps what comes out."""
+"""A harness that feeds scripted events to the policy and records its actions."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     "memory_us": 2 * S,
 }
 
-_Kind = TypeVar("_Kind")
+_ActionType = TypeVar("_ActionType")
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of a permissive deployment; `limits` and `rules` are merged, the rest replaced."""
+    """Permissive settings; mappings are merged with the given ones, other values are replaced."""
     given: dict[str, Any] = {
         "classes": [SAFE, UNSAFE, KEYED],
         "zone": "east",
@@ -63,17 +63,17 @@
     return [f"10.0.0.{number}:80" for number in range(1, count + 1)]
 
 
-class Stage:
-    """Plays events to one balancer; timers fire by themselves as time moves on."""
+class PolicyHarness:
+    """Feeds events to one balancer and fires its timers as its clock advances."""
 
     def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START) -> None:
         self.now = now
         self.balancer = Balancer(given or settings(), seed)
         self.log: list[tuple[int, Action]] = []
         self._timers: list[tuple[int, str]] = []
-        self._next = 1
+        self._next_request = 1
 
-    def play(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -81,21 +81,21 @@
                 self._timers.append((self.now + action.in_us, action.token))
         return actions
 
-    def servers(
+    def list_servers(
         self, listed: Iterable[str | ListedServer], kind: ListKind = ListKind.COMPLETE
     ) -> list[Action]:
-        lines = [ListedServer(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.play(ServersListed(kind, lines, 1))
+        entries = [ListedServer(each, zone="east") if isinstance(each, str) else each for each in listed]
+        return self.handle(ServersListed(kind, entries, 1))
 
     def drain(self, server: str, state: ServerState = ServerState.DRAINING) -> list[Action]:
-        return self.servers([ListedServer(server, zone="east", state=state)], ListKind.CHANGES)
+        return self.list_servers([ListedServer(server, zone="east", state=state)], ListKind.CHANGES)
 
     def request(self, name: str = "look", remaining_us: int = 2 * S, cost_us: int | None = None) -> int:
-        number, self._next = self._next, self._next + 1
-        self.play(RequestArrived(number, name, None, None, remaining_us, cost_us))
+        number, self._next_request = self._next_request, self._next_request + 1
+        self.handle(RequestArrived(number, name, None, None, remaining_us, cost_us))
         return number
 
-    def end(
+    def end_attempt(
         self,
         request: int,
         outcome: Outcome = Outcome.DELIVERED,
@@ -106,20 +106,22 @@
         sends = self.sends(request)
         index = len(sends) - 1 if attempt is None else attempt
         sent_at, send = sends[index]
-        done = outcome is Outcome.DELIVERED if answered is None else answered
-        took = self.now - sent_at
-        return self.play(AttemptEnded(request, index, send.server, outcome, took, done, report))
-
-    def wait(self, span_us: int) -> None:
-        """Let time pass; due timers fire on the way."""
-        until = self.now + span_us
+        is_answered = outcome is Outcome.DELIVERED if answered is None else answered
+        elapsed_us = self.now - sent_at
+        return self.handle(
+            AttemptEnded(request, index, send.server, outcome, elapsed_us, is_answered, report)
+        )
+
+    def advance(self, duration_us: int) -> None:
+        """Advance the clock and fire the timers that are due."""
+        until = self.now + duration_us
         while True:
             due = sorted(each for each in self._timers if each[0] <= until)
             if not due:
                 break
             self._timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            self.play(TimerFired(due[0][1]))
+            self.handle(TimerFired(due[0][1]))
         self.now = until
 
     def sends(self, request: int | None = None) -> list[tuple[int, Send]]:
@@ -132,22 +134,22 @@
     def target(self, request: int) -> str:
         return self.sends(request)[-1][1].server
 
-    def said(self, kind: type[_Kind]) -> list[_Kind]:
-        return [each for _, each in self.log if isinstance(each, kind)]
+    def actions(self, action_type: type[_ActionType]) -> list[_ActionType]:
+        return [action for _, action in self.log if isinstance(action, action_type)]
 
     def serve(
-        self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
+        self, count: int, interval_us: int = 20 * MS, response_us: int = 50 * MS, name: str = "look"
     ) -> None:
-        """Traffic in good health: a request every so often, each answered after the same time."""
+        """Send requests at a fixed interval; each is answered after the same time."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
-            self.wait(every_us)
-            pending.append((self.now + taking_us, self.request(name)))
+            self.advance(interval_us)
+            pending.append((self.now + response_us, self.request(name)))
             while pending and pending[0][0] <= self.now:
-                done = pending.pop(0)[1]
-                if self.sends(done):
-                    self.end(done)
-        for _, done in pending:
-            self.wait(every_us)
-            if self.sends(done):
-                self.end(done)
+                request = pending.pop(0)[1]
+                if self.sends(request):
+                    self.end_attempt(request)
+        for _, request in pending:
+            self.advance(interval_us)
+            if self.sends(request):
+                self.end_attempt(request)
--- a/tests/policy_cases.py
+++ b/tests/policy_cases.py
@@ -1,4 +1,4 @@
-"""What `policy_driver` drives: settings, and how clients, servers and discovery behave in each case."""
+"""Cases for `policy_driver`: settings and the behaviour of clients, servers and discovery."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 FEED = {"name": "feed", "deadline_us": 3 * S, "aim_us": 600 * MS, "repeat": "safe", "streaming": True}
 
 
-def settings_mapping(limits: dict[str, Any], rules: dict[str, Any], **further: Any) -> dict[str, Any]:
-    """Settings as a mapping; the given parts are merged into those of a permissive deployment."""
+def settings_mapping(limits: dict[str, Any], rules: dict[str, Any], **overrides: Any) -> dict[str, Any]:
+    """Permissive settings as a mapping, with the given limits, rules and other keys merged in."""
     given: dict[str, Any] = {
         "classes": [LOOKUP, PAYMENT, UPDATE],
         "zone": "east",
@@ -41,36 +41,36 @@
             **rules,
         },
     }
-    return {**given, **further}
+    return {**given, **overrides}
 
 
 @dataclass(frozen=True)
 class Case:
-    """What one case drives; the fields that end in `_odds` are probabilities."""
+    """Parameters of one case; fields that end in `_odds` are probabilities."""
 
     settings: list[dict[str, Any]] = field(default_factory=lambda: [settings_mapping({}, {})])
     outcomes: dict[str, float] = field(default_factory=lambda: {"error": 0.02, "dial_failed": 0.01})
     arrival_gap_us: int = 12 * MS
     work_us: int = 60 * MS
     servers: int = 8
-    slots: float = 6.0  # requests that a server works on at once before it slows down
-    queue: float = 4.0  # times its slots that it holds before it answers full
-    faulty_servers: int = 1  # which fail most attempts during the middle third
-    partial_odds: float = 0.0  # a request arrives before its last byte
+    slots: float = 6.0  # concurrent requests per server before it slows down
+    queue: float = 4.0  # a server answers full beyond this multiple of its slots
+    faulty_servers: int = 1  # servers that fail most attempts during the middle third of the run
+    partial_odds: float = 0.0  # a request is forwarded before its last byte has arrived
     bound_odds: float = 0.0
-    own_class_odds: float = 0.0  # a request brings its class
-    final_odds: float = 0.0  # a failed attempt can't be sent again
+    own_class_odds: float = 0.0  # a request carries its own service class
+    final_odds: float = 0.0  # a failed attempt can't be retried
     stream_odds: float = 0.0
     abandon_odds: float = 0.02
-    silent_odds: float = 0.0  # an attempt never ends by itself
+    silent_odds: float = 0.0  # an attempt gets no response
     report_odds: float = 0.0
     probe_odds: float = 0.0
     heavy_odds: float = 0.0  # a request costs many times the mean
-    slow_zone_factor: int = 1  # times the work takes in the zone of this balancer, in the middle third
-    list_odds: float = 0.02  # the list changes at an arrival
+    slow_zone_factor: int = 1  # slowdown of the balancer's own zone during the middle third
+    list_odds: float = 0.02  # the endpoint list changes at an arrival
     list_failure_odds: float = 0.0
     restart_odds: float = 0.0
-    settings_every: int = 0  # arrivals between changes of the settings
+    settings_every: int = 0  # arrivals between settings changes
     tenants: tuple[str | None, ...] = (None,)
 
 
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal sequences of events, judged from outside by the actions alone."""
+"""Property test: the policy's actions obey the rules for any legal sequence of events."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from helpers import KEYED, MS, SAFE, START, UNSAFE, S, names, settings
 from hypothesis import HealthCheck, given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from micadeck.policy import Balancer
@@ -36,34 +36,35 @@
 ]
 
 
-class Referee:
-    """Keeps what a client, the servers and the list know, and checks every action against the rules."""
+class RuleChecker:
+    """Tracks clients, servers and the endpoint list, and checks every action against the rules."""
 
     def __init__(self, allow_hedging: bool, attempts: int, rng_seed: int, strict: bool) -> None:
-        further = {"full_may_have_run": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
+        rules = {"full_may_have_run": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
         self.settings = settings(
             classes=CLASSES,
             limits={"second_copies": allow_hedging, "max_attempts": attempts},
-            rules=further,
+            rules=rules,
         )
         self.never_ran = [Outcome.CONNECT_FAILED, Outcome.CONNECTION_REFUSED, Outcome.NOT_SENT]
         self.never_ran += [] if strict else [Outcome.FULL]
-        self.to_close: dict[str, int] = {}  # by when idle connections to a leaving server must be closed
+        # Deadlines for closing idle connections to draining and removed servers.
+        self.to_close: dict[str, int] = {}
         self.balancer = Balancer(self.settings, rng_seed)
         self.kinds = {each.name: each for each in self.settings.classes}
         self.now = START
         self.timers: list[tuple[int, str]] = []
         self.requests: dict[int, dict[str, Any]] = {}
         self.listed: dict[str, ListedServer] = {}
-        self.next = 1
+        self.next_request = 1
 
-    def play(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
                 case Send():
-                    self.sent(action)
+                    self.check_send(action)
                 case Refuse() | Fail():
-                    self.answered(action)
+                    self.check_final_answer(action)
                 case Cancel():
                     assert action.attempt < len(self.requests[action.request]["attempts"])
                 case CloseIdle():
@@ -74,25 +75,27 @@
                     pass
         self.check_counts()
 
-    def sent(self, action: Send) -> None:
+    def check_send(self, action: Send) -> None:
         request = self.requests[action.request]
         kind = request["kind"]
         assert not request["over"], "sent after the final answer"
         assert self.now < request["deadline"], "sent after the deadline"
         line = self.listed[action.server]
-        assert line.state is ServerState.READY, "sent to a draining or gone server"
+        assert line.state is ServerState.READY, "sent to a draining or removed server"
         earlier = request["attempts"]
-        # Where nobody listened, nothing was written: that was no attempt.
-        nobody = sum(each["outcome"] is Outcome.CONNECTION_REFUSED for each in earlier)
-        assert len(earlier) - nobody < self.settings.limits.max_attempts, "more attempts than allowed"
+        # A refused connection carried nothing, so it doesn't count as an attempt.
+        refused_dials = sum(each["outcome"] is Outcome.CONNECTION_REFUSED for each in earlier)
+        assert len(earlier) - refused_dials < self.settings.limits.max_attempts, "more attempts than allowed"
         if not self.settings.limits.allow_hedging:
-            assert not any(each["pending"] for each in earlier), "two copies out at once"
-        maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.never_ran]
-        if maybe and kind.idempotency is Idempotency.NON_IDEMPOTENT:
+            assert not any(each["pending"] for each in earlier), "two copies in flight at once"
+        may_have_run = [each for each in earlier if each["pending"] or each["outcome"] not in self.never_ran]
+        if may_have_run and kind.idempotency is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.idempotency is Idempotency.KEYED:
-            assert self.now < maybe[0]["at"] + kind.idempotency_window_us, "sent after servers forgot"
-            for each in maybe:
+        if may_have_run and kind.idempotency is Idempotency.KEYED:
+            assert self.now < may_have_run[0]["at"] + kind.idempotency_window_us, (
+                "sent after the deduplication window"
+            )
+            for each in may_have_run:
                 assert kind.deduplication_scope.value != "zone" or each["line"].zone == line.zone, (
                     "left the zone"
                 )
@@ -103,33 +106,33 @@
             {"server": action.server, "line": line, "at": self.now, "pending": True, "outcome": None}
         )
 
-    def answered(self, action: Refuse | Fail) -> None:
+    def check_final_answer(self, action: Refuse | Fail) -> None:
         request = self.requests[action.request]
         assert not request["over"], "two final answers"
         assert self.now < request["deadline"] or request["late"], "answered after the deadline"
         if isinstance(action, Refuse) and request["kind"].idempotency is not Idempotency.IDEMPOTENT:
-            maybe = [
+            may_have_run = [
                 each
                 for each in request["attempts"]
                 if each["pending"] or each["outcome"] not in self.never_ran
             ]
-            whole = (
+            is_scope_all = (
                 request["kind"].idempotency is Idempotency.KEYED
                 and request["kind"].deduplication_scope.value == "all"
             )
-            assert not maybe or whole, "a refusal that may have run"
+            assert not may_have_run or is_scope_all, "a refusal that may have run"
         request["over"] = True
 
     def check_counts(self) -> None:
-        out: dict[str, int] = dict.fromkeys(SERVERS, 0)
+        in_flight: dict[str, int] = dict.fromkeys(SERVERS, 0)
         for request in self.requests.values():
             for each in request["attempts"]:
-                out[each["server"]] += each["pending"]
+                in_flight[each["server"]] += each["pending"]
         for name, server in self.balancer._endpoints.by_name.items():
-            assert server.in_flight == out[name], "the count of requests in flight is off"
+            assert server.in_flight == in_flight[name], "the count of requests in flight is off"
 
     def arrive(self, name: str, remaining_us: int) -> None:
-        number, self.next = self.next, self.next + 1
+        number, self.next_request = self.next_request, self.next_request + 1
         self.requests[number] = {
             "kind": self.kinds[name],
             "deadline": self.now + remaining_us,
@@ -137,17 +140,17 @@
             "attempts": [],
             "over": False,
         }
-        self.play(RequestArrived(number, name, None, None, remaining_us))
+        self.handle(RequestArrived(number, name, None, None, remaining_us))
 
     def end(self, choice: int, outcome: Outcome) -> None:
-        out = [
+        pending = [
             (number, index)
             for number, request in self.requests.items()
             for index, each in enumerate(request["attempts"])
             if each["pending"]
         ]
-        if out:
-            self.end_one(*out[choice % len(out)], outcome)
+        if pending:
+            self.end_one(*pending[choice % len(pending)], outcome)
 
     def end_one(self, number: int, index: int, outcome: Outcome) -> None:
         request = self.requests[number]
@@ -155,22 +158,22 @@
         each["pending"], each["outcome"] = False, outcome
         if outcome is Outcome.DELIVERED:
             request["over"] = True
-        self.used(each["server"])
-        self.play(Ended(number, index, each["server"], outcome, self.now - each["at"], request["over"]))
+        self.update_close_deadline(each["server"])
+        self.handle(Ended(number, index, each["server"], outcome, self.now - each["at"], request["over"]))
 
-    def used(self, server: str) -> None:
-        """Told of a drain or gone, or used since: what is idle there is to be closed."""
+    def update_close_deadline(self, server: str) -> None:
+        """Restart the time within which idle connections to a server that isn't ready must be closed."""
         if self.settings.rules.close_idle_within_us and self.listed[server].state is not ServerState.READY:
             self.to_close[server] = self.now + CLOSE_WITHIN
         else:
             self.to_close.pop(server, None)
 
-    def leave(self, choice: int) -> None:
-        waiting = [number for number, request in self.requests.items() if not request["over"]]
-        if waiting:
-            number = waiting[choice % len(waiting)]
+    def disconnect(self, choice: int) -> None:
+        unanswered = [number for number, request in self.requests.items() if not request["over"]]
+        if unanswered:
+            number = unanswered[choice % len(unanswered)]
             self.requests[number]["over"] = True
-            self.play(ClientDisconnected(number))
+            self.handle(ClientDisconnected(number))
 
     def list(self, kind: ListKind, lines: list[ListedServer]) -> None:
         before = {name: line.state for name, line in self.listed.items()}
@@ -181,23 +184,23 @@
             self.listed[line.server] = line
         for name, line in self.listed.items():
             if line.state is not before.get(name):
-                self.used(name)
-        self.play(ServersListed(kind, lines, 1))
+                self.update_close_deadline(name)
+        self.handle(ServersListed(kind, lines, 1))
 
-    def wait(self, span_us: int) -> None:
-        until = self.now + span_us
+    def advance(self, duration_us: int) -> None:
+        until = self.now + duration_us
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.play(TimerFired(due[1]))
+            self.handle(TimerFired(due[1]))
             self.check_deadlines()
         self.now = until
         self.check_deadlines()
 
     def check_deadlines(self) -> None:
-        for server, by in self.to_close.items():
-            assert self.now <= by, f"idle connections to {server} are still open"
+        for server, deadline in self.to_close.items():
+            assert self.now <= deadline, f"idle connections to {server} are still open"
         for request in self.requests.values():
             assert request["over"] or self.now < request["deadline"], "a request was left unanswered"
 
@@ -233,7 +236,9 @@
 )
 
 
-@how(max_examples=500, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
+@hypothesis_settings(
+    max_examples=500, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+)
 @given(
     st.booleans(),
     st.booleans(),
@@ -244,22 +249,22 @@
 def test_no_sequence_breaks_a_rule(
     strict: bool, copies: bool, attempts: int, rng: int, script: list[Any]
 ) -> None:
-    referee = Referee(copies, attempts, rng, strict)
+    checker = RuleChecker(copies, attempts, rng, strict)
     ready = [ListedServer(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
-    referee.list(ListKind.REMEMBERED, ready)
+    checker.list(ListKind.REMEMBERED, ready)
     for step in script:
         match step:
             case ("arrive", name, remaining):
-                referee.arrive(name, remaining)
+                checker.arrive(name, remaining)
             case ("end", choice, outcome):
-                referee.end(choice, outcome)
+                checker.end(choice, outcome)
             case ("leave", choice):
-                referee.leave(choice)
-            case ("wait", span):
-                referee.wait(span)
+                checker.disconnect(choice)
+            case ("wait", duration):
+                checker.advance(duration)
             case ("list", kind, changed):
                 if kind is ListKind.FAILED:
-                    referee.play(ServersListed(kind))
+                    checker.handle(ServersListed(kind))
                 else:
-                    referee.list(kind, changed)
-    referee.wait(4 * S)
+                    checker.list(kind, changed)
+    checker.advance(4 * S)
--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from helpers import Stage, settings
+from helpers import PolicyHarness, settings
 
 from micadeck.membership.consul.view import ENTRIES_PER_STEP, ServiceView
 from micadeck.membership.endpoint_merge import EndpointMerge
@@ -58,14 +58,14 @@
 
 
 def _decisions(count: int) -> Callable[[], object]:
-    stage = Stage(settings(rules={"cold_us": 10_000_000}))
-    stage.servers([ListedServer(f"s-{n}", zone="east") for n in range(count)])
-    stage.serve(5)
+    harness = PolicyHarness(settings(rules={"cold_us": 10_000_000}))
+    harness.list_servers([ListedServer(f"s-{n}", zone="east") for n in range(count)])
+    harness.serve(5)
     changed = ListedServer("s-7", zone="east", state=ServerState.DRAINING)
-    back = ListedServer("s-7", zone="east", started_at=stage.now)
+    back = ListedServer("s-7", zone="east", started_at=harness.now)
 
     def work() -> None:
-        balancer, now = stage.balancer, stage.now
+        balancer, now = harness.balancer, harness.now
         for version, each in ((2, changed), (3, back)):
             balancer.handle(now, ServersListed(ListKind.CHANGES, [each], version))
         server = balancer._endpoints.by_name["s-7"]
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -1,4 +1,4 @@
-"""Settings of any customer: limits of 0, absent or very large, odd names, no zones, no reports."""
+"""Extreme settings: limits of 0, absent or very large, unusual names, no zones, no load reports."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     {**KIND, "name": "amend", "repeat": "idempotency_key", "group": "zone", "memorySpanUs": 300_000},
     {**KIND, "name": "lodge", "repeat": "non_idempotent"},
 ]
-FIGURES = [0, 1, LARGEST]
-BOUNDS = ("sendCap", "maxOpen", "dialTimeoutUs", "idleCloseUs", "maxRetryAfterUs", "cpuUsPerS")
+VALUES = [0, 1, LARGEST]
+LIMITS = ("sendCap", "maxOpen", "dialTimeoutUs", "idleCloseUs", "maxRetryAfterUs", "cpuUsPerS")
 RULES = ("drainGraceUs", "coldUs", "fallUs", "askWithinUs", "answerSlackUs", "letGoInUs")
 
 
-def serves(**settings: Any) -> None:
-    """A sidecar with these settings answers each request, whatever the answer is, and lives on."""
+def check_requests_answered(**settings: Any) -> None:
+    """A sidecar with these settings gives every request a final answer and has no internal error."""
 
     async def work() -> None:
         async with stage(OK, **{"lanes": CLASSES, **settings}) as scene:
@@ -36,20 +36,20 @@
     play(work)
 
 
-@pytest.mark.parametrize("figure", FIGURES)
-@pytest.mark.parametrize("key", BOUNDS)
-def test_a_limit_of_any_size_is_served_by(key: str, figure: int) -> None:
-    if (key, figure) == ("sendCap", 0):
+@pytest.mark.parametrize("value", VALUES)
+@pytest.mark.parametrize("key", LIMITS)
+def test_a_limit_of_any_size_is_served_by(key: str, value: int) -> None:
+    if (key, value) == ("sendCap", 0):
         with pytest.raises(ConfigError, match=r"settings\.limits\.max_attempts: at least 1"):
-            serves(bounds={key: figure})
+            check_requests_answered(bounds={key: value})
     else:
-        serves(bounds={key: figure})
+        check_requests_answered(bounds={key: value})
 
 
-@pytest.mark.parametrize("figure", [1, LARGEST])
+@pytest.mark.parametrize("value", [1, LARGEST])
 @pytest.mark.parametrize("key", RULES)
-def test_a_rule_s_figure_of_any_size_is_served_by(key: str, figure: int) -> None:
-    serves(guarantees={key: figure})
+def test_a_rule_s_figure_of_any_size_is_served_by(key: str, value: int) -> None:
+    check_requests_answered(guarantees={key: value})
 
 
 @pytest.mark.parametrize("discovery", ["pushed", "on_request"])
@@ -72,4 +72,4 @@
     ids=str,
 )
 def test_settings_unlike_any_other_s_are_served_by(settings: dict[str, Any], discovery: str) -> None:
-    serves(discovery=discovery, **settings)
+    check_requests_answered(discovery=discovery, **settings)
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -352,8 +352,8 @@
 
 def test_a_process_that_took_over_a_server_s_name_is_another() -> None:
     scene, observer = watched()
-    scene.servers([ListedServer("a", started_at=1)])
-    scene.servers([ListedServer("a", started_at=9_000_000)], ListKind.CHANGES)
+    scene.list_servers([ListedServer("a", started_at=1)])
+    scene.list_servers([ListedServer("a", started_at=9_000_000)], ListKind.CHANGES)
     told = [each for each in observer.take(scene.now, 0, 0) if isinstance(each, State)]
     assert [(each.server, each.started_at) for each in told] == [("a", 1), ("a", 9_000_000)]
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""The window on made-up days: a fleet that is asked for too much serves what it can, and recovers."""
+"""The concurrency limit in simulated fleets: an overloaded fleet serves what it can, and recovers."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from typing import Any
 
 import pytest
-from helpers import MS, Stage, names
+from helpers import MS, PolicyHarness, names
 
 from micadeck.incidents.frames import read
 from micadeck.incidents.kinds import Span, State
 from micadeck.policy.outcomes import Outcome
 from micadeck.stand_ins.incident_days import World
 
-WORK_S = 0.066  # of the mean request, on a server with room
+WORK_S = 0.066  # service time of the mean request on a server that isn't saturated
 
 
 @dataclass
 class Counts:
-    """Requests a second, over some seconds of a day."""
+    """Requests a second, averaged over a period of the run."""
 
     arrived: float
     in_time: float
@@ -29,14 +29,15 @@
 
 
 class Surge(World):
-    """From the 20th second to the 40th `times` of what the servers can do is asked for, and no more."""
+    """Raises the load to `times` the servers' capacity from the 20th to the 40th second."""
 
     def __init__(
         self, seed: int, times: float, sidecars: int = 4, reports: bool = True, slow: float = 1.0
     ) -> None:
         super().__init__(seed, "overload", sidecars, 7, reports)
-        self.times, self.slowed = times, slow
-        self.queue = 80.0  # they say full only when all would be late: the sidecars have to know sooner
+        self.times, self.slowdown = times, slow
+        # Servers reject only once every response would be late, so sidecars must shed earlier.
+        self.queue = 80.0
         self.capacity = sum(each.room for each in self.servers.values()) / WORK_S
 
     def churn(self) -> None:
@@ -44,33 +45,34 @@
 
     def trouble(self) -> None:
         self.surge = max(self.times * self.capacity / sum(each.rate for each in self.sidecars), 1.0)
-        self.slow = self.slowed
+        self.slow = self.slowdown
 
-    def play(self) -> Surge:
+    def simulate(self) -> Surge:
         self.between(20.0, 40.0)
         self.run()
         return self
 
     def counts(self, first: int, last: int) -> Counts:
-        rows = [0] * 5
+        totals = [0] * 5
         for sidecar in self.all_sidecars:
             spans = [each for _, each in read(sidecar.data).records if isinstance(each, Span)]
             for each in spans[first:last]:
                 for one in each.classes:
-                    told = (one.arrived, one.served - one.late, one.late, one.refused, one.failed)
-                    rows = [a + b for a, b in zip(rows, told, strict=True)]
-        return Counts(*(each / (last - first) for each in rows))
+                    counts = (one.arrived, one.served - one.late, one.late, one.refused, one.failed)
+                    totals = [a + b for a, b in zip(totals, counts, strict=True)]
+        return Counts(*(each / (last - first) for each in totals))
 
 
 @pytest.mark.parametrize("reports", [True, False])
-@pytest.mark.parametrize(("times", "least"), [(1.5, 0.85), (3.0, 0.7)])
-def test_past_capacity_most_of_it_is_served_in_time(times: float, least: float, reports: bool) -> None:
-    day = Surge(1, times, reports=reports).play()
-    amid, after = day.counts(26, 39), day.counts(46, 58)
-    assert amid.arrived > 1.2 * day.capacity
-    assert amid.in_time > least * day.capacity
-    assert amid.late < 0.1 * amid.in_time
-    assert after.refused + after.failed + after.late < 0.01 * after.arrived  # and it is over when it is over
+@pytest.mark.parametrize(("times", "min_share"), [(1.5, 0.85), (3.0, 0.7)])
+def test_past_capacity_most_of_it_is_served_in_time(times: float, min_share: float, reports: bool) -> None:
+    world = Surge(1, times, reports=reports).simulate()
+    during, after = world.counts(26, 39), world.counts(46, 58)
+    assert during.arrived > 1.2 * world.capacity
+    assert during.in_time > min_share * world.capacity
+    assert during.late < 0.1 * during.in_time
+    # The effects end with the overload.
+    assert after.refused + after.failed + after.late < 0.01 * after.arrived
 
 
 @pytest.mark.parametrize("reports", [True, False])
@@ -78,29 +80,29 @@
 def test_with_a_fifth_of_the_cores_free_under_one_in_a_hundred_is_refused(
     times: float, reports: bool
 ) -> None:
-    day = Surge(2, times, reports=reports).play()
-    amid = day.counts(20, 40)
-    assert amid.refused < 0.01 * amid.arrived and amid.in_time > 0.98 * amid.arrived
+    world = Surge(2, times, reports=reports).simulate()
+    during = world.counts(20, 40)
+    assert during.refused < 0.01 * during.arrived and during.in_time > 0.98 * during.arrived
 
 
 def test_servers_slower_by_half_at_once_are_no_overload_while_they_have_room() -> None:
-    day = Surge(3, 0.4, slow=1.5).play()
-    amid = day.counts(20, 40)
-    assert amid.refused < 0.01 * amid.arrived and amid.in_time > 0.97 * amid.arrived
+    world = Surge(3, 0.4, slow=1.5).simulate()
+    during = world.counts(20, 40)
+    assert during.refused < 0.01 * during.arrived and during.in_time > 0.97 * during.arrived
 
 
 def test_sidecars_before_the_same_servers_come_to_like_windows() -> None:
-    day = Surge(4, 2.0, sidecars=3).play()
-    parts = []
-    for sidecar in day.all_sidecars:
+    world = Surge(4, 2.0, sidecars=3).simulate()
+    served_shares = []
+    for sidecar in world.all_sidecars:
         spans = [each for _, each in read(sidecar.data).records if isinstance(each, Span)][28:39]
         arrived = sum(one.arrived for each in spans for one in each.classes)
-        parts.append(sum(one.served for each in spans for one in each.classes) / arrived)
-    assert max(parts) < 1.8 * min(parts)
+        served_shares.append(sum(one.served for each in spans for one in each.classes) / arrived)
+    assert max(served_shares) < 1.8 * min(served_shares)
 
 
 class Noisy(Surge):
-    """One sidecar's connections break one time in ten, whatever the server."""
+    """One sidecar loses a tenth of its connections, whichever the server."""
 
     def work(self, sidecar: Any, name: str, kind: str, done: Callable[[Outcome, float], None]) -> None:
         if sidecar.number == 0 and self.drawn.random() < 0.1:
@@ -110,8 +112,8 @@
 
 
 def test_one_sidecar_of_four_that_sees_only_noise_refuses_nobody_for_it() -> None:
-    day = Noisy(5, 0.5).play()
-    for sidecar in day.all_sidecars:
+    world = Noisy(5, 0.5).simulate()
+    for sidecar in world.all_sidecars:
         records = [each for _, each in read(sidecar.data).records]
         classes = [one for each in records if isinstance(each, Span) for one in each.classes]
         arrived = sum(each.arrived for each in classes)
@@ -123,20 +125,20 @@
 
 
 def test_what_was_given_up_on_refuses_nobody_by_itself() -> None:
-    """Seen on a drawn day: a server hung, and all was refused for two seconds after it was well."""
-    stage = Stage()
-    stage.servers(names(3))
-    stage.serve(60)
-    hung = [stage.request("pay") for _ in range(12)]
-    stage.wait(1_900 * MS)
+    """Guards against timed out attempts counting as load: after a hang, all was refused for two seconds."""
+    harness = PolicyHarness()
+    harness.list_servers(names(3))
+    harness.serve(60)
+    hung = [harness.request("pay") for _ in range(12)]
+    harness.advance(1_900 * MS)
     for each in hung:
-        stage.end(each, Outcome.TIMED_OUT)
-    stage.balancer._concurrency.limit = 8.0
+        harness.end_attempt(each, Outcome.TIMED_OUT)
+    harness.balancer._concurrency.limit = 8.0
     sent = 0
-    for _ in range(40):  # one at a time, each answered at once: none is in flight but those given up on
-        request = stage.request()
-        stage.wait(20 * MS)
-        if stage.sends(request):
+    for _ in range(40):  # one at a time, each answered soon: only the timed out attempts still count as load
+        request = harness.request()
+        harness.advance(20 * MS)
+        if harness.sends(request):
             sent += 1
-            stage.end(request)
-    assert sent >= 8 and stage.balancer._concurrency.objective_fraction < 0.1
+            harness.end_attempt(request)
+    assert sent >= 8 and harness.balancer._concurrency.objective_fraction < 0.1
--- a/tests/test_policy_characterization.py
+++ b/tests/test_policy_characterization.py
@@ -1,4 +1,4 @@
-"""The decisions do what those of the release 3c12c64 did, event by event (tests/fixtures/README.md)."""
+"""The policy takes the same actions as release 3c12c64, event by event (tests/fixtures/README.md)."""
 
 from __future__ import annotations
 
@@ -24,9 +24,13 @@
 def test_decisions_match_the_recorded_release(name: str, seed: int) -> None:
     expected = EXPECTED[f"{name} {seed}"]
     result = drive(name, seed).result()
-    for number, (one, other) in enumerate(zip(result["checkpoints"], expected["checkpoints"], strict=False)):
+    for number, (digest, expected_digest) in enumerate(
+        zip(result["checkpoints"], expected["checkpoints"], strict=False)
+    ):
         last = (number + 1) * EVENTS_PER_CHECKPOINT
-        assert one == other, f"first difference between events {last - EVENTS_PER_CHECKPOINT} and {last}"
+        assert digest == expected_digest, (
+            f"first difference between events {last - EVENTS_PER_CHECKPOINT} and {last}"
+        )
     assert result["counts"] == expected["counts"]
     assert result["state"] == expected["state"]
     assert result == expected
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -12,7 +12,7 @@
 from zlib import crc32
 
 import pytest
-from helpers import MS, S, Stage, settings
+from helpers import MS, PolicyHarness, S, settings
 from hypothesis import given
 from hypothesis import strategies as st
 from loopback import ERROR, OK, Heard, played, stage, until
@@ -30,15 +30,15 @@
 class Looks:
     """The engine's part: names of requests, and figures."""
 
-    def __init__(self, scene: Stage) -> None:
+    def __init__(self, scene: PolicyHarness) -> None:
         self.statistics = scene.balancer.statistics
 
     def request_id(self, request: int) -> bytes:
         return b"id-%d" % request
 
 
-def watched(**changes: Any) -> tuple[Stage, Observer]:
-    scene = Stage(settings(**changes))
+def watched(**changes: Any) -> tuple[PolicyHarness, Observer]:
+    scene = PolicyHarness(settings(**changes))
     observer = Observer(scene.balancer, scene.balancer._context.settings, Looks(scene), "n0", "00")
     scene.balancer = observer  # type: ignore[assignment]
     return scene, observer
@@ -46,15 +46,15 @@
 
 def test_plain_requests_are_counted_and_others_have_records_of_their_own() -> None:
     scene, observer = watched()
-    scene.servers(["a", "b", "c"])
+    scene.list_servers(["a", "b", "c"])
     for _ in range(20):
         request = scene.request("look")
-        scene.wait(10 * MS)
-        scene.end(request)
+        scene.advance(10 * MS)
+        scene.end_attempt(request)
     request = scene.request("pay")
-    scene.wait(10 * MS)
-    scene.end(request, Outcome.CONNECT_FAILED)
-    scene.end(request, Outcome.CONNECTION_LOST)
+    scene.advance(10 * MS)
+    scene.end_attempt(request, Outcome.CONNECT_FAILED)
+    scene.end_attempt(request, Outcome.CONNECTION_LOST)
     told = observer.take(scene.now, 0, 0)
     span = told[-1]
     assert isinstance(span, Span)
@@ -86,14 +86,14 @@
 
 def test_states_of_servers_are_told_as_they_change_and_again_at_the_head_of_each_segment() -> None:
     scene, observer = watched()
-    scene.servers(["a", "b", "c"])
+    scene.list_servers(["a", "b", "c"])
     for _ in range(10):
         requests = [scene.request() for _ in range(9)]
-        scene.wait(10 * MS)
+        scene.advance(10 * MS)
         for request in requests:
             if scene.target(request) == "a":
-                scene.end(request, Outcome.ERROR)  # and goes to another
-            scene.end(request)
+                scene.end_attempt(request, Outcome.ERROR)  # and goes to another
+            scene.end_attempt(request)
     scene.drain("b")
     scene.drain("c", ServerState.REMOVED)
     told = [each for each in observer.take(scene.now, 0, 0) if isinstance(each, State)]
@@ -110,11 +110,11 @@
 
 def test_an_outage_leaves_out_records_and_says_how_many() -> None:
     scene, observer = watched()
-    scene.servers(["a", "b", "c"])
+    scene.list_servers(["a", "b", "c"])
     for _ in range(MAX_ATTEMPT_RECORDS + 50):
         request = scene.request("pay")
         if scene.sends(request):
-            scene.end(request, Outcome.CONNECTION_LOST)
+            scene.end_attempt(request, Outcome.CONNECTION_LOST)
     told = observer.take(scene.now, 0, 0)
     attempts = sum(isinstance(each, Attempt) for each in told)
     assert attempts <= MAX_ATTEMPT_RECORDS and isinstance(told[-1], Span)
@@ -126,20 +126,20 @@
 def test_over_drawn_days_every_attempt_and_every_end_is_accounted_for(seed: int) -> None:
     drawn = random.Random(seed)
     scene, observer = watched()
-    scene.servers([f"s-{number}" for number in range(6)])
+    scene.list_servers([f"s-{number}" for number in range(6)])
     open_requests: list[int] = []
     told: list[Record] = []
     for number in range(600):
-        scene.wait(drawn.randrange(1, 20) * MS)
+        scene.advance(drawn.randrange(1, 20) * MS)
         open_requests.append(scene.request(drawn.choice(["look", "pay", "amend"])))
         while open_requests and drawn.random() < 0.6:
             request = open_requests.pop(0)
             if scene.sends(request):
                 bad = drawn.choice([Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.FULL])
-                scene.end(request, bad if drawn.random() < 0.3 else Outcome.DELIVERED)
+                scene.end_attempt(request, bad if drawn.random() < 0.3 else Outcome.DELIVERED)
         if number % 100 == 99:
             told += observer.take(scene.now, 0, 0)
-    scene.wait(20 * S)
+    scene.advance(20 * S)
     told += observer.take(scene.now, 0, 0)
     spans = [each for each in told if isinstance(each, Span)]
     classes = [each for span in spans for each in span.classes]
--- a/tests/test_refused_dials.py
+++ b/tests/test_refused_dials.py
@@ -1,145 +1,146 @@
-"""Dials that find nobody: no attempts, and their servers are out of the draw until somebody listens."""
+"""Refused connections: they count as no attempt, and their servers are ejected until they accept again."""
 
 from __future__ import annotations
 
 import pytest
-from helpers import MS, S, Stage, names, settings
+from helpers import MS, PolicyHarness, S, names, settings
 
 from micadeck.policy.actions import Fail, Log, Refuse
 from micadeck.policy.events import ListedServer, ServerState
 from micadeck.policy.outcomes import Outcome
 
-DOWN = Outcome.CONNECTION_REFUSED
+REFUSED = Outcome.CONNECTION_REFUSED
 
 
-def stage_of(count: int, attempts: int = 2, seed: int = 7) -> Stage:
-    stage = Stage(settings(limits={"max_attempts": attempts, "second_copies": False}), seed=seed)
-    stage.servers(names(count))
-    return stage
+def _harness(count: int, attempts: int = 2, seed: int = 7) -> PolicyHarness:
+    harness = PolicyHarness(settings(limits={"max_attempts": attempts, "second_copies": False}), seed=seed)
+    harness.list_servers(names(count))
+    return harness
 
 
-def first_of(stage: Stage) -> str:
-    """The server that this balancer draws from first."""
-    return stage.balancer._endpoints.ready[0].name
+def _first_drawn(harness: PolicyHarness) -> str:
+    """First server of this balancer's ready list."""
+    return harness.balancer._endpoints.ready[0].name
 
 
-def ejected_by_dials(stage: Stage, name: str) -> None:
+def _eject_by_refused_dials(harness: PolicyHarness, name: str) -> None:
     for _ in range(100):
-        if stage.balancer._endpoints.ejected:
+        if harness.balancer._endpoints.ejected:
             return
-        run(stage, stage.request(), {name})
+        _finish(harness, harness.request(), {name})
     raise AssertionError("never drawn, or never ejected")
 
 
-def run(stage: Stage, request: int, gone: set[str], fails: Outcome = DOWN) -> int:
-    """End its attempts, at once, until it has an answer; say how many there were."""
-    made = 0
-    while len(stage.sends(request)) > made:
-        made = len(stage.sends(request))
-        stage.end(request, fails if stage.target(request) in gone else Outcome.DELIVERED)
-    return made
+def _finish(harness: PolicyHarness, request: int, down: set[str], failure: Outcome = REFUSED) -> int:
+    """End the request's attempts until it has an answer; return how many there were."""
+    dials = 0
+    while len(harness.sends(request)) > dials:
+        dials = len(harness.sends(request))
+        harness.end_attempt(request, failure if harness.target(request) in down else Outcome.DELIVERED)
+    return dials
 
 
 def test_a_request_passes_over_those_that_are_gone_without_an_attempt_or_a_retrys_allowance() -> None:
-    stage = stage_of(30)
-    gone = set(names(30)[:18])  # six in ten, as after a release that the list does not tell of
-    served = [stage.request(name) for name in ("look", "pay", "amend") * 20]
-    for request in served:
-        run(stage, request, gone)
-        stage.wait(20 * MS)
-    assert not any(isinstance(action, (Refuse, Fail)) for _, action in stage.log)
-    budget = stage.balancer._retry_budget
-    assert budget.balance == pytest.approx(10.0)  # what guards against storms of repeats is untouched
+    harness = _harness(30)
+    down = set(names(30)[:18])  # six in ten, as after a release that the list doesn't show yet
+    requests = [harness.request(name) for name in ("look", "pay", "amend") * 20]
+    for request in requests:
+        _finish(harness, request, down)
+        harness.advance(20 * MS)
+    assert not any(isinstance(action, (Refuse, Fail)) for _, action in harness.log)
+    budget = harness.balancer._retry_budget
+    assert budget.balance == pytest.approx(10.0)  # refused dials take nothing from the retry budget
 
 
 def test_each_that_turned_one_down_is_dialled_by_nobody_else_but_one_trial_at_a_time() -> None:
-    stage = stage_of(30)
-    gone = set(names(30)[:18])
+    harness = _harness(30)
+    down = set(names(30)[:18])
     dials = 0
     for _ in range(50):
-        request = stage.request()
-        dials += run(stage, request, gone) - 1
-        stage.wait(10 * MS)
+        request = harness.request()
+        dials += _finish(harness, request, down) - 1
+        harness.advance(10 * MS)
     assert dials <= 18
-    out = {each.name for each in stage.balancer._endpoints.ejected}
-    assert len(out) == dials
+    ejected = {each.name for each in harness.balancer._endpoints.ejected}
+    assert len(ejected) == dials
     for _ in range(400):
-        stage.wait(10 * MS)
-        stage.request()  # none of these ends: many requests at once
-    trials = [
+        harness.advance(10 * MS)
+        harness.request()  # none of these ends, so many are in flight
+    probations = [
         each.endpoint.name
-        for request in stage.balancer._requests.values()
+        for request in harness.balancer._requests.values()
         for each in request.attempts
-        if each.endpoint.name in out
+        if each.endpoint.name in ejected
     ]
-    assert len(trials) == len(set(trials)) > 0
+    assert len(probations) == len(set(probations)) > 0
 
 
 def test_who_listens_again_is_found_and_is_cold() -> None:
-    stage = stage_of(6)
-    name = first_of(stage)
-    ejected_by_dials(stage, name)
-    stage.wait(8 * S)
+    harness = _harness(6)
+    name = _first_drawn(harness)
+    _eject_by_refused_dials(harness, name)
+    harness.advance(8 * S)
     for _ in range(30):
-        run(stage, stage.request(), set())
-        stage.wait(100 * MS)
-    assert not stage.balancer._endpoints.ejected
-    assert stage.balancer._slow_start.is_cold(stage.balancer._endpoints.by_name[name])
+        _finish(harness, harness.request(), set())
+        harness.advance(100 * MS)
+    assert not harness.balancer._endpoints.ejected
+    assert harness.balancer._slow_start.is_cold(harness.balancer._endpoints.by_name[name])
 
 
 def test_a_new_process_that_the_list_tells_of_ends_it_at_once() -> None:
-    stage = stage_of(6)
-    name = first_of(stage)
-    ejected_by_dials(stage, name)
-    stage.servers([ListedServer(name, zone="east", state=ServerState.READY, started_at=stage.now)])
+    harness = _harness(6)
+    name = _first_drawn(harness)
+    _eject_by_refused_dials(harness, name)
+    harness.list_servers([ListedServer(name, zone="east", state=ServerState.READY, started_at=harness.now)])
     assert (
-        not stage.balancer._endpoints.ejected
-        and not stage.balancer._endpoints.by_name[name].refuses_connections
+        not harness.balancer._endpoints.ejected
+        and not harness.balancer._endpoints.by_name[name].refuses_connections
     )
 
 
 def test_where_all_turn_dials_down_some_stay_in_the_draw_and_each_request_is_refused_at_once() -> None:
-    stage = stage_of(10)
+    harness = _harness(10)
     for _ in range(30):
-        request = stage.request("pay")
-        assert 1 <= run(stage, request, set(names(10))) <= 10
-        assert any(isinstance(action, Refuse) for at, action in stage.log if at == stage.now)
-        stage.wait(10 * MS)
-    assert len(stage.balancer._endpoints.ejected) == 6
-    before = len(stage.log)
-    run(stage, stage.request("pay"), set())  # well again: one of those in the draw serves it
-    assert not any(isinstance(action, Refuse) for _, action in stage.log[before:])
+        request = harness.request("pay")
+        assert 1 <= _finish(harness, request, set(names(10))) <= 10
+        assert any(isinstance(action, Refuse) for at, action in harness.log if at == harness.now)
+        harness.advance(10 * MS)
+    assert len(harness.balancer._endpoints.ejected) == 6
+    before = len(harness.log)
+    # All servers accept again: one that is not ejected serves the request.
+    _finish(harness, harness.request("pay"), set())
+    assert not any(isinstance(action, Refuse) for _, action in harness.log[before:])
 
 
 def test_a_sick_server_is_ejected_as_well_where_most_are_gone() -> None:
-    # Guards against the gone using up the share that may be ejected at all.
-    stage = stage_of(30, attempts=1)
-    first = [each.name for each in stage.balancer._endpoints.ready]
-    gone, sick = set(first[:18]), set(first[18:20])
-    out: list[int] = []
-    for _ in range(300):  # several at once: one by one, a slow server is not drawn twice
-        request = stage.request()
+    # Guards against servers that are down using up the share of servers that may be ejected.
+    harness = _harness(30, attempts=1)
+    first = [each.name for each in harness.balancer._endpoints.ready]
+    down, failing = set(first[:18]), set(first[18:20])
+    in_flight: list[int] = []
+    for _ in range(300):  # several at once: one at a time, a slow server is not drawn twice
+        request = harness.request()
         for _ in range(9):
-            if stage.sends(request) and stage.target(request) in gone:
-                stage.end(request, DOWN)
-        out.append(request)
-        if len(out) > 12:
-            first_out = out.pop(0)
-            ill = stage.sends(first_out) and stage.target(first_out) in sick
-            stage.end(first_out, Outcome.ERROR if ill else Outcome.DELIVERED)
-        stage.wait(20 * MS)
-    ejected = {action.text for _, action in stage.log if isinstance(action, Log)}
-    assert {f"ejected {each}: error" for each in sick} & ejected
+            if harness.sends(request) and harness.target(request) in down:
+                harness.end_attempt(request, REFUSED)
+        in_flight.append(request)
+        if len(in_flight) > 12:
+            oldest = in_flight.pop(0)
+            fails = harness.sends(oldest) and harness.target(oldest) in failing
+            harness.end_attempt(oldest, Outcome.ERROR if fails else Outcome.DELIVERED)
+        harness.advance(20 * MS)
+    ejected = {action.text for _, action in harness.log if isinstance(action, Log)}
+    assert {f"ejected {each}: error" for each in failing} & ejected
 
 
 def test_what_timed_out_or_broke_is_an_attempt_as_before() -> None:
     for outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST):
-        stage = stage_of(10)
-        request = stage.request()
-        assert run(stage, request, set(names(10)), outcome) == 2
+        harness = _harness(10)
+        request = harness.request()
+        assert _finish(harness, request, set(names(10)), outcome) == 2
 
 
 def test_dials_of_one_request_are_bounded() -> None:
-    stage = stage_of(60)
-    request = stage.request()
-    assert run(stage, request, set(names(60))) == 2 + 8
+    harness = _harness(60)
+    request = harness.request()
+    assert _finish(harness, request, set(names(60))) == 2 + 8
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from helpers import MS, S, Stage, names, settings
+from helpers import MS, PolicyHarness, S, names, settings
 
 from micadeck.policy.actions import Fail, Log, Refuse
 from micadeck.policy.events import ListedServer, ListKind, ServerState
@@ -10,22 +10,22 @@
 from micadeck.policy.settings import Idempotency
 
 
-def _ejected(stage: Stage) -> list[str]:
-    return [each.text for each in stage.said(Log) if each.text.startswith("ejected")]
+def _ejected(harness: PolicyHarness) -> list[str]:
+    return [each.text for each in harness.actions(Log) if each.text.startswith("ejected")]
 
 
 def test_nothing_is_kept_of_servers_that_were_replaced() -> None:
     # Guards against growth: every id is new, and all servers are replaced over and over.
-    stage = Stage(settings(limits={"second_copies": False}))
+    harness = PolicyHarness(settings(limits={"second_copies": False}))
     for round_ in range(200):
-        stage.servers([f"{name}-{round_}" for name in names(5)])
+        harness.list_servers([f"{name}-{round_}" for name in names(5)])
         for _ in range(5):
-            request = stage.request()
-            stage.wait(20 * MS)
-            while request in stage.balancer._requests:
-                stage.end(request, Outcome.DELIVERED if round_ % 7 else Outcome.CONNECTION_LOST)
-    stage.wait(20 * S)
-    balancer = stage.balancer
+            request = harness.request()
+            harness.advance(20 * MS)
+            while request in harness.balancer._requests:
+                harness.end_attempt(request, Outcome.DELIVERED if round_ % 7 else Outcome.CONNECTION_LOST)
+    harness.advance(20 * S)
+    balancer = harness.balancer
     assert len(balancer._endpoints.by_name) == 5
     assert len(balancer._requests) == len(balancer._concurrency.abandoned_until) == 0
     assert len(balancer._timers.entries) <= 2
@@ -33,68 +33,68 @@
 
 
 def test_a_server_that_left_is_kept_until_its_last_attempt_has_ended() -> None:
-    stage = Stage()
-    stage.servers(names(1))
-    request = stage.request("pay")
+    harness = PolicyHarness()
+    harness.list_servers(names(1))
+    request = harness.request("pay")
     (server,) = names(1)
-    stage.servers([ListedServer(server, state=ServerState.REMOVED)], ListKind.CHANGES)
-    assert server in stage.balancer._endpoints.by_name
-    stage.end(request)
-    assert stage.balancer._endpoints.by_name == {}
-    assert stage.balancer._concurrency.load() == 0
+    harness.list_servers([ListedServer(server, state=ServerState.REMOVED)], ListKind.CHANGES)
+    assert server in harness.balancer._endpoints.by_name
+    harness.end_attempt(request)
+    assert harness.balancer._endpoints.by_name == {}
+    assert harness.balancer._concurrency.load() == 0
 
 
 def test_spoilt_answers_eject_nobody_until_they_are_all_that_a_server_gives() -> None:
     # Guards against ejecting half the fleet for noise on the way that meets any server alike.
-    stage = Stage()
-    stage.servers(names(4))
+    harness = PolicyHarness()
+    harness.list_servers(names(4))
     for number in range(60):
-        request = stage.request("pay")
-        stage.wait(20 * MS)
-        stage.end(request, Outcome.DELIVERED if number % 3 else Outcome.MALFORMED)
-    assert _ejected(stage) == []
+        request = harness.request("pay")
+        harness.advance(20 * MS)
+        harness.end_attempt(request, Outcome.DELIVERED if number % 3 else Outcome.MALFORMED)
+    assert _ejected(harness) == []
     for _ in range(60):
-        request = stage.request("pay")
-        stage.wait(20 * MS)
-        stage.end(request, Outcome.MALFORMED)
-    assert any(each.endswith("spoilt") for each in _ejected(stage))
+        request = harness.request("pay")
+        harness.advance(20 * MS)
+        harness.end_attempt(request, Outcome.MALFORMED)
+    assert any(each.endswith("spoilt") for each in _ejected(harness))
 
 
 def test_a_spoilt_answer_may_have_run() -> None:
-    stage = Stage()
-    stage.servers(names(4))
+    harness = PolicyHarness()
+    harness.list_servers(names(4))
     for kind in ("look", "pay"):
-        request = stage.request(kind)
-        stage.end(request, Outcome.MALFORMED)
-        again = len(stage.sends(request)) == 2
-        assert again == (stage.balancer._classes[kind].idempotency is Idempotency.IDEMPOTENT)
-    assert len(stage.said(Fail)) == 1
+        request = harness.request(kind)
+        harness.end_attempt(request, Outcome.MALFORMED)
+        again = len(harness.sends(request)) == 2
+        assert again == (harness.balancer._classes[kind].idempotency is Idempotency.IDEMPOTENT)
+    assert len(harness.actions(Fail)) == 1
 
 
 def test_a_request_that_a_server_finds_fault_with_fails_at_once_and_is_held_against_nobody() -> None:
-    stage = Stage()
-    stage.servers(names(4))
+    harness = PolicyHarness()
+    harness.list_servers(names(4))
     for _ in range(20):
-        request = stage.request()
-        stage.end(request, Outcome.REJECTED)
-        assert len(stage.sends(request)) == 1
-    assert len(stage.said(Fail)) == 20
-    assert _ejected(stage) == []
+        request = harness.request()
+        harness.end_attempt(request, Outcome.REJECTED)
+        assert len(harness.sends(request)) == 1
+    assert len(harness.actions(Fail)) == 20
+    assert _ejected(harness) == []
 
 
 def test_handshakes_are_not_taken_for_overload_or_silence() -> None:
     # Guards the first second after a start: every connection is new, and its first answer comes late.
     def refused(every_answer_us: int, first_answer_us: int) -> int:
-        stage = Stage()
-        stage.servers(names(12))
+        harness = PolicyHarness()
+        harness.list_servers(names(12))
         for round_ in range(8):
-            requests = [stage.request("pay") for _ in range(24)]
-            stage.wait(first_answer_us if round_ == 0 else every_answer_us)
+            requests = [harness.request("pay") for _ in range(24)]
+            harness.advance(first_answer_us if round_ == 0 else every_answer_us)
             for request in requests:
-                if request in stage.balancer._requests:
-                    stage.end(request)
-        assert not any("silent" in each for each in _ejected(stage))
-        return len(stage.said(Refuse))
+                if request in harness.balancer._requests:
+                    harness.end_attempt(request)
+        assert not any("silent" in each for each in _ejected(harness))
+        return len(harness.actions(Refuse))
 
     assert refused(30 * MS, 240 * MS) == 0
     assert refused(700 * MS, 700 * MS) > 10
@@ -102,11 +102,11 @@
 
 def test_a_refused_client_is_told_when_to_come_back_within_its_aim() -> None:
     for allowed, most in ((True, 2 * S), (True, 20 * MS), (False, 2 * S)):
-        stage = Stage(settings(limits={"retry_after": allowed, "max_retry_after_us": most}))
-        stage.servers([])
+        harness = PolicyHarness(settings(limits={"retry_after": allowed, "max_retry_after_us": most}))
+        harness.list_servers([])
         for _ in range(20):
-            stage.request()
-        advice = [each.retry_after_us for each in stage.said(Refuse)]
+            harness.request()
+        advice = [each.retry_after_us for each in harness.actions(Refuse)]
         assert len(advice) == 20
         if allowed:
             assert all(0 < each <= min(most, 250 * MS) for each in advice)
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -1,11 +1,11 @@
-"""Requests that only one server can serve, and answers that have begun: in decisions and engine."""
+"""Sticky requests, and answers that have started, in the policy and in the engine."""
 
 from __future__ import annotations
 
 from typing import Any
 
 import pytest
-from helpers import MS, S, Stage, names, settings
+from helpers import MS, PolicyHarness, S, names, settings
 from test_engine import FakePorts
 
 from micadeck.engine import EndpointEntry, EndpointUpdate, Engine, EnginePorts, FailureCause, Request
@@ -15,28 +15,28 @@
 from micadeck.simulator_adapter import settings_from_wire
 
 SERVERS = names(4)
-HOME = SERVERS[2]
+STICKY_SERVER = SERVERS[2]
 _numbers = iter(range(10_000, 100_000))
 
 
-def bound_stage(**rules: int) -> Any:
-    stage = Stage(settings(rules={"bound_grace_us": 150 * MS, **rules}))
-    stage.servers(SERVERS)
-    return stage
+def _sticky_harness(**rules: int) -> Any:
+    harness = PolicyHarness(settings(rules={"bound_grace_us": 150 * MS, **rules}))
+    harness.list_servers(SERVERS)
+    return harness
 
 
-def ask(stage: Any, name: str = "pay", server: str = HOME) -> int:
+def _request_sticky(harness: Any, name: str = "pay", server: str = STICKY_SERVER) -> int:
     number = next(_numbers)
-    stage.play(RequestArrived(number, name, None, None, 2 * S, sticky_server=server))
+    harness.handle(RequestArrived(number, name, None, None, 2 * S, sticky_server=server))
     return number
 
 
 def test_a_bound_request_goes_to_its_server_and_counts_there_as_others_do() -> None:
-    stage = bound_stage()
+    harness = _sticky_harness()
     for _ in range(20):
-        assert stage.target(ask(stage)) == HOME
-    # Twenty are out there: of any two servers that are drawn, the other one has fewer.
-    assert all(stage.target(stage.request("look")) != HOME for _ in range(20))
+        assert harness.target(_request_sticky(harness)) == STICKY_SERVER
+    # Twenty are in flight there: of any two servers drawn, the other one has fewer.
+    assert all(harness.target(harness.request("look")) != STICKY_SERVER for _ in range(20))
 
 
 @pytest.mark.parametrize("name", ["look", "pay"])
@@ -45,13 +45,13 @@
     [Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.CONNECTION_LOST, Outcome.FULL, Outcome.ERROR],
 )
 def test_a_bound_request_is_never_sent_again_or_elsewhere(name: str, outcome: Outcome) -> None:
-    stage = bound_stage()
-    request = ask(stage, name)
-    stage.end(request, outcome, answered=False)
-    assert len(stage.sends(request)) == 1
+    harness = _sticky_harness()
+    request = _request_sticky(harness, name)
+    harness.end_attempt(request, outcome, answered=False)
+    assert len(harness.sends(request)) == 1
     never_ran = outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.FULL)
     kind = Refuse if name == "look" or never_ran else Fail
-    assert [each.request for each in stage.said(kind)] == [request]
+    assert [each.request for each in harness.actions(kind)] == [request]
 
 
 @pytest.mark.parametrize(
@@ -68,67 +68,68 @@
 def test_what_is_bound_to_a_draining_server_may_go_there_for_a_part_of_the_grace(
     state: ServerState, waited: int, is_sent: bool
 ) -> None:
-    stage = bound_stage()
-    stage.end(stage.request("look"))
+    harness = _sticky_harness()
+    harness.end_attempt(harness.request("look"))
     if state is not ServerState.READY:
-        stage.drain(HOME, state)
-    stage.wait(waited)
-    request = ask(stage)
-    assert bool(stage.sends(request)) is is_sent
-    assert bool(stage.said(Refuse)) is not is_sent
-    others = [stage.request("look") for _ in range(8)]
+        harness.drain(STICKY_SERVER, state)
+    harness.advance(waited)
+    request = _request_sticky(harness)
+    assert bool(harness.sends(request)) is is_sent
+    assert bool(harness.actions(Refuse)) is not is_sent
+    others = [harness.request("look") for _ in range(8)]
     if state is not ServerState.READY:
-        assert all(stage.target(each) != HOME for each in others)
+        assert all(harness.target(each) != STICKY_SERVER for each in others)
 
 
 def test_without_that_part_a_drain_ends_it_at_once_and_an_unknown_server_is_none() -> None:
-    stage = Stage(settings())
-    stage.servers(SERVERS)
-    stage.drain(HOME)
-    assert not stage.sends(ask(stage)) and not stage.sends(ask(stage, server="nowhere"))
-    assert len(stage.said(Refuse)) == 2
+    harness = PolicyHarness(settings())
+    harness.list_servers(SERVERS)
+    harness.drain(STICKY_SERVER)
+    known, unknown = _request_sticky(harness), _request_sticky(harness, server="nowhere")
+    assert not harness.sends(known) and not harness.sends(unknown)
+    assert len(harness.actions(Refuse)) == 2
 
 
 def test_a_word_said_twice_gives_no_more_time() -> None:
-    stage = bound_stage()
-    stage.drain(HOME)
-    stage.wait(100 * MS)
-    stage.drain(HOME)
-    stage.wait(60 * MS)
-    assert not stage.sends(ask(stage))
+    harness = _sticky_harness()
+    harness.drain(STICKY_SERVER)
+    harness.advance(100 * MS)
+    harness.drain(STICKY_SERVER)
+    harness.advance(60 * MS)
+    assert not harness.sends(_request_sticky(harness))
 
 
 def test_bound_requests_count_against_a_cold_servers_part() -> None:
-    stage = bound_stage()
-    stage.serve(60)
-    stage.servers([ListedServer(HOME, zone="east", started_at=stage.now)], ListKind.CHANGES)
+    harness = _sticky_harness()
+    harness.serve(60)
+    harness.list_servers([ListedServer(STICKY_SERVER, zone="east", started_at=harness.now)], ListKind.CHANGES)
     sent = 0
     for _ in range(100):
-        stage.wait(20 * MS)
-        request = ask(stage)
-        if stage.sends(request):
+        harness.advance(20 * MS)
+        request = _request_sticky(harness)
+        if harness.sends(request):
             sent += 1
-            stage.end(request)
-    assert 0 < sent < 60  # of the hundred, in two of the ten seconds that it is cold for
+            harness.end_attempt(request)
+    assert 0 < sent < 60  # of a hundred, sent in two of the ten seconds of slow start
 
 
 def test_a_bound_request_is_no_trial_of_an_ejected_server() -> None:
-    stage = bound_stage()
-    stage.serve(20)
+    harness = _sticky_harness()
+    harness.serve(20)
     for _ in range(8):
-        if stage.balancer._endpoints.by_name[HOME].ejected_until is not None:
+        if harness.balancer._endpoints.by_name[STICKY_SERVER].ejected_until is not None:
             break
-        stage.end(ask(stage), Outcome.ERROR, answered=False)
-    server = stage.balancer._endpoints.by_name[HOME]
+        harness.end_attempt(_request_sticky(harness), Outcome.ERROR, answered=False)
+    server = harness.balancer._endpoints.by_name[STICKY_SERVER]
     assert server.ejected_until is not None
-    request = ask(stage)
-    assert stage.target(request) == HOME and server.probation_attempt is None
-    stage.end(request)
-    assert server.ejected_until is None  # it answered all the same
+    request = _request_sticky(harness)
+    assert harness.target(request) == STICKY_SERVER and server.probation_attempt is None
+    harness.end_attempt(request)
+    assert server.ejected_until is None  # its answer readmits it
 
 
 # ---------------------------------------------------------------------------------------------------
-# Answers that have begun
+# Answers that have started
 
 
 class Handler:
@@ -161,7 +162,7 @@
     return ports, engine
 
 
-def _request() -> Request:
+def _engine_request() -> Request:
     return Request("check", None, None, S, None, False, b"id", False)
 
 
@@ -178,7 +179,7 @@
 ) -> None:
     ports, engine = _engine()
     handler = Handler()
-    number = engine.submit(_request(), handler)
+    number = engine.submit(_engine_request(), handler)
     assert number is not None and engine.response_started(number)
     ports.end(0, outcome)
     assert handler.answers == [told] and len(ports.attempts) == 1
@@ -188,18 +189,18 @@
 def test_past_its_time_an_answer_that_has_begun_is_left_to_its_transport() -> None:
     ports, engine = _engine()
     handler = Handler()
-    number = engine.submit(_request(), handler)
+    number = engine.submit(_engine_request(), handler)
     assert number is not None and engine.response_started(number)
     ports.wait(2 * S)
     assert not handler.answers and not ports.cancelled
-    ports.end(0, Outcome.TIMED_OUT)  # which its deadline ends
+    ports.end(0, Outcome.TIMED_OUT)  # as the transport does at its deadline
     assert len(handler.answers) == 1 and not engine.response_started(number)
     assert engine.open_requests == 0
 
 
 def test_nothing_begins_for_one_who_went_away() -> None:
     ports, engine = _engine()
-    number = engine.submit(_request(), Handler())
+    number = engine.submit(_engine_request(), Handler())
     assert number is not None
     engine.client_disconnected(number)
     assert not engine.response_started(number)
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -11,7 +11,7 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import MS, S, Stage, settings
+from helpers import MS, PolicyHarness, S, settings
 from hypothesis import example, given
 from hypothesis import strategies as st
 from loopback import OK, play, played, read_head, request, stage
@@ -54,21 +54,21 @@
 def _day(requests: int = 300, seed: int = 3) -> _Noted:
     """A made-up day: eight servers, one sick from the middle on, some answers late."""
     chance = random.Random(seed)
-    scene = Stage(settings(limits={"second_copies": False}))
+    scene = PolicyHarness(settings(limits={"second_copies": False}))
     noted = _Noted(scene.balancer)
     scene.balancer = noted  # type: ignore[assignment]
     names = [f"s-{number}" for number in range(8)]
-    scene.servers([ListedServer(each, zone="east") for each in names])
+    scene.list_servers([ListedServer(each, zone="east") for each in names])
     open_requests: list[int] = []
     for number in range(requests):
-        scene.wait(chance.randrange(1, 15) * MS)
+        scene.advance(chance.randrange(1, 15) * MS)
         open_requests.append(scene.request(chance.choice(["look", "pay", "amend"])))
         while open_requests and chance.random() < 0.6:
             request = open_requests.pop(0)
             if not scene.sends(request):
                 continue
             is_sick = number > requests // 2 and scene.target(request) == "s-1"
-            scene.end(request, Outcome.ERROR if is_sick else Outcome.DELIVERED, report={"util": 0.5})
+            scene.end_attempt(request, Outcome.ERROR if is_sick else Outcome.DELIVERED, report={"util": 0.5})
     return noted
 
 
