--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
-"""The daemon's own suite runs once for each way in which the balancer is reached."""
+"""Runs the daemon's tests once for each way to reach the balancer, and marks known failures."""
 
 from __future__ import annotations
 
 import os
 from collections.abc import Iterator
 
-os.environ["MICADECK_INTERPRETED"] = "1"  # parts of the decisions are replaced here
+os.environ["MICADECK_INTERPRETED"] = "1"  # tests patch parts of the policy
 
 import embedding_parity
 import known_failures
@@ -15,8 +15,8 @@
 
 def pytest_generate_tests(metafunc: pytest.Metafunc) -> None:
     if metafunc.module.__name__ in embedding_parity.SUITE:
-        everywhere = metafunc.function.__name__ not in embedding_parity.HTTP_ONLY
-        given = list(embedding_parity.WAYS if everywhere else embedding_parity.WAYS[:1])
+        runs_every_way = metafunc.function.__name__ not in embedding_parity.HTTP_ONLY
+        given = list(embedding_parity.WAYS if runs_every_way else embedding_parity.WAYS[:1])
         if (
             metafunc.module.__name__ in embedding_parity.WITH_CONSUL
             and metafunc.function.__name__ not in embedding_parity.ROSTER_ONLY
@@ -25,8 +25,8 @@
         metafunc.parametrize("way", given, indirect=True)
 
 
-def _pass_over_known_failures(items: list[pytest.Item]) -> None:
-    """Run them all the same; the report names each with what was seen, and a pass of one too."""
+def _mark_known_failures(items: list[pytest.Item]) -> None:
+    """Mark known failures as xfail: they still run, and the report shows their failures and passes."""
     try:
         known = {each.test: each for each in known_failures.read()}
     except ValueError as error:
@@ -38,14 +38,14 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    _pass_over_known_failures(items)
-    left_out = [each for each in items if _is_no_request(each)]
-    if left_out:
-        config.hook.pytest_deselected(items=left_out)
-        items[:] = [each for each in items if each not in left_out]
+    _mark_known_failures(items)
+    deselected = [each for each in items if _cannot_be_sent(each)]
+    if deselected:
+        config.hook.pytest_deselected(items=deselected)
+        items[:] = [each for each in items if each not in deselected]
 
 
-def _is_no_request(item: pytest.Item) -> bool:
+def _cannot_be_sent(item: pytest.Item) -> bool:
     if not isinstance(item, pytest.Function) or item.function.__name__ not in embedding_parity.RAW:
         return False
     given = item.callspec.params
@@ -54,10 +54,10 @@
     return not embedding_parity.takes(str(given["way"]), raw)
 
 
-@pytest.fixture(autouse=True)  # a name added to a test's fixtures at collection is not set up
+@pytest.fixture(autouse=True)  # autouse, as a fixture name added to a test at collection is not set up
 def way(request: pytest.FixtureRequest) -> Iterator[str]:
-    asked: str = getattr(request, "param", "daemon")
-    loopback.way, _, members = asked.partition(" by ")
+    selected: str = getattr(request, "param", "daemon")
+    loopback.way, _, members = selected.partition(" by ")
     loopback.members = members or "roster"
-    yield asked
+    yield selected
     loopback.way, loopback.members = "daemon", "roster"
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault, `KNOWN-RED.txt`."""
+"""Reads `KNOWN-RED.txt`, the list of tests that fail because of a known fault."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     """One entry.
 
     Attributes:
-        test: The test, or one case of it.
-        command: What plays it.
-        seed: The seed, or what varies from run to run.
-        seen: What failed, and how often.
-        issue: The open issue's number.
+        test: Test or one of its cases.
+        command: Command that runs it.
+        seed: Seed, or what varies between runs.
+        seen: What failed and how often.
+        issue: Number of the open issue.
     """
 
     test: str
@@ -31,7 +31,7 @@
     """Read the list.
 
     Raises:
-        ValueError: A line has not all its parts.
+        ValueError: A line lacks one of its parts.
     """
     lines = path.read_text().splitlines() if path.exists() else []
     return [_parse(line) for line in lines if line and not line.startswith("#")]
--- a/tests/slow_start_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -1,7 +1,7 @@
-"""A tier of balancers and the servers behind them: what all of them together send to servers that start.
+"""Simulates a fleet of balancers and counts what all of them together send to servers in slow start.
 
-Pure decisions on one clock.  Servers do `1 / WORK_S` requests a second when warm, one after another; what
-is counted is what reaches each server that has just started.
+Only the policy runs, on one virtual clock.  A warm server serves `1 / WORK_S` requests a second, one after
+another.
 """
 
 from __future__ import annotations
@@ -33,49 +33,51 @@
 
 
 @dataclass
-class Day:
-    """How a tier of so many fares."""
+class FleetSimulation:
+    """Parameters and results of one simulated fleet."""
 
     sidecars: int
     servers: int = 30
-    cold: int = 10  # of these start together
-    load: float = 0.55  # of what all servers can do when warm
-    uneven: bool = False  # some sidecars get several times the mean
-    burst: float = 1.0  # as much more comes in the seconds after the start
+    cold: int = 10  # servers that start together
+    load: float = 0.55  # share of the capacity of all servers when warm
+    uneven: bool = False  # some sidecars get several times the mean load
+    burst: float = 1.0  # factor on the load for 6 s after the start
     seed: int = 1
     length_s: float = 30.0
     starts_at_s: float = 12.0
-    arrived: dict[str, list[float]] = field(default_factory=dict)  # at the cold servers
-    asked: int = 0
+    arrived: dict[str, list[float]] = field(default_factory=dict)  # times of requests at the cold servers
+    requests: int = 0
     refused: int = 0
 
-    def play(self) -> Day:
-        drawn = random.Random(self.seed)
+    def run(self) -> FleetSimulation:
+        rng = random.Random(self.seed)
         rules = {
             "cold_from": COLD_FROM,
             "cold_us": int(COLD_S * S),
             "fall_multiple": FALL_MULTIPLE,
             "fall_us": int(FALL_S * S),
         }
-        kind = {"name": "look", "deadline_us": 3 * S, "aim_us": int(0.75 * S), "repeat": "safe"}
-        given = settings(classes=[kind], rules=rules, discovery="pushed", limits={"second_copies": False})
+        service_class = {"name": "look", "deadline_us": 3 * S, "aim_us": int(0.75 * S), "repeat": "safe"}
+        given = settings(
+            classes=[service_class], rules=rules, discovery="pushed", limits={"second_copies": False}
+        )
         names = [f"10.0.0.{number}:80" for number in range(self.servers)]
         cold = set(names[: self.cold])
         self.arrived = {name: [] for name in cold}
-        balancers = [Balancer(given, drawn.getrandbits(32)) for _ in range(self.sidecars)]
-        weights = [drawn.choice([0.3, 0.7, 1.0, 4.0]) if self.uneven else 1.0 for _ in balancers]
+        balancers = [Balancer(given, rng.getrandbits(32)) for _ in range(self.sidecars)]
+        weights = [rng.choice([0.3, 0.7, 1.0, 4.0]) if self.uneven else 1.0 for _ in balancers]
         total = self.load * self.servers / WORK_S
         events: list[Any] = []
         order = itertools.count()
-        free_at = dict.fromkeys(names, 0.0)  # each works through its requests in turn
+        free_at = dict.fromkeys(names, 0.0)  # each server processes its requests in order
 
-        def put(at: float, what: str, *more: Any) -> None:
-            heapq.heappush(events, (at, next(order), what, more))
+        def schedule(at: float, kind: str, *details: Any) -> None:
+            heapq.heappush(events, (at, next(order), kind, details))
 
-        def act(now: float, who: int, event: Any) -> None:
-            for action in balancers[who].handle(START + int(now * S), event):
+        def handle(now: float, sidecar: int, event: Any) -> None:
+            for action in balancers[sidecar].handle(START + int(now * S), event):
                 if isinstance(action, SetTimer):
-                    put(now + action.in_us / S, "timer", who, action.token)
+                    schedule(now + action.in_us / S, "timer", sidecar, action.token)
                 elif isinstance(action, Refuse):
                     self.refused += 1
                 elif isinstance(action, Send):
@@ -83,60 +85,60 @@
                     if server in cold and now >= self.starts_at_s:
                         self.arrived[server].append(now)
                     warmth = self.warmth(now) if server in cold else 1.0
-                    work = drawn.expovariate(1 / WORK_S) / warmth
+                    work = rng.expovariate(1 / WORK_S) / warmth
                     free_at[server] = max(free_at[server], now) + work
-                    put(free_at[server], "done", who, action.request, server, now)
+                    schedule(free_at[server], "done", sidecar, action.request, server, now)
 
-        lines = [ListedServer(name, zone="east") for name in names]
-        for who in range(self.sidecars):
-            act(0.0, who, ServersListed(ListKind.COMPLETE, lines, 1))
-            put(drawn.random(), "ask", who)
+        entries = [ListedServer(name, zone="east") for name in names]
+        for sidecar in range(self.sidecars):
+            handle(0.0, sidecar, ServersListed(ListKind.COMPLETE, entries, 1))
+            schedule(rng.random(), "request", sidecar)
         numbers = itertools.count(1)
         started = [
             ListedServer(name, zone="east", started_at=START + int(self.starts_at_s * S))
             for name in sorted(cold)
         ]
-        for who in range(self.sidecars):
-            put(self.starts_at_s + 0.05 * drawn.random(), "list", who)
+        for sidecar in range(self.sidecars):
+            schedule(self.starts_at_s + 0.05 * rng.random(), "list", sidecar)
         while events and events[0][0] < self.length_s:
-            now, _, what, more = heapq.heappop(events)
-            if what == "ask":
-                (who,) = more
-                rate = total * weights[who] / sum(weights)
+            now, _, kind, details = heapq.heappop(events)
+            if kind == "request":
+                (sidecar,) = details
+                rate = total * weights[sidecar] / sum(weights)
                 rate *= self.burst if self.starts_at_s <= now < self.starts_at_s + 6.0 else 1.0
-                put(now + drawn.expovariate(rate), "ask", who)
+                schedule(now + rng.expovariate(rate), "request", sidecar)
                 if now >= self.starts_at_s:
-                    self.asked += 1
-                act(now, who, RequestArrived(next(numbers), "look", None, None, 3 * S))
-            elif what == "timer":
-                act(now, more[0], TimerFired(more[1]))
-            elif what == "list":
-                act(now, more[0], ServersListed(ListKind.CHANGES, started, 2))
+                    self.requests += 1
+                handle(now, sidecar, RequestArrived(next(numbers), "look", None, None, 3 * S))
+            elif kind == "timer":
+                handle(now, details[0], TimerFired(details[1]))
+            elif kind == "list":
+                handle(now, details[0], ServersListed(ListKind.CHANGES, started, 2))
             else:
-                who, request, server, sent_at = more
-                took = int((now - sent_at) * S)
-                act(now, who, AttemptEnded(request, 0, server, Outcome.DELIVERED, took, True))
+                sidecar, request, server, sent_at = details
+                elapsed_us = int((now - sent_at) * S)
+                handle(now, sidecar, AttemptEnded(request, 0, server, Outcome.DELIVERED, elapsed_us, True))
         return self
 
     def warmth(self, now: float) -> float:
         return min(COLD_FROM + (1.0 - COLD_FROM) * max(now - self.starts_at_s, 0.0) / COLD_S, 1.0)
 
-    def fullest(self) -> tuple[float, float]:
-        """Of all windows: the most beyond what is put down to chance, as a part of it, and of N itself."""
-        worst = used = 0.0
+    def max_window_use(self) -> tuple[float, float]:
+        """Maximum over all windows, as a share of the limit N plus its allowance for chance, and of N."""
+        of_allowance = of_limit = 0.0
         for times in self.arrived.values():
             for index, at in enumerate(times):
                 since = next(i for i, other in enumerate(times) if other > at - FALL_S)
                 count = index - since + 1
                 allowed = FALL_MULTIPLE * self.warmth(at) / WORK_S * FALL_S
-                worst = max(worst, count / (allowed + 2.0 * math.sqrt(allowed) + 2.0))
-                used = max(used, count / allowed)
-        return worst, used
-
-    def part_used(self, from_s: float, to_s: float) -> float:
-        """What cold servers got in a span after the start, as a part of what they can do by then."""
-        began, end = self.starts_at_s + from_s, self.starts_at_s + to_s
-        got = sum(began <= at < end for times in self.arrived.values() for at in times)
-        steps = [began + (end - began) * (n + 0.5) / 50 for n in range(50)]
-        can = sum(self.warmth(at) for at in steps) / 50 * (end - began) / WORK_S * len(self.arrived)
-        return got / can
+                of_allowance = max(of_allowance, count / (allowed + 2.0 * math.sqrt(allowed) + 2.0))
+                of_limit = max(of_limit, count / allowed)
+        return of_allowance, of_limit
+
+    def capacity_use(self, from_s: float, to_s: float) -> float:
+        """Requests at cold servers in a period after the start, as a share of their capacity in it."""
+        begin, end = self.starts_at_s + from_s, self.starts_at_s + to_s
+        received = sum(begin <= at < end for times in self.arrived.values() for at in times)
+        steps = [begin + (end - begin) * (n + 0.5) / 50 for n in range(50)]
+        capacity = sum(self.warmth(at) for at in steps) / 50 * (end - begin) / WORK_S * len(self.arrived)
+        return received / capacity
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -1,4 +1,4 @@
-"""Values without the names of Python: what stored data says, by position."""
+"""Converts stored values to lists by field position, independent of Python names."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def by_position(value: Any) -> Any:
-    """A value as JSON holds it: objects as lists of their fields, in order; enums as their values."""
+    """Convert a value to JSON types: objects to lists of their fields, enums to their values."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, bytes):
@@ -28,18 +28,18 @@
 
 
 class RecordingTransport:
-    """Stands for a socket: keeps what is sent."""
+    """Stand-in for a datagram transport that records what is sent."""
 
     def __init__(self) -> None:
         self.sent: list[list[Any]] = []
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
-        """Keep a datagram with its receiver."""
+        """Record a datagram and its receiver."""
         self.sent.append([list(to), data.hex()])
 
 
 def peer_exchange(make_peers: Any) -> dict[str, Any]:
-    """What the sidecars of a tier send one another as datagrams, and what they make of those received."""
+    """Datagrams between the sidecars of a fleet: those sent, and how those received are handled."""
     addresses = tuple((f"10.0.0.{number}", 7946) for number in range(3))
     result: dict[str, Any] = {}
     for label, everyone in (("one by one", None), ("broadcast", ("10.0.0.255", 7946))):
@@ -47,7 +47,7 @@
         received: list[list[Any]] = []
         peers._on_message = lambda sender, data, received=received: received.append([sender, data.hex()])
         peers.connection_made(transport)
-        send = getattr(peers, "send", None) or peers.tell  # the latter is the release's name for it
+        send = getattr(peers, "send", None) or peers.tell  # the method's name in the release
         accepted = [
             send(receiver, payload)
             for receiver in (1, 2, 3, None)
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -1,7 +1,7 @@
-"""Two things due in the same microsecond, in both orders: the virtual clock draws which comes first.
+"""Races of two events due in the same microsecond, in both orders, on a virtual clock.
 
-A first run without the second thing tells when the first is due; then both are put at that instant, seed by
-seed, until each order was seen.  What must hold is the same whichever comes first.
+A first run finds when the first event is due.  Further runs schedule the second event at that instant, one
+per seed, so that both orders occur.  The same invariants must hold in either order.
 """
 
 from __future__ import annotations
@@ -25,53 +25,53 @@
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Wire
 
-WAY_US = 300
+LATENCY_US = 300
 HOPS = 12
 SEEDS = range(4 * HOPS)
-REQUEST_S = 0.1  # when the request is taken
+REQUEST_S = 0.1  # when the request is submitted
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 
 
-class Scene:
-    """An engine, its connections, and two servers that note what reaches them."""
+class Simulation:
+    """An engine with its connection pool, and two servers that record the requests that reach them."""
 
-    places: ClassVar = {"s-1": ("10.1.0.1", 80), "s-2": ("10.1.0.2", 80)}
+    addresses: ClassVar = {"s-1": ("10.1.0.1", 80), "s-2": ("10.1.0.2", 80)}
 
     def __init__(self, seed: int, reply: str, listed: tuple[str, ...]) -> None:
         self.seed = seed
         self.loop = VirtualLoop(seed)  # type: ignore[abstract]
         self.wire = Wire(self.loop, random.Random(seed))
-        self.wire.ways.delay_us = (WAY_US, WAY_US)
+        self.wire.ways.delay_us = (LATENCY_US, LATENCY_US)
         self.host = Host("sidecar")
         self.network = VirtualNetwork(self.wire.machine(self.host, "10.0.0.1"))
         self.reply = reply
-        self.reached: list[str] = []  # servers that a request's bytes came to
+        self.reached: list[str] = []  # servers that received request bytes
         self.order: list[str] = []
         self.answers: list[str] = []
         given = settings(limits={"second_copies": False, "dial_timeout_us": S})
         self.upstream = ConnectionPool(self.network, given)
         self.upstream.max_connections = 10
         self.engine = Engine(
-            given, 1, EnginePorts(self.network, self.upstream, _NoSource(), _NoMessages()), _ignore
+            given, 1, EnginePorts(self.network, self.upstream, _NullSource(), _NullMessages()), _ignore
         )
         self.request: int | None = None
         self._listed = listed
 
-    def line(self, name: str, state: ServerState = ServerState.READY) -> EndpointEntry:
-        return EndpointEntry(ListedServer(name, zone="east", state=state), self.places[name])
+    def entry(self, name: str, state: ServerState = ServerState.READY) -> EndpointEntry:
+        return EndpointEntry(ListedServer(name, zone="east", state=state), self.addresses[name])
 
-    # What may be put at an instant
+    # Second events
 
-    def drains(self, name: str) -> None:
+    def drain(self, name: str) -> None:
         self.order.append("other")
-        self.engine._endpoints_updated(EndpointUpdate(2, False, (self.line(name, ServerState.DRAINING),)))
+        self.engine._endpoints_updated(EndpointUpdate(2, False, (self.entry(name, ServerState.DRAINING),)))
 
-    def leaves(self) -> None:
+    def disconnect_client(self) -> None:
         self.order.append("other")
         if self.request is not None:
             self.engine.client_disconnected(self.request)
 
-    # A waiter
+    # Handler of the request
 
     def served(self, response: Any) -> None:
         self.answers.append("served")
@@ -82,32 +82,32 @@
     def failed(self, cause: FailureCause, may_have_run: bool) -> None:
         self.answers.append("failed")
 
-    def play(self, at_us: int | None, other: Callable[[Scene], None]) -> Scene:
-        for name, (address, port) in self.places.items():
+    def run(self, at_us: int | None, other: Callable[[Simulation], None]) -> Simulation:
+        for name, (address, port) in self.addresses.items():
             host = Host(name)
             network = VirtualNetwork(self.wire.machine(host, address))
             network.listen(functools.partial(_Server, self, name), (address, port), 8)
 
-        async def work() -> None:
-            self.engine.start(EndpointUpdate(1, True, tuple(self.line(name) for name in self._listed)))
-            self.loop.call_later(REQUEST_S, self._ask)
+        async def main() -> None:
+            self.engine.start(EndpointUpdate(1, True, tuple(self.entry(name) for name in self._listed)))
+            self.loop.call_later(REQUEST_S, self._submit)
             if at_us is not None:
                 self.loop.call_later(at_us / 1e6, self._after, self.seed % HOPS, other)
             await asyncio.sleep(5.0)
             self.engine.close()
 
-        self.loop.run_until_complete(self.loop.create_task(work(), context=self.host.context.copy()))
+        self.loop.run_until_complete(self.loop.create_task(main(), context=self.host.context.copy()))
         assert self.loop.faults == []
         return self
 
-    def _after(self, hops: int, other: Callable[[Scene], None]) -> None:
-        """What is due is done in several steps of one instant: come between any two of them."""
+    def _after(self, hops: int, other: Callable[[Simulation], None]) -> None:
+        """Run `other` between two of the event loop iterations that handle one instant."""
         if hops:
             self.loop.call_soon(self._after, hops - 1, other)
         else:
             other(self)
 
-    def _ask(self) -> None:
+    def _submit(self) -> None:
         incoming = ValidatedRequest(
             "look", None, None, 1 * S, None, False, b"r-1", False, b"GET", b"/x", [(b"host", b"o")], b""
         )
@@ -115,26 +115,26 @@
 
 
 class _Server(asyncio.Protocol):
-    def __init__(self, scene: Scene, name: str) -> None:
-        self._scene, self._name = scene, name
+    def __init__(self, simulation: Simulation, name: str) -> None:
+        self._simulation, self._name = simulation, name
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        scene = self._scene
-        scene.reached.append(self._name)
-        if scene.reply == "resets first" and len(scene.reached) == 1:
+        simulation = self._simulation
+        simulation.reached.append(self._name)
+        if simulation.reply == "resets first" and len(simulation.reached) == 1:
             self._transport.abort()
-        elif scene.reply == "answers late":
-            # Two ticks before its time is up the request is answered by the sidecar.
-            due_s = REQUEST_S + 1.0 - 2 * 0.005 - (WAY_US + scene.seed % 3) / 1e6
-            scene.loop.call_later(due_s - scene.loop.time(), self._transport.write, OK)
+        elif simulation.reply == "answers late":
+            # The sidecar answers the request two ticks before its deadline.
+            due_s = REQUEST_S + 1.0 - 2 * 0.005 - (LATENCY_US + simulation.seed % 3) / 1e6
+            simulation.loop.call_later(due_s - simulation.loop.time(), self._transport.write, OK)
         else:
             self._transport.write(OK)
 
 
-class _NoSource:
+class _NullSource:
     def start(self, on_list: Any, on_failed: Any) -> None: ...
     def watch(self, wanted: bool) -> None: ...
     def fetch(self) -> None: ...
@@ -142,7 +142,7 @@
     def close(self) -> None: ...
 
 
-class _NoMessages:
+class _NullMessages:
     def send(self, receiver: int | None, payload: bytes) -> bool:
         return False
 
@@ -154,82 +154,83 @@
 
 def both_orders(
     first: tuple[type, str],
-    other: Callable[[Scene], None],
-    holds: Callable[[Scene], None],
+    other: Callable[[Simulation], None],
+    holds: Callable[[Simulation], None],
     reply: str = "answers",
     listed: tuple[str, ...] = ("s-1",),
 ) -> None:
-    """Play `first`, a method's first call, and `other` in one instant, each before the other."""
+    """Run `first`, a method's first call, and `other` in the same instant, in both orders."""
     owner, name = first
-    plain = getattr(owner, name)
-    scenes: list[Scene] = []
+    original = getattr(owner, name)
+    simulations: list[Simulation] = []
     called_us: list[int] = []
 
-    def noted(self: Any, *args: Any, **named: Any) -> Any:
-        scene = scenes[-1]
-        if "first" not in scene.order:
-            scene.order.append("first")
-            called_us.append(scene.loop.now_us)
-        return plain(self, *args, **named)
+    def record_call(self: Any, *args: Any, **named: Any) -> Any:
+        simulation = simulations[-1]
+        if "first" not in simulation.order:
+            simulation.order.append("first")
+            called_us.append(simulation.loop.now_us)
+        return original(self, *args, **named)
 
-    with mock.patch.object(owner, name, noted):
-        scenes.append(Scene(0, reply, listed))
-        scenes[-1].play(None, other)
+    with mock.patch.object(owner, name, record_call):
+        simulations.append(Simulation(0, reply, listed))
+        simulations[-1].run(None, other)
         due_us = called_us[0]
         seen = set()
         for seed in SEEDS:
-            scenes.append(Scene(seed, reply, listed))
-            scene = scenes[-1].play(due_us, other)
-            assert called_us[-1] == due_us or scene.order[0] == "other"
-            seen.add(scene.order[0])
-            holds(scene)
+            simulations.append(Simulation(seed, reply, listed))
+            simulation = simulations[-1].run(due_us, other)
+            assert called_us[-1] == due_us or simulation.order[0] == "other"
+            seen.add(simulation.order[0])
+            holds(simulation)
     assert seen == {"first", "other"}
 
 
 def test_word_of_a_drain_and_the_dial_that_comes_up() -> None:
-    def holds(scene: Scene) -> None:
-        was_told = scene.order[0] == "other"
-        assert scene.reached == ([] if was_told else ["s-1"])  # written before the word, it may end there
-        assert scene.answers == (["refused"] if was_told else ["served"])
+    def holds(simulation: Simulation) -> None:
+        drain_came_first = simulation.order[0] == "other"
+        # A request written before the drain may complete at that server.
+        assert simulation.reached == ([] if drain_came_first else ["s-1"])
+        assert simulation.answers == (["refused"] if drain_came_first else ["served"])
 
-    both_orders((ConnectionPool, "_write"), lambda scene: scene.drains("s-1"), holds)
+    both_orders((ConnectionPool, "_write"), lambda simulation: simulation.drain("s-1"), holds)
 
 
 def test_a_client_that_leaves_and_the_dial_that_comes_up() -> None:
-    def holds(scene: Scene) -> None:
-        # What was written in that instant may still be dropped on its way.
-        assert scene.reached == [] or scene.order[0] == "first"
-        assert scene.answers == []  # nobody is there to have one
-        assert scene.engine.open_requests == 0
+    def holds(simulation: Simulation) -> None:
+        # Bytes written in that instant may still be lost.
+        assert simulation.reached == [] or simulation.order[0] == "first"
+        assert simulation.answers == []  # the client is gone
+        assert simulation.engine.open_requests == 0
 
-    both_orders((ConnectionPool, "_write"), Scene.leaves, holds)
+    both_orders((ConnectionPool, "_write"), Simulation.disconnect_client, holds)
 
 
 @pytest.mark.parametrize("what", ["the other server drains", "the client leaves"])
 def test_an_attempt_that_breaks_and_what_forbids_the_next_one(what: str) -> None:
-    def other(scene: Scene) -> None:
+    def other(simulation: Simulation) -> None:
         if what == "the client leaves":
-            scene.leaves()
+            simulation.disconnect_client()
         else:
-            scene.drains("s-2" if scene.reached == ["s-1"] else "s-1")
+            simulation.drain("s-2" if simulation.reached == ["s-1"] else "s-1")
 
-    def holds(scene: Scene) -> None:
-        assert len(scene.reached) == 1  # the next one is never written, in whichever order it was told
-        assert scene.answers == ([] if what == "the client leaves" else ["refused"])
-        assert scene.engine.open_requests == 0
+    def holds(simulation: Simulation) -> None:
+        assert len(simulation.reached) == 1  # no retry is written, in either order
+        assert simulation.answers == ([] if what == "the client leaves" else ["refused"])
+        assert simulation.engine.open_requests == 0
 
     both_orders((Engine, "_attempt_ended"), other, holds, reply="resets first", listed=("s-1", "s-2"))
 
 
 def test_the_end_of_a_request_s_time_and_its_answer() -> None:
-    def holds(scene: Scene) -> None:
-        assert len(scene.answers) == 1 and scene.answers[0] in ("served", "failed", "refused")
-        assert scene.engine.open_requests == 0
+    def holds(simulation: Simulation) -> None:
+        assert len(simulation.answers) == 1 and simulation.answers[0] in ("served", "failed", "refused")
+        assert simulation.engine.open_requests == 0
 
-    # Both are due by themselves: the answer comes as the decisions' timer fires, or just before.
+    # Both are due anyway: the response arrives as the policy's timer fires, or just before.
     answers = set()
     for seed in SEEDS:
-        scene = Scene(seed, "answers late", ("s-1",)).play(None, Scene.leaves)
-        holds(scene)
-        answers.update(scene.answers)
+        simulation = Simulation(seed, "answers late", ("s-1",)).run(None, Simulation.disconnect_client)
+        holds(simulation)
+        answers.update(simulation.answers)
     assert len(answers) == 2
--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -1,4 +1,4 @@
-"""What one change of a list costs does not grow with the list: instructions are counted, not seconds."""
+"""The cost of one list change, in interpreter instructions, does not grow with the size of the list."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def instructions(work: Callable[[], object]) -> int:
-    """How many instructions of the interpreter this takes."""
+    """Count the interpreter instructions that a call takes."""
     count = 0
 
     def trace(frame: FrameType, event: str, _: Any) -> Any:
@@ -42,7 +42,7 @@
     return f"10.0.{number // 250}.{number % 250 + 1}", 80
 
 
-def _merge(count: int, flip: Precedence) -> Callable[[], object]:
+def _merge_change(count: int, flip: Precedence) -> Callable[[], object]:
     merge = EndpointMerge()
     for source in ("roster", "consul"):
         merge.add(source)
@@ -57,16 +57,16 @@
     return work
 
 
-def _decisions(count: int) -> Callable[[], object]:
+def _policy_changes(count: int) -> Callable[[], object]:
     harness = PolicyHarness(settings(rules={"cold_us": 10_000_000}))
     harness.list_servers([ListedServer(f"s-{n}", zone="east") for n in range(count)])
     harness.serve(5)
     changed = ListedServer("s-7", zone="east", state=ServerState.DRAINING)
-    back = ListedServer("s-7", zone="east", started_at=harness.now)
+    returned = ListedServer("s-7", zone="east", started_at=harness.now)
 
     def work() -> None:
         balancer, now = harness.balancer, harness.now
-        for version, each in ((2, changed), (3, back)):
+        for version, each in ((2, changed), (3, returned)):
             balancer.handle(now, ServersListed(ListKind.CHANGES, [each], version))
         server = balancer._endpoints.by_name["s-7"]
         assert balancer._slow_start.is_cold(server) and balancer._slow_start.has_budget(server, 1.0) in (
@@ -92,9 +92,9 @@
 @pytest.mark.parametrize(
     "made",
     [
-        lambda count: _merge(count, Precedence.DRAINING),
-        lambda count: _merge(count, Precedence.UNHEALTHY),
-        _decisions,
+        lambda count: _merge_change(count, Precedence.DRAINING),
+        lambda count: _merge_change(count, Precedence.UNHEALTHY),
+        _policy_changes,
     ],
     ids=[
         "a drain in the merge",
@@ -104,37 +104,37 @@
 )
 def test_a_change_costs_the_same_among_many(made: Callable[[int], Callable[[], object]]) -> None:
     few, many = instructions(made(FEW)), instructions(made(MANY))
-    assert 20 < few and many < 1.5 * few  # a search by halves takes a few steps more
+    assert 20 < few and many < 1.5 * few  # a binary search takes a few steps more
 
 
 def test_of_a_list_read_again_only_the_entry_that_changed_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    read: list[Any] = []
+    parsed: list[Any] = []
     parse = ServiceView._parse_entry
 
-    def noted(view: ServiceView, raw: Any, number: int) -> Any:
-        read.append(number)
+    def record_parse(view: ServiceView, raw: Any, number: int) -> Any:
+        parsed.append(number)
         return parse(view, raw, number)
 
-    monkeypatch.setattr(ServiceView, "_parse_entry", noted)
+    monkeypatch.setattr(ServiceView, "_parse_entry", record_parse)
     view = ServiceView()
     steps = sum(1 for _ in view.read(_body(MANY)))
-    assert steps == 1 + MANY // ENTRIES_PER_STEP and len(read) == MANY
+    assert steps == 1 + MANY // ENTRIES_PER_STEP and len(parsed) == MANY
     assert len(list(view.take_change(1).observations)) == MANY
-    read.clear()
+    parsed.clear()
     assert sum(1 for _ in view.read(_body(MANY, critical=9))) == steps
     change = view.take_change(2)
-    assert len(read) == 1 and not change.removed and not change.is_complete
+    assert len(parsed) == 1 and not change.removed and not change.is_complete
     assert [(each.address, each.precedence) for each in change.observations] == [
         (_address(9), Precedence.UNHEALTHY)
     ]
 
 
 def test_changes_of_the_view_and_a_complete_list_come_to_the_same() -> None:
-    """Diffs over drawn answers, against each answer read by a view that knows nothing."""
+    """Compare incremental changes with the same answers read by a new view each time."""
     view = ServiceView()
     held: dict[tuple[str, int], Precedence] = {}
     for turn in range(60):
-        body = json.dumps(_drawn(turn)).encode()
+        body = json.dumps(_answer(turn)).encode()
         list(view.read(body))
         change = view.take_change(turn)
         for address in change.removed:
@@ -145,7 +145,7 @@
         assert held == {each.address: each.precedence for each in fresh.take_change(turn).observations}
 
 
-def _drawn(turn: int) -> list[dict[str, Any]]:
+def _answer(turn: int) -> list[dict[str, Any]]:
     return list(_entries(turn))
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -35,7 +35,7 @@
 
 
 class FakePorts:
-    """Clock, timers, transport, source and peers in one; attempts end when the test ends them."""
+    """Clock, timers, transport, discovery and peers in one; the test ends the attempts."""
 
     def __init__(self) -> None:
         self.at = 1_000_000_000
@@ -64,7 +64,7 @@
         self.at = until
 
     def start(self, *given: Any) -> int:
-        if len(given) == 5:  # the transport's; the source's has two
+        if len(given) == 5:  # called as a transport; discovery gets two arguments
             server, _, request, done, _ = given
             self.attempts.append((server, request, done))
         return len(self.attempts) - 1
@@ -96,19 +96,19 @@
 
 class Handler:
     def __init__(self) -> None:
-        self.got: list[tuple[Any, ...]] = []
+        self.answers: list[tuple[Any, ...]] = []
 
     def served(self, response: Any) -> None:
-        self.got.append(("served", response))
+        self.answers.append(("served", response))
 
     def refused(self, retry_after_us: int) -> None:
-        self.got.append(("refused",))
+        self.answers.append(("refused",))
 
     def failed(self, cause: FailureCause, may_have_run: bool) -> None:
-        self.got.append(("failed", cause, may_have_run))
+        self.answers.append(("failed", cause, may_have_run))
 
 
-class Stage:
+class EngineHarness:
     def __init__(self, make: type[Engine] = Engine, **bounds: Any) -> None:
         self.ports = FakePorts()
         given: dict[str, Any] = {"lanes": CLASSES, "discovery": "on_request"}
@@ -127,13 +127,13 @@
         self.engine.start(EndpointUpdate(1, True, tuple(entries)))
         self._request_numbers = itertools.count()
 
-    def ask(self, kind: str = "lodge", request_id: bytes | None = None) -> tuple[Handler, int | None]:
+    def submit(self, kind: str = "lodge", request_id: bytes | None = None) -> tuple[Handler, int | None]:
         handler = Handler()
         name = request_id or b"%d" % next(self._request_numbers)
         request = Request(kind, None, None, 2_000_000, None, False, name, kind != "check")
         return handler, self.engine.submit(request, handler)
 
-    def order(self) -> list[str]:
+    def event_names(self) -> list[str]:
         kinds = (RequestArrived, AttemptEnded)
         return [type(each).__name__ for each in self.events if isinstance(each, kinds)]
 
@@ -151,85 +151,85 @@
 def test_an_unsafe_request_is_not_retried_once_it_may_have_run(
     outcome: Outcome, got: tuple[Any, ...]
 ) -> None:
-    stage = Stage()
-    handler, _ = stage.ask()
-    stage.ports.end(0, outcome)
-    assert handler.got == [got] and len(stage.ports.attempts) == 1
-    assert stage.engine.open_requests == stage.engine.unanswered_requests == 0
+    harness = EngineHarness()
+    handler, _ = harness.submit()
+    harness.ports.end(0, outcome)
+    assert handler.answers == [got] and len(harness.ports.attempts) == 1
+    assert harness.engine.open_requests == harness.engine.unanswered_requests == 0
 
 
 def test_a_request_that_never_ran_is_retried_and_then_refused() -> None:
-    stage = Stage()
-    handler, _ = stage.ask()
+    harness = EngineHarness()
+    handler, _ = harness.submit()
     for attempt in range(3):
-        assert handler.got == []
-        stage.ports.end(attempt, Outcome.CONNECT_FAILED)
-    assert handler.got == [("refused",)]
+        assert handler.answers == []
+        harness.ports.end(attempt, Outcome.CONNECT_FAILED)
+    assert handler.answers == [("refused",)]
 
 
 def test_failing_open_requests_drops_later_answers() -> None:
-    stage = Stage()
-    handler, _ = stage.ask()
-    stage.engine.fail_open_requests()
-    assert handler.got == [("failed", FailureCause.TIME, True)]
-    assert stage.engine.open_requests == 1  # its attempt is still in flight
-    stage.ports.end(0)
-    assert len(handler.got) == 1 and stage.engine.open_requests == 0
+    harness = EngineHarness()
+    handler, _ = harness.submit()
+    harness.engine.fail_open_requests()
+    assert handler.answers == [("failed", FailureCause.TIME, True)]
+    assert harness.engine.open_requests == 1  # its attempt is still in flight
+    harness.ports.end(0)
+    assert len(handler.answers) == 1 and harness.engine.open_requests == 0
 
 
 def test_a_disconnected_client_gets_no_answer_and_a_second_disconnect_changes_nothing() -> None:
-    stage = Stage()
-    handler, number = stage.ask()
+    harness = EngineHarness()
+    handler, number = harness.submit()
     assert number is not None
-    stage.engine.client_disconnected(number)
-    stage.engine.client_disconnected(number)
-    stage.engine.client_disconnected(999)
-    stage.ports.end(0)
-    assert handler.got == [] and stage.engine.open_requests == 0
+    harness.engine.client_disconnected(number)
+    harness.engine.client_disconnected(number)
+    harness.engine.client_disconnected(999)
+    harness.ports.end(0)
+    assert handler.answers == [] and harness.engine.open_requests == 0
 
 
 def test_an_open_request_id_is_rejected_and_so_is_a_request_beyond_max_open() -> None:
-    stage = Stage(maxOpen=2)
-    stage.ask(request_id=b"same")
+    harness = EngineHarness(maxOpen=2)
+    harness.submit(request_id=b"same")
     with pytest.raises(RequestIdInUseError):
-        stage.ask(request_id=b"same")
-    stage.ask()
-    handler, number = stage.ask()
-    assert handler.got == [("refused",)] and number is None
-    stage.ports.end(0)
-    assert stage.ask(request_id=b"same")[1] is not None
+        harness.submit(request_id=b"same")
+    harness.submit()
+    handler, number = harness.submit()
+    assert handler.answers == [("refused",)] and number is None
+    harness.ports.end(0)
+    assert harness.submit(request_id=b"same")[1] is not None
 
 
 def test_with_pauses_between_requests_the_handler_runs_before_the_decisions() -> None:
-    stage = Stage(HandlerFirstEngine)
+    harness = EngineHarness(HandlerFirstEngine)
     for number in range(3):
-        stage.ports.wait(5 * MS)
-        handler, _ = stage.ask()
-        stage.ports.end(number)
-        assert handler.got == [("served", "answer")]
-        assert stage.order()[-1] == "RequestArrived"
-        stage.ports.wait(2 * MS)
-        assert stage.order()[-1] == "AttemptEnded"
+        harness.ports.wait(5 * MS)
+        handler, _ = harness.submit()
+        harness.ports.end(number)
+        assert handler.answers == [("served", "answer")]
+        assert harness.event_names()[-1] == "RequestArrived"
+        harness.ports.wait(2 * MS)
+        assert harness.event_names()[-1] == "AttemptEnded"
 
 
 def test_the_decisions_get_an_attempts_end_before_the_next_request_in_any_case() -> None:
-    stage = Stage(HandlerFirstEngine)
-    stage.ports.wait(5 * MS)
+    harness = EngineHarness(HandlerFirstEngine)
+    harness.ports.wait(5 * MS)
     for number in range(6):
-        stage.ask()
-        stage.ports.end(number)
-        stage.ports.wait(2 * MS if number == 2 else 100)
-    stage.ports.wait(5 * MS)
-    assert stage.order() == ["RequestArrived", "AttemptEnded"] * 6
-    assert stage.engine.open_requests == 0
+        harness.submit()
+        harness.ports.end(number)
+        harness.ports.wait(2 * MS if number == 2 else 100)
+    harness.ports.wait(5 * MS)
+    assert harness.event_names() == ["RequestArrived", "AttemptEnded"] * 6
+    assert harness.engine.open_requests == 0
 
 
 def test_without_pauses_the_decisions_get_an_attempts_end_at_once() -> None:
-    stage = Stage(HandlerFirstEngine)
-    stage.ports.wait(5 * MS)
+    harness = EngineHarness(HandlerFirstEngine)
+    harness.ports.wait(5 * MS)
     for number in range(4):
-        stage.ask()
-        stage.ports.end(number)
+        harness.submit()
+        harness.ports.end(number)
         if number:
-            assert stage.order()[-1] == "AttemptEnded"
-        stage.ports.wait(100)
+            assert harness.event_names()[-1] == "AttemptEnded"
+        harness.ports.wait(100)
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""The list of known failures says of each what plays it, and names tests that exist."""
+"""Each entry of the list of known failures names an existing test and the command that runs it."""
 
 from __future__ import annotations
 
--- a/tests/test_message_races.py
+++ b/tests/test_message_races.py
@@ -1,7 +1,7 @@
-"""Two things in one instant, forced over loopback: one side is held until the other has happened.
+"""Races between two events, forced over loopback by holding one side until the other has happened.
 
-A client here is a plain blocking socket: what it sends lies in the sidecar's socket as the call returns, and
-the event loop, which runs in this thread, has not read it yet.  `docs/design/crossings.md` lists them all.
+Clients are plain blocking sockets: what they send is in the sidecar's socket buffer when the call returns,
+and the event loop, which runs in this thread, has not read it yet.  `docs/design/crossings.md` has the list.
 """
 
 from __future__ import annotations
@@ -42,15 +42,15 @@
     client.close()
 
 
-async def at_rest(scene: Stage, client: socket.socket) -> DownstreamConnection:
-    """The sidecar's side of a client that has had one answer."""
+async def idle_connection(scene: Stage, client: socket.socket) -> DownstreamConnection:
+    """The sidecar's connection to a client that has received one answer."""
     client.sendall(request())
     client.setblocking(False)
     assert (await soon(asyncio.get_running_loop().sock_recv(client, 65_536))).startswith(b"HTTP/1.1 200")
     client.setblocking(True)
-    (side,) = scene.sidecar.listener.connections
-    assert isinstance(side, DownstreamConnection) and side.is_idle
-    return side
+    (connection,) = scene.sidecar.listener.connections
+    assert isinstance(connection, DownstreamConnection) and connection.is_idle
+    return connection
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -59,7 +59,7 @@
 def test_a_client_that_sent_much_ahead_and_left_is_noticed_before_anything_is_sent_on(
     behind: int, how: str, may_cancel: bool
 ) -> None:
-    # Its end lies behind what it sent ahead, of which nothing is due yet.
+    # The end of its stream is queued behind pipelined requests that are not read yet.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -71,7 +71,7 @@
                 client.sendall(b"".join(request("lodge", timeout="4") for _ in range(1 + behind)))
                 await until(lambda: scene.sidecar.open_requests == 1)
                 reset(client) if how == "resets" else client.close()
-                async with asyncio.timeout(1.5):  # its own time would end it only after 4 s
+                async with asyncio.timeout(1.5):  # its deadline would end it only after 4 s
                     await until(lambda: scene.sidecar.open_requests == 0)
             assert len(scene.sidecar.listener.connections) == 0
             accepted = await slow.let_go()
@@ -88,23 +88,25 @@
 def test_nothing_begins_for_a_client_that_left_unseen_however_rarely_the_front_looks(
     waits_for: str, how: str
 ) -> None:
-    # Its end lies behind what it sent ahead, and the front looks at the times only once a minute.
+    # The end of its stream is queued behind pipelined requests, and the timeout sweep runs once a minute.
     async def work() -> None:
-        left = asyncio.Event()
+        client_left = asyncio.Event()
 
-        async def breaks(heard: Heard) -> bytes | None:
-            await left.wait()
+        async def fail_once_client_left(heard: Heard) -> bytes | None:
+            await client_left.wait()
             return ERROR
 
         slow = SlowToAccept()
         await slow.fill()
         limits = DownstreamLimits(sweep_s=60.0)
         bounds = {"dialTimeoutUs": 15_000_000}
-        async with stage(breaks, breaks, bounds=bounds, client_limits=limits) as scene:
+        async with stage(
+            fail_once_client_left, fail_once_client_left, bounds=bounds, client_limits=limits
+        ) as scene:
             if waits_for == "a dial":
                 await until(lambda: len(scene.discovery.heard) >= 2)
-                gone = [{**each, "state": "left"} for each in scene.discovery.servers]
-                scene.discovery.tell(line("s", slow.address), *gone)
+                removed = [{**each, "state": "left"} for each in scene.discovery.servers]
+                scene.discovery.tell(line("s", slow.address), *removed)
                 await until(lambda: len(scene.discovery.heard) >= 3)
             with raw_client(scene) as client:
                 client.sendall(b"".join(request("check", timeout="4") for _ in range(400)))
@@ -112,9 +114,9 @@
                 if waits_for == "a retry":
                     await until(lambda: len(scene.heard) == 1)
                 reset(client) if how == "resets" else client.close()
-            await asyncio.sleep(0.05)  # so that its end has come, and lies there
+            await asyncio.sleep(0.05)  # so that the end of its stream has arrived and is queued
             assert scene.sidecar.open_requests == 1
-            left.set()
+            client_left.set()
             if waits_for == "a dial":
                 accepted = await slow.let_go()
             async with asyncio.timeout(1.5):
@@ -135,9 +137,9 @@
             with raw_client(scene) as client:
                 client.sendall(b"".join(request("lodge") for _ in range(400)))
                 client.setblocking(False)
-                came = b""
-                while came.count(b"HTTP/1.1 200") < 400 or not came.endswith(b"served"):
-                    came += await soon(asyncio.get_running_loop().sock_recv(client, 65_536))
+                received = b""
+                while received.count(b"HTTP/1.1 200") < 400 or not received.endswith(b"served"):
+                    received += await soon(asyncio.get_running_loop().sock_recv(client, 65_536))
             assert len(scene.heard) == 400
 
     play(work)
@@ -147,9 +149,9 @@
     async def work() -> None:
         async with stage(OK) as scene:
             with raw_client(scene) as client:
-                side = await at_rest(scene, client)
-                client.sendall(request("lodge"))  # after the look, before the close
-                side.close()
+                connection = await idle_connection(scene, client)
+                client.sendall(request("lodge"))  # after the check that it is idle, before the close
+                connection.close()
                 assert await rest_of(client) == b""
             await until(lambda: len(scene.sidecar.listener.connections) == 0)
             assert len(scene.heard) == 1
@@ -166,7 +168,7 @@
                 await until(lambda: len(scene.heard) == 1)
                 scene.sidecar.listener.is_draining = True
                 client.sendall(behind)
-                scene.sidecar._engine.fail_open_requests()  # its answer is written, its connection closed
+                scene.sidecar._engine.fail_open_requests()  # writes its answer and closes its connection
                 answer = await rest_of(client)
             assert answer.startswith(b"HTTP/1.1 504") and b"connection: close" in answer
             await until(lambda: len(scene.sidecar.listener.connections) == 0)
@@ -187,7 +189,7 @@
                 client.sendall(request("lodge"))
                 await until(lambda: any(not each.is_idle for each in scene.sidecar.listener.connections))
                 await until(lambda: scene.sidecar.open_requests == 0)
-                await asyncio.sleep(0.8)  # it takes nothing for longer than a client is waited for otherwise
+                await asyncio.sleep(0.8)  # it reads nothing for longer than the usual timeout for a client
                 assert (await rest_of(client)).endswith(body)
 
     play(work)
@@ -195,9 +197,9 @@
 
 def test_an_answer_that_is_passed_on_as_the_time_ends_is_cut_off_and_not_taken_for_whole() -> None:
     async def work() -> None:
-        faults: list[dict[str, object]] = []
+        errors: list[dict[str, object]] = []
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, what: faults.append(what))
+        loop.set_exception_handler(lambda _, context: errors.append(context))
         body = b"x" * (8 << 20)
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         async with stage(answer) as scene:
@@ -206,16 +208,16 @@
                 client.connect((HOST, scene.sidecar.listener.port))
                 client.sendall(request("lodge"))
                 await until(lambda: scene.sidecar.open_requests == 1)
-                (side,) = scene.sidecar.listener.connections
-                await until(lambda: side.has_unsent)
+                (connection,) = scene.sidecar.listener.connections
+                await until(lambda: connection.has_unsent)
                 await soon(scene.sidecar.stop(loop.time() - 100.0))
-                came = 0
+                received = 0
                 with contextlib.suppress(ConnectionResetError):
-                    came = len(await rest_of(client))
-            assert came < len(body)
+                    received = len(await rest_of(client))
+            assert received < len(body)
             await asyncio.sleep(0.05)
-            # The scripted servers' own tasks are cut off with their connections; nothing else may go wrong.
-            assert [each for each in faults if "StreamReaderProtocol" not in str(each)] == []
+            # The scripted servers' tasks end with their connections; no other error may be reported.
+            assert [each for each in errors if "StreamReaderProtocol" not in str(each)] == []
 
     play(work)
 
@@ -224,7 +226,7 @@
     async def work() -> None:
         async with stage(OK) as scene:
             with raw_client(scene) as client:
-                (await at_rest(scene, client)).close()
+                (await idle_connection(scene, client)).close()
                 assert await rest_of(client) == b""
                 async with asyncio.timeout(3.0):
                     await until(lambda: len(scene.sidecar.listener.connections) == 0)
@@ -256,7 +258,7 @@
 
 @pytest.mark.parametrize("held_up_s", [0.0, 1.0])
 def test_what_is_open_is_answered_in_the_time_that_runs_from_the_signal(held_up_s: float) -> None:
-    # Guards against a kill that comes before the last answers: the event loop heard of the signal late.
+    # Guards against a kill before the last answers, where a busy event loop handles the signal late.
     async def work() -> None:
         kind = {"name": "lodge", "giveUpUs": 1_500_000, "promiseUs": 1_200_000, "repeat": "non_idempotent"}
         async with stage(None, lanes=[kind]) as scene:
@@ -264,10 +266,10 @@
                 client.sendall(request("lodge", timeout="1.5"))
                 await until(lambda: len(scene.heard) == 1)
                 loop = asyncio.get_running_loop()
-                asked_at = loop.time() - held_up_s
-                stopping = asyncio.ensure_future(scene.sidecar.stop(asked_at))
+                signal_at = loop.time() - held_up_s
+                stopping = asyncio.ensure_future(scene.sidecar.stop(signal_at))
                 answer = await rest_of(client)
-                took = loop.time() - asked_at
+                took = loop.time() - signal_at
                 client.close()
                 await stopping
             assert answer.startswith(b"HTTP/1.1 504")
@@ -289,7 +291,7 @@
             sent_at = time.monotonic()
             os.kill(os.getpid(), signal.SIGTERM)
             while time.monotonic() < until_s:
-                pass  # the loop turns only after this
+                pass  # the event loop is blocked until then
             os.kill(os.getpid(), signal.SIGTERM)
             await soon(end.wait())
             assert signals.ended_at is not None and signals.ended_at - sent_at < 0.2
@@ -308,27 +310,27 @@
         async with stage(answer) as scene:
             stopping = asyncio.ensure_future(scene.sidecar.stop())
             lost: list[object] = []
-            asked = 0
+            sent = 0
 
-            async def ask_on() -> None:
-                """On one connection after the other, as long as anybody listens."""
-                nonlocal asked
+            async def send_until_closed() -> None:
+                """Send one request per connection until the sidecar stops listening."""
+                nonlocal sent
                 while not stopping.done():
                     try:
                         client = await scene.client()
                     except OSError:
                         return
                     client.send(request("lodge"))
-                    asked += 1
+                    sent += 1
                     try:
                         if (await client.answer()).status != 200:
                             lost.append("not served")
-                    except (OSError, EOFError) as fault:
-                        lost.append(fault)
+                    except (OSError, EOFError) as error:
+                        lost.append(error)
                     client.close()
 
-            await asyncio.gather(*(ask_on() for _ in range(8)))
+            await asyncio.gather(*(send_until_closed() for _ in range(8)))
             await soon(stopping)
-            assert asked > 20 and lost == []
+            assert sent > 20 and lost == []
 
     play(work)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""Settings that change at SIGHUP: whole or not at all, and each request under its own."""
+"""Reload of settings at SIGHUP: all or nothing, and each request keeps the settings it arrived under."""
 
 from __future__ import annotations
 
@@ -38,52 +38,54 @@
 TRACK = {**CHECK, "name": "track"}
 
 
-# Which settings a request falls under
+# Which version of the settings applies to a request
 
 
 def test_new_settings_wait_until_clients_follow_or_a_request_needs_them() -> None:
     old, new = settings(), settings(CHECK, {**AMEND, "repeat": "non_idempotent"}, TRACK)
-    asked = SettingsVersions(old)
-    due = asked.announce(new, 1_000_000)
+    versions = SettingsVersions(old)
+    due = versions.announce(new, 1_000_000)
     assert due == 2_200_000
-    assert not asked.apply_due(due - 1)
-    found = asked.find("lodge", Idempotency.NON_IDEMPOTENT, due - 1)
-    assert found is not None and found[0].name == "lodge" and asked.settings is old
-    assert asked.find("track", Idempotency.IDEMPOTENT, due - 1) == (
+    assert not versions.apply_due(due - 1)
+    found = versions.find("lodge", Idempotency.NON_IDEMPOTENT, due - 1)
+    assert found is not None and found[0].name == "lodge" and versions.settings is old
+    # The first request that needs the new settings brings them into force.
+    assert versions.find("track", Idempotency.IDEMPOTENT, due - 1) == (
         new.classes[2],
         False,
-    )  # the first that needs them
-    assert asked.settings is new and not asked.apply_due(due)
-    # What only the old ones explain is served by them for a moment more.
-    assert asked.find("amend", Idempotency.KEYED, due) == (old.classes[1], True)
-    assert asked.find("amend", Idempotency.NON_IDEMPOTENT, due) == (new.classes[1], False)
-    assert asked.find("lodge", Idempotency.NON_IDEMPOTENT, due) == (old.classes[2], True)
+    )
+    assert versions.settings is new and not versions.apply_due(due)
+    # Requests that fit only the old settings are served under them for a short time.
+    assert versions.find("amend", Idempotency.KEYED, due) == (old.classes[1], True)
+    assert versions.find("amend", Idempotency.NON_IDEMPOTENT, due) == (new.classes[1], False)
+    assert versions.find("lodge", Idempotency.NON_IDEMPOTENT, due) == (old.classes[2], True)
+    # Later the dropped class is unknown, and the keyed request doesn't match its class any more.
     late = due + 300_000
-    assert asked.find("lodge", Idempotency.NON_IDEMPOTENT, late) is None  # dropped
-    assert asked.find("amend", Idempotency.KEYED, late) == (
+    assert versions.find("lodge", Idempotency.NON_IDEMPOTENT, late) is None
+    assert versions.find("amend", Idempotency.KEYED, late) == (
         new.classes[1],
         False,
-    )  # does not go with the class
+    )
 
 
 def test_of_two_reloads_in_a_row_the_second_counts() -> None:
-    asked = SettingsVersions(settings())
-    asked.announce(settings(TRACK), 0)
+    versions = SettingsVersions(settings())
+    versions.announce(settings(TRACK), 0)
     last = settings(CHECK)
-    due = asked.announce(last, 500_000)
-    assert not asked.apply_due(1_200_000)
-    assert asked.apply_due(due) and asked.settings is last
-    # Also where it takes the first one back.
-    asked.announce(settings(TRACK), due)
-    due = asked.announce(settings(CHECK), due + 1)
-    assert not asked.apply_due(due) and asked.settings is last
-    assert asked.find("track", Idempotency.IDEMPOTENT, due) is None
+    due = versions.announce(last, 500_000)
+    assert not versions.apply_due(1_200_000)
+    assert versions.apply_due(due) and versions.settings is last
+    # Also if the second reload reverts the first.
+    versions.announce(settings(TRACK), due)
+    due = versions.announce(settings(CHECK), due + 1)
+    assert not versions.apply_due(due) and versions.settings is last
+    assert versions.find("track", Idempotency.IDEMPOTENT, due) is None
 
 
-# The module
+# The policy
 
 
-def arrived(number: int, name: str = "check") -> RequestArrived:
+def arrival(number: int, name: str = "check") -> RequestArrived:
     return RequestArrived(number, name, None, None, 2_000_000)
 
 
@@ -91,57 +93,57 @@
     return [each for each in actions if isinstance(each, Send)]
 
 
-def balancer(cap: int) -> Balancer:
-    made = Balancer(settings(cap=cap), 7)
+def make_balancer(cap: int) -> Balancer:
+    policy = Balancer(settings(cap=cap), 7)
     listed = [ListedServer(f"s-{number}") for number in range(6)]
-    made.handle(1_000, ServersListed(ListKind.COMPLETE, listed, 1))
-    return made
+    policy.handle(1_000, ServersListed(ListKind.COMPLETE, listed, 1))
+    return policy
 
 
-def failed(sent: Send, attempt: int) -> AttemptEnded:
+def attempt_failed(sent: Send, attempt: int) -> AttemptEnded:
     return AttemptEnded(sent.request, attempt, sent.server, Outcome.ERROR, 500, False)
 
 
-@pytest.mark.parametrize(("before", "after", "most"), [(2, 3, 2), (3, 2, 2), (3, 3, 3)])
+@pytest.mark.parametrize(("before", "after", "max_attempts"), [(2, 3, 2), (3, 2, 2), (3, 3, 3)])
 def test_an_open_request_has_no_more_attempts_than_either_settings_allow(
-    before: int, after: int, most: int
+    before: int, after: int, max_attempts: int
 ) -> None:
-    made = balancer(before)
-    (sent,) = sends(made.handle(2_000, arrived(1)))
-    made.handle(2_500, SettingsChanged(settings(cap=after)))
+    policy = make_balancer(before)
+    (sent,) = sends(policy.handle(2_000, arrival(1)))
+    policy.handle(2_500, SettingsChanged(settings(cap=after)))
     attempts = 1
     while True:
-        again = sends(made.handle(3_000 + attempts, failed(sent, attempts - 1)))
+        again = sends(policy.handle(3_000 + attempts, attempt_failed(sent, attempts - 1)))
         if not again:
             break
         (sent,) = again
         attempts += 1
-    assert attempts == most
+    assert attempts == max_attempts
 
 
 def test_an_open_request_keeps_its_class_and_a_new_one_has_the_new() -> None:
-    made = balancer(3)
-    (old,) = sends(made.handle(2_000, arrived(1, "check")))
-    made.handle(2_100, SettingsChanged(settings({**CHECK, "repeat": "non_idempotent"})))
-    (new,) = sends(made.handle(2_200, arrived(2, "check")))
-    assert sends(made.handle(2_300, failed(old, 0)))  # safe when it came: made again
-    assert not sends(made.handle(2_400, failed(new, 0)))  # unsafe by now
+    policy = make_balancer(3)
+    (old,) = sends(policy.handle(2_000, arrival(1, "check")))
+    policy.handle(2_100, SettingsChanged(settings({**CHECK, "repeat": "non_idempotent"})))
+    (new,) = sends(policy.handle(2_200, arrival(2, "check")))
+    assert sends(policy.handle(2_300, attempt_failed(old, 0)))  # idempotent on arrival: retried
+    assert not sends(policy.handle(2_400, attempt_failed(new, 0)))  # non-idempotent by now
 
 
 def test_what_is_known_of_servers_survives() -> None:
-    made = balancer(3)
-    (sent,) = sends(made.handle(2_000, arrived(1)))
-    made.handle(2_100, SettingsChanged(settings(TRACK)))
-    assert made.known() == 6
-    assert made._endpoints.by_name[sent.server].in_flight == 1
-    assert not sends(made.handle(2_200, AttemptEnded(1, 0, sent.server, Outcome.DELIVERED, 200, True)))
-    assert made._endpoints.by_name[sent.server].in_flight == 0
+    policy = make_balancer(3)
+    (sent,) = sends(policy.handle(2_000, arrival(1)))
+    policy.handle(2_100, SettingsChanged(settings(TRACK)))
+    assert policy.known() == 6
+    assert policy._endpoints.by_name[sent.server].in_flight == 1
+    assert not sends(policy.handle(2_200, AttemptEnded(1, 0, sent.server, Outcome.DELIVERED, 200, True)))
+    assert policy._endpoints.by_name[sent.server].in_flight == 0
 
 
-# The file
+# The configuration file
 
 
-def whole() -> dict[str, Any]:
+def valid_config() -> dict[str, Any]:
     return {
         "name": "n0",
         "listen": f"{HOST}:8081",
@@ -154,15 +156,15 @@
 
 def test_a_file_cut_off_anywhere_is_turned_down(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    good = json.dumps(whole()).encode()
-    for length in range(len(good)):
-        path.write_bytes(good[:length])
+    complete = json.dumps(valid_config()).encode()
+    for length in range(len(complete)):
+        path.write_bytes(complete[:length])
         with pytest.raises(ConfigError):
             load({"BALANCER_CONFIG": str(path)})
 
 
-def without(*path: Any) -> dict[str, Any]:
-    given: Any = json.loads(json.dumps(whole()))
+def config_without(*path: Any) -> dict[str, Any]:
+    given: Any = json.loads(json.dumps(valid_config()))
     part = given
     for key in path[:-1]:
         part = part[key]
@@ -171,8 +173,8 @@
     return changed
 
 
-def put(value: Any, *path: Any) -> dict[str, Any]:
-    given: Any = json.loads(json.dumps(whole()))
+def config_with(value: Any, *path: Any) -> dict[str, Any]:
+    given: Any = json.loads(json.dumps(valid_config()))
     part = given
     for key in path[:-1]:
         part = part[key]
@@ -184,27 +186,27 @@
 @pytest.mark.parametrize(
     ("given", "key"),
     [
-        (without("settings"), "settings"),
-        (without("limits"), "limits"),
-        (without("limits", "sockets"), "limits.sockets"),
-        (without("settings", "bounds"), "settings.bounds"),
-        (without("settings", "bounds", "sendCap"), "settings.bounds.sendCap"),
-        (without("settings", "lanes"), "settings.classes"),
-        (without("settings", "lanes", 0, "repeat"), "settings.lanes[].repeat"),
-        (without("settings", "lanes", 1, "giveUpUs"), "settings.classes[1].deadline_us"),
-        (put(0, "settings", "lanes", 2, "giveUpUs"), "settings.classes[2].deadline_us"),
-        (put(-5, "settings", "lanes", 2, "giveUpUs"), "settings.classes[2].deadline_us"),
-        (put(0, "settings", "bounds", "sendCap"), "settings.limits.max_attempts"),
-        (put("check", "settings", "lanes", 2, "name"), "settings.classes"),
-        (put([], "settings", "lanes"), "settings.classes"),
+        (config_without("settings"), "settings"),
+        (config_without("limits"), "limits"),
+        (config_without("limits", "sockets"), "limits.sockets"),
+        (config_without("settings", "bounds"), "settings.bounds"),
+        (config_without("settings", "bounds", "sendCap"), "settings.bounds.sendCap"),
+        (config_without("settings", "lanes"), "settings.classes"),
+        (config_without("settings", "lanes", 0, "repeat"), "settings.lanes[].repeat"),
+        (config_without("settings", "lanes", 1, "giveUpUs"), "settings.classes[1].deadline_us"),
+        (config_with(0, "settings", "lanes", 2, "giveUpUs"), "settings.classes[2].deadline_us"),
+        (config_with(-5, "settings", "lanes", 2, "giveUpUs"), "settings.classes[2].deadline_us"),
+        (config_with(0, "settings", "bounds", "sendCap"), "settings.limits.max_attempts"),
+        (config_with("check", "settings", "lanes", 2, "name"), "settings.classes"),
+        (config_with([], "settings", "lanes"), "settings.classes"),
     ],
     ids=str,
 )
 def test_a_broken_file_changes_nothing_and_its_key_is_named(given: dict[str, Any], key: str) -> None:
-    running = parse(whole())
-    with pytest.raises(ConfigError) as fault:
+    running = parse(valid_config())
+    with pytest.raises(ConfigError) as error:
         parse(given).check_replaces(running)
-    assert str(fault.value).startswith(key)
+    assert str(error.value).startswith(key)
 
 
 # The daemon
@@ -212,34 +214,34 @@
 
 @played
 async def test_a_reload_brings_classes_and_drops_them_while_requests_are_open() -> None:
-    async def slow(heard: Heard) -> bytes:
+    async def slow_for_lodge(heard: Heard) -> bytes:
         await asyncio.sleep(0.2 if heard.headers["request-class"] == "lodge" else 0.0)
         return OK
 
-    async with stage(slow, given={"operator": f"{HOST}:0"}) as scene:
+    async with stage(slow_for_lodge, given={"operator": f"{HOST}:0"}) as scene:
         sidecar = scene.sidecar
         running = sidecar._runtime.config
         changed = replace(running, settings=settings(CHECK, TRACK))
-        open_one = await scene.client()
-        open_one.send(request("lodge"))
+        open_client = await scene.client()
+        open_client.send(request("lodge"))
         await until(lambda: len(scene.heard) == 1)
         sidecar.reload(changed)
-        assert (await scene.ask("amend")).status == 200  # clients have not learnt of it yet
+        assert (await scene.ask("amend")).status == 200  # clients may not follow the new settings yet
         track = request("check").replace(b"Request-Class: check", b"Request-Class: track")
-        asking = await scene.client()
-        asking.send(track)
-        assert (await asking.answer()).status == 200
-        assert (await open_one.answer()).status == 200  # its class is dropped meanwhile
-        assert (await scene.ask("lodge")).status == 200  # by the old rules, for a moment
+        track_client = await scene.client()
+        track_client.send(track)
+        assert (await track_client.answer()).status == 200
+        assert (await open_client.answer()).status == 200  # its class has been dropped meanwhile
+        assert (await scene.ask("lodge")).status == 200  # under the old settings, for a short time
         with pytest.raises(ConfigError):
             sidecar.reload(replace(changed, keys=frozenset()))
         sidecar.count_rejected_config()
-        told = sidecar.statistics_report().decode()
-        assert "edge_balancer.loads:1|c" in told and "edge_balancer.load_errors:1|c" in told
-        assert "edge_balancer.handled.track.passed:1|c" in told
+        metrics = sidecar.statistics_report().decode()
+        assert "edge_balancer.loads:1|c" in metrics and "edge_balancer.load_errors:1|c" in metrics
+        assert "edge_balancer.handled.track.passed:1|c" in metrics
         await asyncio.sleep(0.35)
-        gone = await scene.ask("lodge")
-        assert (gone.status, gone.body) == (400, b"request-class is unknown\n")
+        rejected = await scene.ask("lodge")
+        assert (rejected.status, rejected.body) == (400, b"request-class is unknown\n")
         assert (await scene.ask("check")).status == 200
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is skipped, what gets a default, and what is nonsense."""
+"""Settings: unknown keys, defaults, and values that are rejected."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from micadeck.policy import Balancer, Settings
 from micadeck.policy.events import RequestArrived
 from micadeck.policy.settings import DiscoveryMode, Idempotency
 
-LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
+MINIMAL = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
 def test_absent_keys_get_the_cautious_default() -> None:
-    given = Settings.from_mapping(LEAST)
+    given = Settings.from_mapping(MINIMAL)
     assert given.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
     assert given.classes[0].latency_objective_us == 1_000_000
     assert given.discovery is DiscoveryMode.ON_REQUEST
@@ -27,8 +27,8 @@
 
 def test_unknown_keys_are_skipped_and_null_counts_as_absent() -> None:
     assert Settings.from_mapping(
-        {**LEAST, "news": 1, "limits": {"x": 2}, "rules": None}
-    ) == Settings.from_mapping(LEAST)
+        {**MINIMAL, "news": 1, "limits": {"x": 2}, "rules": None}
+    ) == Settings.from_mapping(MINIMAL)
 
 
 @pytest.mark.parametrize(
@@ -40,21 +40,21 @@
         ({"classes": [{"name": "a", "deadline_us": 0}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": float("nan")}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": 9, "repeat": "maybe"}]}, "classes[0].repeat"),
-        ({"classes": [*LEAST["classes"], *LEAST["classes"]]}, "classes"),
-        ({**LEAST, "limits": {"max_attempts": -1}}, "limits.max_attempts"),
-        ({**LEAST, "limits": {"second_copies": 1}}, "limits.second_copies"),
-        ({**LEAST, "rules": {"cold_from": 2}}, "rules.cold_from"),
-        ({**LEAST, "rules": {"fall_us": "long"}}, "rules.fall_us"),
-        ({**LEAST, "report": {"columns": "util"}}, "report.columns"),
-        ({**LEAST, "tenants": [3]}, "tenants[0]"),
-        ({**LEAST, "group_size": 0}, "group_size"),
-        ({**LEAST, "prices": []}, "prices"),
+        ({"classes": [*MINIMAL["classes"], *MINIMAL["classes"]]}, "classes"),
+        ({**MINIMAL, "limits": {"max_attempts": -1}}, "limits.max_attempts"),
+        ({**MINIMAL, "limits": {"second_copies": 1}}, "limits.second_copies"),
+        ({**MINIMAL, "rules": {"cold_from": 2}}, "rules.cold_from"),
+        ({**MINIMAL, "rules": {"fall_us": "long"}}, "rules.fall_us"),
+        ({**MINIMAL, "report": {"columns": "util"}}, "report.columns"),
+        ({**MINIMAL, "tenants": [3]}, "tenants[0]"),
+        ({**MINIMAL, "group_size": 0}, "group_size"),
+        ({**MINIMAL, "prices": []}, "prices"),
     ],
 )
 def test_nonsense_is_named(given: dict[str, Any], key: str) -> None:
-    with pytest.raises(ValueError) as complaint:
+    with pytest.raises(ValueError) as error:
         Settings.from_mapping(given)
-    assert str(complaint.value).startswith(key + ":")
+    assert str(error.value).startswith(key + ":")
 
 
 values = (
@@ -62,7 +62,7 @@
 )
 
 
-@how(max_examples=200, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.dictionaries(
         st.sampled_from(["deadline_us", "aim_us", "worth", "repeat", "group", "memory_us", "streaming"]),
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: what it accepts, what it complains of, and that it adds nothing of its own."""
+"""The simulator protocol: what the adapter accepts, what it rejects, and that it adds no behaviour."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from micadeck.simulator_adapter import run, settings_from_wire
 
-BOOT: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
     "discovery": "on_request",
     "guarantees": {"askWithinUs": 10_000_000, "coldFrom": 0.3, "coldUs": 8_000_000},
@@ -34,30 +34,34 @@
 ]
 
 
-def begin(who: str = "sidecar-1", boot: Any = None) -> list[list[Any]]:
-    return [["BEGIN", who, 7, BOOT if boot is None else boot], PAGE, ["TARGETS", who, "cached", 0, 1]]
+def begin(sidecar: str = "sidecar-1", settings: Any = None) -> list[list[Any]]:
+    return [
+        ["BEGIN", sidecar, 7, SETTINGS if settings is None else settings],
+        PAGE,
+        ["TARGETS", sidecar, "cached", 0, 1],
+    ]
 
 
-def play(*batches: list[list[Any]]) -> tuple[int, list[list[Any]], str]:
-    lines = []
+def run_batches(*batches: list[list[Any]]) -> tuple[int, list[list[Any]], str]:
+    messages = []
     for index, batch in enumerate(batches):
-        lines += [["FRAME", 1_000_000 + 5_000 * index], *batch, ["COMMIT"]]
-    return play_text("".join(json.dumps(each) + "\n" for each in lines))
+        messages += [["FRAME", 1_000_000 + 5_000 * index], *batch, ["COMMIT"]]
+    return run_text("".join(json.dumps(each) + "\n" for each in messages))
 
 
-def play_text(text: str) -> tuple[int, list[list[Any]], str]:
+def run_text(text: str) -> tuple[int, list[list[Any]], str]:
     out, err = io.StringIO(), io.StringIO()
     code = run(io.StringIO(text), out, err)
     return code, [json.loads(each) for each in out.getvalue().splitlines()], err.getvalue()
 
 
 def test_an_empty_batch_is_answered_by_done() -> None:
-    assert play([]) == (0, [["DONE"]], "")
+    assert run_batches([]) == (0, [["DONE"]], "")
 
 
 def test_a_request_is_assigned() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", 0, None, 900_000, 12_000, 1, "a field to come"]
-    code, reply, _ = play(begin(), [work])
+    code, reply, _ = run_batches(begin(), [work])
     sends = [each for each in reply if each[0] == "ASSIGN"]
     assert code == 0
     assert (
@@ -70,7 +74,7 @@
 def test_a_killed_instance_forgets_all_and_may_begin_again_in_the_same_batch() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
     end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
-    code, reply, _ = play(begin(), [work, ["EXIT", "sidecar-1"], *begin()], [end])
+    code, reply, _ = run_batches(begin(), [work, ["EXIT", "sidecar-1"], *begin()], [end])
     assert code == 0
     assert [each[0] for each in reply].count("FOLLOW") == 2
 
@@ -80,18 +84,18 @@
     work = [["WORK_ITEM", f"sidecar-{n}", n, "look", None, None, 900_000, None, 0] for n in (1, 2)]
     batch = [
         *begin(),
-        ["BEGIN", "sidecar-2", 8, BOOT],
+        ["BEGIN", "sidecar-2", 8, SETTINGS],
         other,
         ["TARGETS", "sidecar-2", "cached", 0, 1],
         *work,
     ]
-    _, reply, _ = play(batch)
+    _, reply, _ = run_batches(batch)
     targets = {each[1]: each[3] for each in reply if each[0] == "ASSIGN"}
     assert targets["sidecar-2"] == "10.0.0.9:80" and targets["sidecar-1"] != "10.0.0.9:80"
 
 
 @pytest.mark.parametrize(
-    ("line", "complaint"),
+    ("line", "message"),
     [
         ("nonsense", "not JSON"),
         ("[" * 100_000, "not JSON"),
@@ -111,14 +115,14 @@
         ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "classes[0].deadline_us"),
     ],
 )
-def test_bad_input_is_named_with_its_line_and_ends_the_run(line: str, complaint: str) -> None:
+def test_bad_input_is_named_with_its_line_and_ends_the_run(line: str, message: str) -> None:
     good = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
-    code, _, err = play_text(good + line + "\n")
+    code, _, err = run_text(good + line + "\n")
     assert code != 0
-    assert err.startswith("line 5: ") and complaint in err and err.count("\n") == 1
+    assert err.startswith("line 5: ") and message in err and err.count("\n") == 1
 
 
-@how(max_examples=150, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
 @given(
     st.lists(
         st.one_of(
@@ -147,7 +151,7 @@
 def test_no_line_makes_a_traceback(lines: list[str]) -> None:
     start = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
     body = "".join(each.replace("\n", " ").replace("\r", " ") + "\n" for each in lines)
-    code, _, err = play_text(start + body + '["COMMIT"]\n')
+    code, _, err = run_text(start + body + '["COMMIT"]\n')
     assert (code == 0) == (err == "")
 
 
@@ -172,36 +176,36 @@
     assert replies[0] == replies[1] and replies[0].count("ASSIGN") == 60
 
 
-def _guarded(guarantees: dict[str, Any]) -> Any:
-    return {**BOOT, "guarantees": {**BOOT["guarantees"], **guarantees}, "lanes": [
+def _settings_with_rules(guarantees: dict[str, Any]) -> Any:
+    return {**SETTINGS, "guarantees": {**SETTINGS["guarantees"], **guarantees}, "lanes": [
         {"name": "pay", "giveUpUs": 2_000_000, "repeat": "non_idempotent"}
     ]}  # fmt: skip
 
 
 @pytest.mark.parametrize(("late", "answer"), [(True, "SURRENDER"), (False, "ASSIGN"), (None, "ASSIGN")])
 def test_late_shedding_reaches_the_decision(late: bool | None, answer: str) -> None:
-    boot = _guarded({} if late is None else {"lateShedding": late})
+    settings = _settings_with_rules({} if late is None else {"lateShedding": late})
     work = ["WORK_ITEM", "sidecar-1", 5, "pay", None, None, 900_000, None, 0]
-    _, reply, _ = play(begin(boot=boot), [work])
+    _, reply, _ = run_batches(begin(settings=settings), [work])
     server = next(each[3] for each in reply if each[0] == "ASSIGN")
     shed = ["ATTEMPT_END", "sidecar-1", 5, 0, server, "shed", 900, False, None]
-    _, again, _ = play(begin(boot=boot), [work], [shed])
+    _, again, _ = run_batches(begin(settings=settings), [work], [shed])
     assert answer in [each[0] for each in again[len(reply) :]]
 
 
 def test_let_go_reaches_the_decision() -> None:
     drain = ["PAGE", 1, [["10.0.0.1:80", "east", "box", 0, "draining", 1]]]
-    told = [drain, ["TARGETS", "sidecar-1", "delta", 1, 2]]
-    _, reply, _ = play(begin(boot=_guarded({"letGoInUs": 500_000})), told)
+    drain_messages = [drain, ["TARGETS", "sidecar-1", "delta", 1, 2]]
+    _, reply, _ = run_batches(begin(settings=_settings_with_rules({"letGoInUs": 500_000})), drain_messages)
     assert ["SHUT_IDLE", "sidecar-1", "10.0.0.1:80"] in reply
-    _, reply, _ = play(begin(boot=_guarded({})), told)
+    _, reply, _ = run_batches(begin(settings=_settings_with_rules({})), drain_messages)
     assert "SHUT_IDLE" not in [each[0] for each in reply]
 
 
 def test_every_setting_of_the_wire_that_is_carried_arrives() -> None:
     given = settings_from_wire(
         {
-            **BOOT,
+            **SETTINGS,
             "bounds": {"maxOpen": 9, "cpuUsPerS": 8, "cpuUsPerRequest": 0.5},
             "guarantees": {"letGoInUs": 7, "lateShedding": True, "drainGraceUs": 50_000, "fallMultiple": 1.5},
             "prices": {"lateFail": 0.05, "discovery": 0.01, "connection": 0.02, "handshake": 0.03},
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,7 @@
-"""What the release 3c12c64 stored or sent is read as it was then, and written again byte for byte.
+"""Data stored or sent by release 3c12c64 is decoded as before and encoded again byte for byte.
 
-The files are those of tests/fixtures (README.md there).  Values are compared by position and through command
-lines, so that renames of classes and of Python attributes do not touch these tests.
+The data is in tests/fixtures (see its README.md).  Values are compared by position and through command lines,
+so that renaming classes or attributes does not affect these tests.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 FLEET: dict[str, Any] = json.loads((FIXTURES / "fleet_messages.json").read_text())
 MESSAGES: list[dict[str, Any]] = FLEET["messages"]
 _KINDS_IN_STORED_TRACE = 9
-_LATER_KINDS = [(RequestCompleted(7, 2), "9405090702")]  # as recorded at 5 us, in MessagePack
+_LATER_KINDS = [(RequestCompleted(7, 2), "9405090702")]  # MessagePack, recorded at 5 us
 
 
 def _output(monkeypatch: pytest.MonkeyPatch, *arguments: str) -> str:
@@ -60,7 +60,7 @@
     segment, encoder = read(data), Encoder()
     written = MAGIC + b"".join(encoder.frame(record) for _, record in segment.records)
     assert written == data[: segment.length]
-    assert len(data) - segment.length < 50  # of a process that was killed, the last record is cut
+    assert len(data) - segment.length < 50  # the last record of a killed process is cut off
 
 
 def test_stored_records_are_of_every_kind_and_of_a_restart() -> None:
@@ -74,7 +74,7 @@
     assert tags == set(range(8))
 
 
-# Traces of decisions
+# Traces of the policy
 
 
 def test_trace_show_prints_the_same_of_a_stored_trace(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Traces: what is recorded comes back, replays as it was, and tells two builds apart."""
+"""Traces: recorded events are read back, replay to the same actions, and show where two builds differ."""
 
 from __future__ import annotations
 
@@ -36,93 +36,97 @@
 ROOT = Path(__file__).parent.parent
 
 
-class _Noted:
-    """A balancer of the stage that notes what it heard and did."""
+class _RecordingBalancer:
+    """Wraps a balancer and keeps its events and actions."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
-        self.heard: list[tuple[int, Event]] = []
-        self.did: list[list[Action]] = []
+        self.events: list[tuple[int, Event]] = []
+        self.actions: list[list[Action]] = []
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        self.heard.append((now, event))
+        self.events.append((now, event))
         actions = self.balancer.handle(now, event)
-        self.did.append(actions)
+        self.actions.append(actions)
         return actions
 
 
-def _day(requests: int = 300, seed: int = 3) -> _Noted:
-    """A made-up day: eight servers, one sick from the middle on, some answers late."""
+def _simulate(requests: int = 300, seed: int = 3) -> _RecordingBalancer:
+    """Simulate eight servers, one of which fails from the middle on, and some late answers."""
     chance = random.Random(seed)
-    scene = PolicyHarness(settings(limits={"second_copies": False}))
-    noted = _Noted(scene.balancer)
-    scene.balancer = noted  # type: ignore[assignment]
+    harness = PolicyHarness(settings(limits={"second_copies": False}))
+    recording = _RecordingBalancer(harness.balancer)
+    harness.balancer = recording  # type: ignore[assignment]
     names = [f"s-{number}" for number in range(8)]
-    scene.list_servers([ListedServer(each, zone="east") for each in names])
+    harness.list_servers([ListedServer(each, zone="east") for each in names])
     open_requests: list[int] = []
     for number in range(requests):
-        scene.advance(chance.randrange(1, 15) * MS)
-        open_requests.append(scene.request(chance.choice(["look", "pay", "amend"])))
+        harness.advance(chance.randrange(1, 15) * MS)
+        open_requests.append(harness.request(chance.choice(["look", "pay", "amend"])))
         while open_requests and chance.random() < 0.6:
             request = open_requests.pop(0)
-            if not scene.sends(request):
+            if not harness.sends(request):
                 continue
-            is_sick = number > requests // 2 and scene.target(request) == "s-1"
-            scene.end_attempt(request, Outcome.ERROR if is_sick else Outcome.DELIVERED, report={"util": 0.5})
-    return noted
+            is_failing = number > requests // 2 and harness.target(request) == "s-1"
+            harness.end_attempt(
+                request, Outcome.ERROR if is_failing else Outcome.DELIVERED, report={"util": 0.5}
+            )
+    return recording
 
 
 def test_what_is_recorded_comes_back_and_replays_action_for_action() -> None:
-    day = _day()
-    trace = decode(encode(settings(limits={"second_copies": False}), 7, day.heard))
+    run = _simulate()
+    trace = decode(encode(settings(limits={"second_copies": False}), 7, run.events))
     assert trace.is_whole and trace.seed == 7
     assert trace.settings == settings(limits={"second_copies": False})
-    assert trace.events == day.heard
+    assert trace.events == run.events
     again = Balancer(trace.settings, trace.seed)
-    assert [again.handle(now, event) for now, event in trace.events] == day.did
+    assert [again.handle(now, event) for now, event in trace.events] == run.actions
 
 
 def test_a_replay_counts_what_happened_and_tells_the_decisions_state() -> None:
-    day = _day()
-    trace = decode(encode(settings(limits={"second_copies": False}), 7, day.heard))
+    run = _simulate()
+    trace = decode(encode(settings(limits={"second_copies": False}), 7, run.events))
     listed = list(spans(trace, 0.5))
-    told = totals(listed)
-    assert told.arrived == 300 == sum(isinstance(event, RequestArrived) for _, event in day.heard)
-    assert sum(each.sent for each in listed) == sum(isinstance(a, Send) for did in day.did for a in did)
-    assert told.ejections["error"] >= 1 and max(each.out for each in listed) >= 1
+    counted = totals(listed)
+    assert counted.arrived == 300 == sum(isinstance(event, RequestArrived) for _, event in run.events)
+    assert sum(each.sent for each in listed) == sum(
+        isinstance(a, Send) for actions in run.actions for a in actions
+    )
+    assert counted.ejections["error"] >= 1 and max(each.out for each in listed) >= 1
     assert any(each.load > 0 for each in listed) and all(each.cores is not None for each in listed[2:])
     assert [each.at_s for each in listed] == [0.5 * number for number in range(1, len(listed) + 1)]
 
 
 def test_a_trace_that_breaks_off_is_read_as_far_as_it_is_whole() -> None:
-    day = _day(60)
+    run = _simulate(60)
     encoder = Encoder(settings(), 7)
     data = b""
-    for now, event in day.heard:
+    for now, event in run.events:
         encoder.add(now, event)
         data += encoder.take()
     trace = decode(data)
-    assert not trace.is_whole and trace.events == day.heard
+    assert not trace.is_whole and trace.events == run.events
     for cut in range(len(data) // 2, len(data), 97):
         part = decode(data[:cut])
-        assert part.events == day.heard[: len(part.events)] and not part.is_whole
+        assert part.events == run.events[: len(part.events)] and not part.is_whole
 
 
 @given(st.binary(max_size=300), st.integers(0, 4_000))
-@example(b"\x03", 1552)  # a text that is no UTF-8, in the frame of a whole record
+@example(b"\x03", 1552)  # text that isn't UTF-8, within a complete record
 def test_spoilt_bytes_are_an_error_or_a_shorter_trace(noise: bytes, at: int) -> None:
-    data = _SPOILABLE[:at] + noise + _SPOILABLE[at + len(noise) :]
+    data = _VALID_TRACE[:at] + noise + _VALID_TRACE[at + len(noise) :]
     try:
         decode(data)
     except TraceError:
         pass
 
 
-_SPOILABLE = encode(settings(), 7, _day(40).heard)
+_VALID_TRACE = encode(settings(), 7, _simulate(40).events)
 
 
-class _Other(Balancer):
-    """A build that decides otherwise: it draws once more."""
+class _OtherBuild(Balancer):
+    """A build that decides differently: it draws one more random number."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived) and event.request == 50:
@@ -131,10 +135,10 @@
 
 
 def test_two_builds_are_told_apart_at_the_first_action_that_differs() -> None:
-    day = _day()
-    trace = decode(encode(settings(limits={"second_copies": False}), 7, day.heard))
+    run = _simulate()
+    trace = decode(encode(settings(limits={"second_copies": False}), 7, run.events))
     assert compare(trace, Balancer, Balancer) is None
-    difference = compare(trace, Balancer, _Other)
+    difference = compare(trace, Balancer, _OtherBuild)
     assert difference is not None and difference.one != difference.other
     arrived = [
         event.request
@@ -147,7 +151,7 @@
 def test_a_file_that_cannot_be_written_ends_the_recording_and_nothing_else(tmp_path: Path) -> None:
     log: list[str] = []
     recorder = Recorder(Balancer(settings(), 7), settings(), 7, tmp_path / "trace", log.append)
-    recorder._file.close()  # as a disk that is gone
+    recorder._file.close()  # then replaced by a file that can't be written
     recorder._file = open("/dev/full", "wb", buffering=0)
     for number in range(40_000):
         recorder.handle(S + number, TimerFired("0"))
@@ -214,14 +218,14 @@
 
 @played
 async def test_a_large_request_is_answered_in_its_time_while_a_trace_is_recorded(tmp_path: Path) -> None:
-    """Against a recorder that fails on an event and so keeps it from the decisions."""
+    """Guards against a recorder that fails on an event and so keeps it from the policy."""
 
-    async def hang(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
+    async def never_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
         _, headers = await read_head(reader)
         await read_body(reader, headers)
         await reader.read()  # until the sidecar ends the connection
 
-    async with beside(hang, given={"trace": str(tmp_path / "day.trace")}) as (_, scene):
+    async with beside(never_answer, given={"trace": str(tmp_path / "day.trace")}) as (_, scene):
         client = await scene.client()
         started = time.monotonic()
         client.send(request("lodge", timeout="0.5", body=content(LARGE)))
@@ -231,23 +235,23 @@
 
 
 def test_each_kind_of_event_has_its_place_in_a_trace() -> None:
-    """Against an event that is new to the decisions and unknown to the recorder."""
+    """Guards against a new kind of event that the recorder doesn't know."""
     assert set(KINDS) == set(get_args(Event)) and len(KINDS) == len(get_args(Event))
 
 
 def test_an_event_that_cannot_be_recorded_ends_the_recording_and_reaches_the_decisions(
     tmp_path: Path,
 ) -> None:
-    """Against a recorder whose own defect costs the decisions an event."""
+    """Guards against a recorder error that keeps an event from the policy."""
     log: list[str] = []
-    day = _day(20)
+    run = _simulate(20)
     path = tmp_path / "trace"
     recorder = Recorder(Balancer(settings(), 7), settings(), 7, path, log.append)
-    for now, event in day.heard:
+    for now, event in run.events:
         recorder.handle(now, event)
-    now = day.heard[-1][0]
+    now = run.events[-1][0]
     unknown: Any = MessageReceived(0, object())  # type: ignore[arg-type]
     assert recorder.handle(now, unknown) == recorder.handle(now, TimerFired("0")) == []
     assert log[1:] == [line for line in log if line.startswith("trace: recording ends: MessageReceived: ")]
-    assert len(log) == 2 and decode(path.read_bytes()).events == day.heard
+    assert len(log) == 2 and decode(path.read_bytes()).events == run.events
     recorder.close()
