--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Runs the daemon's tests once for each way to reach the balancer, and marks known failures."""
+"""Runs the daemon's tests for each way to reach the balancer; marks known failures."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def _mark_known_failures(items: list[pytest.Item]) -> None:
-    """Mark known failures as xfail: they still run, and the report shows their failures and passes."""
+    """Mark them as xfail: they still run, and the report shows failures and passes."""
     try:
         known = {each.test: each for each in known_failures.read()}
     except ValueError as error:
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,4 +1,4 @@
-"""Reads `KNOWN-RED.txt`, the list of tests that fail because of a known fault."""
+"""Reads `KNOWN-RED.txt`, the list of known test failures."""
 
 from __future__ import annotations
 
--- a/tests/policy_cases.py
+++ b/tests/policy_cases.py
@@ -56,7 +56,7 @@
     slots: float = 6.0  # concurrent requests per server before it slows down
     queue: float = 4.0  # a server answers full beyond this multiple of its slots
     faulty_servers: int = 1  # servers that fail most attempts during the middle third of the run
-    partial_odds: float = 0.0  # a request is forwarded before its last byte has arrived
+    partial_odds: float = 0.0  # the policy gets a request before its last byte
     bound_odds: float = 0.0
     own_class_odds: float = 0.0  # a request carries its own service class
     final_odds: float = 0.0  # a failed attempt can't be retried
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -1,4 +1,4 @@
-"""Converts stored values to lists by field position, independent of Python names."""
+"""Converts stored values to lists by field position, without Python names."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class RecordingTransport:
-    """Stand-in for a datagram transport that records what is sent."""
+    """Stand-in for a socket that records what is sent."""
 
     def __init__(self) -> None:
         self.sent: list[list[Any]] = []
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -1,4 +1,4 @@
-"""Property test: the policy's actions obey the rules for any legal sequence of events."""
+"""Property test: actions obey the rules for any legal sequence of events."""
 
 from __future__ import annotations
 
@@ -162,7 +162,7 @@
         self.handle(Ended(number, index, each["server"], outcome, self.now - each["at"], request["over"]))
 
     def update_close_deadline(self, server: str) -> None:
-        """Restart the time within which idle connections to a server that isn't ready must be closed."""
+        """Restart the deadline for idle connections to a server that isn't ready."""
         if self.settings.rules.close_idle_within_us and self.listed[server].state is not ServerState.READY:
             self.to_close[server] = self.now + CLOSE_WITHIN
         else:
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -22,7 +22,7 @@
 
 
 def check_requests_answered(**settings: Any) -> None:
-    """A sidecar with these settings gives every request a final answer and has no internal error."""
+    """A sidecar with these settings answers every request and has no internal error."""
 
     async def work() -> None:
         async with stage(OK, **{"lanes": CLASSES, **settings}) as scene:
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""Each entry of the list of known failures names an existing test and the command that runs it."""
+"""Known failures name an existing test and the command that runs it."""
 
 from __future__ import annotations
 
--- a/tests/test_message_races.py
+++ b/tests/test_message_races.py
@@ -1,4 +1,4 @@
-"""Races between two events, forced over loopback by holding one side until the other has happened.
+"""Races between two events, forced by holding one side until the other has happened.
 
 Clients are plain blocking sockets: what they send is in the sidecar's socket buffer when the call returns,
 and the event loop, which runs in this thread, has not read it yet.  `docs/design/crossings.md` has the list.
@@ -43,7 +43,7 @@
 
 
 async def idle_connection(scene: Stage, client: socket.socket) -> DownstreamConnection:
-    """The sidecar's connection to a client that has received one answer."""
+    """The sidecar's connection to a client that has had one answer."""
     client.sendall(request())
     client.setblocking(False)
     assert (await soon(asyncio.get_running_loop().sock_recv(client, 65_536))).startswith(b"HTTP/1.1 200")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -19,7 +19,7 @@
 
 @dataclass
 class Counts:
-    """Requests a second, averaged over a period of the run."""
+    """Requests a second, over a period of the run."""
 
     arrived: float
     in_time: float
--- a/tests/test_policy_constants.py
+++ b/tests/test_policy_constants.py
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize(("answers", "is_ejected"), [(3, False), (4, True)])
 def test_a_silent_server_is_ejected_once_four_others_answered(answers: int, is_ejected: bool) -> None:
-    """Fewer answers don't show that this server differs from the others."""
+    """Fewer answers don't set this server apart."""
     harness = _harness()
     outliers = harness.balancer._outliers
     endpoint = _endpoints(harness)[0]
--- a/tests/test_refused_dials.py
+++ b/tests/test_refused_dials.py
@@ -32,7 +32,7 @@
 
 
 def _finish(harness: PolicyHarness, request: int, down: set[str], failure: Outcome = REFUSED) -> int:
-    """End the request's attempts until it has an answer; return how many there were."""
+    """End attempts of a request until it is answered; return how many there were."""
     dials = 0
     while len(harness.sends(request)) > dials:
         dials = len(harness.sends(request))
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""Reload of settings at SIGHUP: all or nothing, and each request keeps the settings it arrived under."""
+"""Reload at SIGHUP: all or nothing; requests keep the settings they came under."""
 
 from __future__ import annotations
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules of the policy, tested with scripted events."""
+"""The four rules, tested by scripted events."""
 
 from __future__ import annotations
 
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Server selection: weighted draws, ejection and readmission, admission limits, zones, idle connections."""
+"""Server selection: draws, ejection, admission, zones, idle connections."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
 def _serve_with_hung_server(
     harness: PolicyHarness, rounds: int, response_us: int = 50 * MS
 ) -> tuple[str, list[int]]:
-    """Serve requests until one server stops answering; return it and its pending requests."""
+    """Make one server hang in traffic; return it and its requests."""
     harness.list_servers(names(6))
     harness.serve(120, response_us=response_us)
     first = harness.request()
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator protocol: what the adapter accepts, what it rejects, and that it adds no behaviour."""
+"""The simulator protocol: what is accepted and rejected, and no added behaviour."""
 
 from __future__ import annotations
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Traces: recorded events are read back, replay to the same actions, and show where two builds differ."""
+"""Traces are read back, replay to the same actions, and show where two builds differ."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def _simulate(requests: int = 300, seed: int = 3) -> _RecordingBalancer:
-    """Simulate eight servers, one of which fails from the middle on, and some late answers."""
+    """Simulate eight servers, one failing from the middle on, and some late answers."""
     chance = random.Random(seed)
     harness = PolicyHarness(settings(limits={"second_copies": False}))
     recording = _RecordingBalancer(harness.balancer)
@@ -126,7 +126,7 @@
 
 
 class _OtherBuild(Balancer):
-    """A build that decides differently: it draws one more random number."""
+    """A build that decides otherwise: it draws once more."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived) and event.request == 50:
