--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""The list of known failures says of each what plays it, and names tests that exist."""
+"""Known failures name an existing test and the command that runs it."""
 
 from __future__ import annotations
 
