--- a/tests/child_process_peers.py
+++ b/tests/child_process_peers.py
@@ -1,4 +1,4 @@
-"""Servers and a roster in a process of their own, for tests in which this process stalls or ends."""
+"""Runs servers and a roster in a child process, for tests in which this process stalls or ends."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 ROOT = Path(__file__).parent.parent
 
 
-class WorldProcess:
-    """A stand-in world; any thread may tell it what to do."""
+class StandInProcess:
+    """Stand-in servers and a roster; any thread may send commands."""
 
     def __init__(self, child: subprocess.Popen[str]) -> None:
         self._child = child
         self._lock = threading.Lock()
-        self.addresses = self._line()
+        self.addresses = self._read_reply()
 
-    def _line(self) -> dict[str, Any]:
+    def _read_reply(self) -> dict[str, Any]:
         assert self._child.stdout is not None
-        told: dict[str, Any] = json.loads(self._child.stdout.readline())
-        return told
+        reply: dict[str, Any] = json.loads(self._child.stdout.readline())
+        return reply
 
     def do(self, do: str, server: str = "", **how: Any) -> dict[str, Any]:
         assert self._child.stdin is not None
         with self._lock:
             self._child.stdin.write(json.dumps({"do": do, "server": server, **how}) + "\n")
             self._child.stdin.flush()
-            return self._line()
+            return self._read_reply()
 
-    def heard(self) -> list[dict[str, Any]]:
-        heard: list[dict[str, Any]] = self.do("heard")["heard"]
-        return heard
+    def received(self) -> list[dict[str, Any]]:
+        received: list[dict[str, Any]] = self.do("heard")["heard"]
+        return received
 
     def config(self, **bounds: Any) -> dict[str, Any]:
-        """A library's configuration in this world."""
+        """Return a library's configuration with these servers."""
         return {
             "discovery": self.addresses["roster"],
             "seed": "8c1f",
@@ -63,7 +63,7 @@
 
 
 @contextmanager
-def world(count: int) -> Iterator[WorldProcess]:
+def run_stand_ins(count: int) -> Iterator[StandInProcess]:
     child = subprocess.Popen(
         [sys.executable, "-m", "micadeck.stand_ins.world", str(count)],
         cwd=ROOT,
@@ -72,7 +72,7 @@
         text=True,
     )
     try:
-        yield WorldProcess(child)
+        yield StandInProcess(child)
     finally:
         child.kill()
         child.wait()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -60,7 +60,7 @@
 @pytest.fixture(autouse=True)  # a name added to a test's fixtures at collection is not set up
 def way(request: pytest.FixtureRequest) -> Iterator[str]:
     asked: str = getattr(request, "param", "daemon")
-    loopback.way, _, members = asked.partition(" by ")
-    loopback.members = members or "roster"
+    loopback.way, _, discovery_source = asked.partition(" by ")
+    loopback.discovery_source = discovery_source or "roster"
     yield asked
-    loopback.way, loopback.members = "daemon", "roster"
+    loopback.way, loopback.discovery_source = "daemon", "roster"
--- a/tests/embedding_parity.py
+++ b/tests/embedding_parity.py
@@ -180,7 +180,7 @@
             self._worker.result()  # raises the error that ended it
         return next_answer.result()
 
-    ask = Client.ask
+    exchange = Client.exchange
 
     def close(self) -> None:
         self._worker.cancel()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted ends on loopback sockets: servers, discovery and clients round one sidecar in this process."""
+"""A sidecar in this process with scripted servers, discovery and clients on loopback sockets."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from micadeck.http.reuse_delay import MIN_REUSE_DELAY_US
 from micadeck.stand_ins.consul import NODE, StandInConsul, State
 
-way = "daemon"  # how the stage's balancer is reached; `ways` says which there are
-members = "roster"  # who tells it of servers: the roster, Consul, or both
+way = "daemon"  # how clients reach the balancer: one of `embedding_parity.WAYS`
+discovery_source = "roster"  # roster, consul or both
 
 HOST = "127.0.0.1"
-PATIENCE_S = 20.0  # how long a test waits for what must come; never what it measures
+WAIT_TIMEOUT_S = 20.0  # bounds the wait for an expected event; no test measures it
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 ERROR = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
 FULL = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
@@ -47,46 +47,46 @@
 P = ParamSpec("P")
 
 
-def play(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
-    """Run one test's coroutine; a test that hangs fails."""
+def run_async(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
+    """Run a test's coroutine; fail if it takes longer than twice `WAIT_TIMEOUT_S`."""
 
     async def bounded() -> T:
-        async with asyncio.timeout(2 * PATIENCE_S):
+        async with asyncio.timeout(2 * WAIT_TIMEOUT_S):
             return await work()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(bounded())
 
 
-def played(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
-    """A test that is a coroutine, run by `play`."""
+def async_test(test: Callable[P, Coroutine[Any, Any, None]]) -> Callable[P, None]:
+    """Turn a coroutine function into a test."""
 
     @functools.wraps(test)
-    def run(*given: P.args, **named: P.kwargs) -> None:
-        play(lambda: test(*given, **named))
+    def run(*args: P.args, **kwargs: P.kwargs) -> None:
+        run_async(lambda: test(*args, **kwargs))
 
     return run
 
 
-async def soon(what: Awaitable[T]) -> T:
-    async with asyncio.timeout(PATIENCE_S):
-        return await what
+async def soon(awaitable: Awaitable[T]) -> T:
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
+        return await awaitable
 
 
-async def rested() -> None:
-    """Wait until a connection to a server may be used again."""
+async def reuse_delay_passed() -> None:
+    """Wait until an idle connection to a server may be reused."""
     await asyncio.sleep(1.2 * MIN_REUSE_DELAY_US / 1e6)
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 @dataclass
-class Heard:
-    """A request as it came, and the connection it came on."""
+class ReceivedRequest:
+    """A request as the server received it, and its connection."""
 
     method: str
     target: str
@@ -102,16 +102,16 @@
     return head[0], {name.lower(): value.strip() for name, _, value in pairs}
 
 
-Script = Callable[[Heard], Awaitable[bytes | None]]
+Script = Callable[[ReceivedRequest], Awaitable[bytes | None]]
 
 
 class ScriptedServer:
-    """Hears requests and answers by a script; None answers nothing."""
+    """Answers each request by a script, or not at all if that is None."""
 
     def __init__(self, script: Script | bytes | None) -> None:
         self.script = script
-        self.heard: list[Heard] = []
-        self.closed: list[int] = []  # connections that the other side ended
+        self.received: list[ReceivedRequest] = []
+        self.closed: list[int] = []  # numbers of the connections that have ended
         self.connections = 0
         self._writers: list[asyncio.StreamWriter] = []
         self._server: asyncio.Server | None = None
@@ -133,10 +133,10 @@
                 line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
                 method, target, _ = line.split(" ")
-                heard = Heard(method, target, headers, body, number, writer)
-                self.heard.append(heard)
+                received = ReceivedRequest(method, target, headers, body, number, writer)
+                self.received.append(received)
                 script = self.script
-                answer = await script(heard) if callable(script) else script
+                answer = await script(received) if callable(script) else script
                 if answer is not None:
                     writer.write(answer)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -146,12 +146,12 @@
             writer.close()
 
     def hang_up(self) -> None:
-        """End all connections that are open, before anything else happens."""
+        """Close all open connections at once."""
         writers, self._writers = self._writers, []
         for writer in writers:
             if not writer.transport.is_closing():
                 with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as own:
-                    with contextlib.suppress(OSError):  # the other side was quicker
+                    with contextlib.suppress(OSError):  # the other side closed it first
                         own.shutdown(socket.SHUT_RDWR)
             writer.close()
 
@@ -161,8 +161,8 @@
         self.hang_up()
 
 
-class SlowToAccept:
-    """A server whose connections come up late: its line for new ones is full until it is let go."""
+class FullBacklogServer:
+    """A server that completes no connection: its listen backlog is full until `accept_sidecar`."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -174,7 +174,7 @@
     def address(self) -> str:
         return f"{HOST}:{self.listener.getsockname()[1]}"
 
-    async def fill(self) -> None:
+    async def fill_backlog(self) -> None:
         for _ in range(3):
             filler = socket.socket()
             filler.setblocking(False)
@@ -182,14 +182,14 @@
             self.fillers.append(filler)
         await asyncio.sleep(0.05)
 
-    async def let_go(self) -> socket.socket:
-        """Accept until the sidecar's own connection comes up; give it."""
-        ours = {each.getsockname() for each in self.fillers}
+    async def accept_sidecar(self) -> socket.socket:
+        """Accept connections until the sidecar's; return that one."""
+        filler_addresses = {each.getsockname() for each in self.fillers}
         self.listener.setblocking(False)
         loop = asyncio.get_running_loop()
         while True:
             accepted, address = await loop.sock_accept(self.listener)
-            if address not in ours:
+            if address not in filler_addresses:
                 return accepted
             self.fillers.append(accepted)
 
@@ -199,28 +199,28 @@
 
 
 class ScriptedDiscovery(ScriptedServer):
-    """Answers every call that may wait with silence until `tell`, and others with the list."""
+    """Answers a long poll at the next `publish`, and other calls with the whole list."""
 
     def __init__(self) -> None:
         super().__init__(self._answer)
         self.version = 1
         self.servers: list[dict[str, Any]] = []
-        self.news: asyncio.Queue[bytes] = asyncio.Queue()
+        self.updates: asyncio.Queue[bytes] = asyncio.Queue()
 
-    async def _answer(self, heard: Heard) -> bytes:
-        if "wait_ms" in heard.target and not heard.target.endswith("wait_ms=0"):
-            return await self.news.get()
+    async def _answer(self, received: ReceivedRequest) -> bytes:
+        if "wait_ms" in received.target and not received.target.endswith("wait_ms=0"):
+            return await self.updates.get()
         return reply(json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode())
 
-    def tell(self, *changed: dict[str, Any]) -> None:
+    def publish(self, *changed: dict[str, Any]) -> None:
         self.version += 1
-        self.news.put_nowait(
+        self.updates.put_nowait(
             reply(json.dumps({"version": self.version, "full": False, "servers": changed}).encode())
         )
 
 
 class ConsulDiscovery:
-    """The same servers and changes, told by a stand-in Consul."""
+    """Publishes servers and changes through a stand-in Consul."""
 
     def __init__(self) -> None:
         self.servers: list[dict[str, Any]] = []
@@ -229,7 +229,7 @@
     async def start(self, port: int = 0) -> ConsulDiscovery:
         await self.consul.start(port)
         for each in self.servers:
-            self.tell(each)
+            self.publish(each)
         return self
 
     @property
@@ -237,25 +237,25 @@
         return self.consul.address
 
     @property
-    def heard(self) -> list[str]:
+    def received(self) -> list[str]:
         return ["read"] * self.consul.reads
 
-    def tell(self, *changed: dict[str, Any]) -> None:
+    def publish(self, *changed: dict[str, Any]) -> None:
         for each in changed:
             self.consul.change(lambda state, each=each: self._put(state, each))  # type: ignore[misc]
 
     @staticmethod
-    def _put(state: State, told: dict[str, Any]) -> None:
-        name, maintenance = told["id"], f"_service_maintenance:{told['id']}"
-        if told["state"] == "left":
+    def _put(state: State, entry: dict[str, Any]) -> None:
+        name, maintenance = entry["id"], f"_service_maintenance:{entry['id']}"
+        if entry["state"] == "left":
             state.drop_service(NODE, name)
             return
-        host, _, port = told["addr"].rpartition(":")
-        started = told.get("started_ms", 0) + 1  # long ago: without a word on it, a new one is cold
-        meta = {"zone": told["zone"], "cell": str(told["cell"]), "started_ms": str(started)}
+        host, _, port = entry["addr"].rpartition(":")
+        started = entry.get("started_ms", 0) + 1  # long ago: without a start time a new server is cold
+        meta = {"zone": entry["zone"], "cell": str(entry["cell"]), "started_ms": str(started)}
         service = {"Name": "tariff", "ID": name, "Address": host, "Port": int(port), "Meta": meta}
         state.put_service(NODE, service)
-        if told["state"] == "leaving":
+        if entry["state"] == "leaving":
             state.put_check(NODE, maintenance, "critical", name)
         else:
             state.drop_check(NODE, maintenance)
@@ -265,31 +265,31 @@
 
 
 class BothDiscovery(ScriptedDiscovery):
-    """A roster and a Consul that say the same."""
+    """A roster and a Consul with the same servers."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.beside = ConsulDiscovery()
+        self.consul = ConsulDiscovery()
 
     async def start(self, port: int = 0) -> ScriptedServer:
-        self.beside.servers = self.servers
-        await self.beside.start()
+        self.consul.servers = self.servers
+        await self.consul.start()
         return await super().start(port)
 
-    def tell(self, *changed: dict[str, Any]) -> None:
-        super().tell(*changed)
-        self.beside.tell(*changed)
+    def publish(self, *changed: dict[str, Any]) -> None:
+        super().publish(*changed)
+        self.consul.publish(*changed)
 
     def stop(self) -> None:
         super().stop()
-        self.beside.stop()
+        self.consul.stop()
 
 
 def consul_config(*agents: str, **service: Any) -> str:
-    """The path of a file that names these agents and one service."""
-    given = {"agents": agents, "services": [{"name": "tariff", **service}], "wait_s": 10, "spread_s": 0}
+    """Write a Consul configuration of these agents and one service; return its path."""
+    settings = {"agents": agents, "services": [{"name": "tariff", **service}], "wait_s": 10, "spread_s": 0}
     with tempfile.NamedTemporaryFile("w", suffix=".json", prefix="consul-", delete=False) as file:
-        json.dump(given, file)
+        json.dump(settings, file)
     return file.name
 
 
@@ -297,8 +297,8 @@
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status.encode(), len(body), body)
 
 
-def line(name: str, address: str, **changes: Any) -> dict[str, Any]:
-    """A line of discovery's list."""
+def list_entry(name: str, address: str, **changes: Any) -> dict[str, Any]:
+    """Return a server's entry in discovery's list."""
     return {"id": name, "addr": address, "zone": "a", "kind": "", "cell": 1, "state": "active", **changes}
 
 
@@ -310,7 +310,7 @@
 
 
 class Client:
-    """One connection of the application."""
+    """A connection of the application to the sidecar."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -323,7 +323,7 @@
         body = await soon(self.reader.readexactly(int(headers["content-length"])))
         return Answer(int(first.split(" ")[1]), headers, body)
 
-    async def ask(self, kind: str = "check", **how: Any) -> Answer:
+    async def exchange(self, kind: str = "check", **how: Any) -> Answer:
         self.send(request(kind, **how))
         return await self.answer()
 
@@ -342,8 +342,8 @@
     target: str = "/api/7f3a?x=1",
     **headers: str,
 ) -> bytes:
-    """A request as clients word it; a header given as an empty text is left out."""
-    given = {
+    """Encode a client's request; a header whose value is empty is left out."""
+    values = {
         "Host": "origin.svc",
         "Request-Id": f"{next(_ids):016x}",
         "Request-Class": kind,
@@ -352,17 +352,17 @@
         "Idempotency-Key": "5c0f" if kind == "amend" else "",
         "Content-Length": str(len(body)) if _METHODS.get(kind) == "POST" else "",
     }
-    given.update({name.replace("_", "-"): value for name, value in headers.items()})
-    head = "".join(f"{name}: {value}\r\n" for name, value in given.items() if value)
+    values.update({name.replace("_", "-"): value for name, value in headers.items()})
+    head = "".join(f"{name}: {value}\r\n" for name, value in values.items() if value)
     return f"{_METHODS.get(kind, 'GET')} {target} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
 @dataclass
-class Stage:
-    """A sidecar with scripted ends."""
+class Harness:
+    """A sidecar with scripted servers and discovery."""
 
     way: Any
-    discovery: Any  # a ScriptedDiscovery, or one that tells the same by other means
+    discovery: Any  # a ScriptedDiscovery, or one with the same methods
     servers: list[ScriptedServer]
     log: list[str]
     clients: list[Any] = field(default_factory=list)
@@ -372,39 +372,39 @@
         return self.way.sidecar
 
     async def client(self) -> Client:
-        client: Client = await self.way.client()  # or one that does the same
+        client: Client = await self.way.client()  # or a LibraryClient
         self.clients.append(client)
         return client
 
-    async def ask(self, kind: str = "check", **how: Any) -> Answer:
-        return await (await self.client()).ask(kind, **how)
+    async def exchange(self, kind: str = "check", **how: Any) -> Answer:
+        return await (await self.client()).exchange(kind, **how)
 
     @property
-    def heard(self) -> list[Heard]:
-        return [each for server in self.servers for each in server.heard]
+    def received(self) -> list[ReceivedRequest]:
+        return [each for server in self.servers for each in server.received]
 
 
 @asynccontextmanager
-async def stage(
+async def run_harness(
     *scripts: Script | bytes | None,
     bounds: dict[str, Any] | None = None,
-    given: dict[str, Any] | None = None,
+    overrides: dict[str, Any] | None = None,
     listed: bool = True,
-    others: Sequence[dict[str, Any]] = (),
+    extra_entries: Sequence[dict[str, Any]] = (),
     client_limits: DownstreamLimits | None = None,
     **settings: Any,
-) -> AsyncIterator[Stage]:
-    """A sidecar, its discovery and one server for each script, all known to it from the start.
+) -> AsyncIterator[Harness]:
+    """Run a sidecar, its discovery and one server for each script, all known to it from the start.
 
-    `others` are lines of the list for servers that a test runs by itself.
+    `overrides` replace keys of the configuration; `extra_entries` list servers that the test runs itself.
     """
     servers = [await ScriptedServer(script).start() for script in scripts]
     discovery: Any = {"roster": ScriptedDiscovery, "consul": ConsulDiscovery, "both": BothDiscovery}[
-        members
+        discovery_source
     ]()
     if listed:
-        discovery.servers = [line(f"s-{index}", each.address) for index, each in enumerate(servers)]
-    discovery.servers += others
+        discovery.servers = [list_entry(f"s-{index}", each.address) for index, each in enumerate(servers)]
+    discovery.servers += extra_entries
     await discovery.start()
     limits = {"sendCap": 3, "mayCancel": True, "retryAfter": True, "dialTimeoutUs": 1_000_000}
     config: dict[str, Any] = {
@@ -422,45 +422,45 @@
             "bounds": {**limits, **(bounds or {})},
             **settings,
         },
-        **(given or {}),
+        **(overrides or {}),
     }
-    consul = {"consul": discovery, "both": getattr(discovery, "beside", None)}.get(members)
+    consul = {"consul": discovery, "both": getattr(discovery, "consul", None)}.get(discovery_source)
     if consul is not None:
         config["consul"] = consul_config(consul.address, doubt_s=0)
         config["known"]["servers"] = [{**each, "started_ms": 1} for each in discovery.servers]
-        if members == "consul":
+        if discovery_source == "consul":
             del config["discovery"]
     log: list[str] = []
-    from embedding_parity import STARTERS  # it is made of what stands here
+    from embedding_parity import STARTERS  # it imports this module
 
-    made = parse(config)
+    parsed = parse(config)
     if "consul" in config:
-        os.unlink(config["consul"])  # it is read
+        os.unlink(config["consul"])  # parse() has read it
 
-    def noted(text: str) -> None:
-        if not text.startswith("consul: agent "):  # of the daemon's start, not of what is tested
+    def log_line(text: str) -> None:
+        if not text.startswith("consul: agent "):  # logged at start, not part of what is tested
             log.append(text)
 
-    started = await STARTERS[way](made, noted, client_limits)
-    scene = Stage(started, discovery, servers, log)
+    started = await STARTERS[way](parsed, log_line, client_limits)
+    harness = Harness(started, discovery, servers, log)
     try:
-        yield scene
+        yield harness
     finally:
-        await started.close(scene.clients)
+        await started.close(harness.clients)
         for server in (*servers, discovery):
             server.stop()
 
 
 @contextlib.contextmanager
-def raw_client(scene: Stage) -> Iterator[socket.socket]:
-    with socket.create_connection((HOST, scene.sidecar.listener.port)) as client:
+def raw_client(harness: Harness) -> Iterator[socket.socket]:
+    with socket.create_connection((HOST, harness.sidecar.listener.port)) as client:
         yield client
 
 
-async def rest_of(client: socket.socket) -> bytes:
-    """What the client still gets up to an orderly end; raise ConnectionResetError if that does not come."""
+async def read_rest(client: socket.socket) -> bytes:
+    """Read to the end of the stream; raise ConnectionResetError if the connection is reset."""
     client.setblocking(False)
-    came = b""
-    while data := await soon(asyncio.get_running_loop().sock_recv(client, 65_536)):
-        came += data
-    return came
+    data = b""
+    while piece := await soon(asyncio.get_running_loop().sock_recv(client, 65_536)):
+        data += piece
+    return data
--- a/tests/shim/test_failing_calls.py
+++ b/tests/shim/test_failing_calls.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import play, soon
+from loopback import run_async, soon
 from test_program import GOOD, ROOT
 
 from micadeck.stand_ins.hostile.daemon_under_load import Daemon, is_served
@@ -73,7 +73,7 @@
             assert len(os.listdir(f"/proc/{daemon.pid}/fd")) < 100
             assert "internal error" not in daemon.log
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("number", [errno.ENOMEM, errno.ENOSPC], ids=errno.errorcode.get)
@@ -103,4 +103,4 @@
         assert ended == "draining\ndrained\nended: code 0, received SIGTERM\n"
         assert await soon(process.wait()) == 0
 
-    play(work)
+    run_async(work)
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -14,7 +14,7 @@
 from unittest import mock
 
 import pytest
-from loopback import HOST, OK, play, raw_client, request, rest_of, soon, stage, until
+from loopback import HOST, OK, raw_client, read_rest, request, run_async, run_harness, soon, until
 
 CLIENTS = 20
 # accept(2): those that pass, of the network and of this machine.
@@ -48,25 +48,25 @@
     code: int, at: int
 ) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
+        async with run_harness(OK) as harness:
             with failing_accept({at: code}), contextlib.ExitStack() as held:
-                clients = [held.enter_context(raw_client(scene)) for _ in range(CLIENTS)]
+                clients = [held.enter_context(raw_client(harness)) for _ in range(CLIENTS)]
                 for client in clients:
                     client.sendall(request("lodge"))
-                scene.sidecar.listener.is_draining = True
-                scene.sidecar.listener.stop_listening()
+                harness.sidecar.listener.is_draining = True
+                harness.sidecar.listener.stop_listening()
                 for client in clients:
-                    assert (await rest_of(client)).startswith(b"HTTP/1.1 200")
+                    assert (await read_rest(client)).startswith(b"HTTP/1.1 200")
 
-    play(work)
+    run_async(work)
 
 
 def test_no_descriptor_is_left_for_a_while_and_accepting_does_not_spin() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
+        async with run_harness(OK) as harness:
             for_long = dict.fromkeys(range(1, 10_000), errno.EMFILE)
             with failing_accept(for_long) as calls:
-                with raw_client(scene) as client:
+                with raw_client(harness) as client:
                     client.sendall(request())
                     began = time.process_time()
                     await asyncio.sleep(0.5)
@@ -77,7 +77,7 @@
                     assert (await soon(loop.sock_recv(client, 4_096))).startswith(b"HTTP/1.1 200")
             assert len(calls) < 100 and spent_s < 0.25, (len(calls), spent_s)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -85,22 +85,22 @@
     async def work() -> None:
         drawn = random.Random(seed)
         codes = {number: drawn.choice(PASSING) for number in range(1, 400) if drawn.random() < 0.4}
-        async with stage(OK) as scene:
+        async with run_harness(OK) as harness:
             with failing_accept(codes):
                 for _ in range(CLIENTS):
-                    client = await scene.client()
-                    assert (await client.ask()).status == 200
-            await until(lambda: len(scene.heard) == CLIENTS)
+                    client = await harness.client()
+                    assert (await client.exchange()).status == 200
+            await until(lambda: len(harness.received) == CLIENTS)
 
-    play(work)
+    run_async(work)
 
 
 def test_a_listener_that_closes_gives_its_port_back() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            port = scene.sidecar.listener.port
-            scene.sidecar.listener.stop_listening()
+        async with run_harness(OK) as harness:
+            port = harness.sidecar.listener.port
+            harness.sidecar.listener.stop_listening()
             with pytest.raises(OSError):
                 socket.create_connection((HOST, port), timeout=1.0)
 
-    play(work)
+    run_async(work)
--- a/tests/test_admin_under_pressure.py
+++ b/tests/test_admin_under_pressure.py
@@ -9,7 +9,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from loopback import HOST, OK, Client, play, request, soon
+from loopback import HOST, OK, Client, request, run_async, soon
 from test_program import Program, program
 
 PART = 0.12  # of a core
@@ -78,7 +78,7 @@
                 each.cancel()
             await asyncio.gather(*clients, return_exceptions=True)
 
-    play(work)
+    run_async(work)
 
 
 def test_a_caller_of_a_byte_a_second_is_cut_off_and_holds_back_nobody(tmp_path: Path) -> None:
@@ -95,4 +95,4 @@
             assert (await soon(slow.reader.read())) == b""
             assert time.monotonic() - began < 5.0
 
-    play(work)
+    run_async(work)
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -9,7 +9,18 @@
 
 import pytest
 from embedding_parity import Host
-from loopback import OK, Answer, Client, Heard, ScriptedDiscovery, ScriptedServer, line, play, request, until
+from loopback import (
+    OK,
+    Answer,
+    Client,
+    ReceivedRequest,
+    ScriptedDiscovery,
+    ScriptedServer,
+    list_entry,
+    request,
+    run_async,
+    until,
+)
 from starlette.applications import Starlette
 from starlette.requests import Request
 from starlette.responses import PlainTextResponse
@@ -44,7 +55,7 @@
 
 async def _run_hosted(make_app: Callable[[Micadeck], Any], scenario: Scenario, script: Any) -> None:
     server, discovery = await ScriptedServer(script).start(), ScriptedDiscovery()
-    discovery.servers = [line("s-0", server.address)]
+    discovery.servers = [list_entry("s-0", server.address)]
     await discovery.start()
     known = {"version": 1, "full": True, "servers": discovery.servers}
     balancer = Micadeck({**GOOD, "discovery": discovery.address, "known": known}, log=print)
@@ -60,7 +71,7 @@
 
 def run_hosted(make_app: Callable[[Micadeck], Any], scenario: Scenario, script: Any = OK) -> None:
     """Run a scenario against an application under uvicorn, with one server."""
-    play(lambda: _run_hosted(make_app, scenario, script))
+    run_async(lambda: _run_hosted(make_app, scenario, script))
 
 
 async def _send(host: Host, raw: bytes) -> Answer:
@@ -81,7 +92,7 @@
         assert (await _send(host, request(target="/elsewhere"))).body == b"page /elsewhere"
         # A request of the protocol that lacks a header is rejected, not passed to the application.
         assert (await _send(host, request(target="/api/4", Request_Class=""))).status == 400
-        assert [received.target for received in server.heard] == ["/api/1", "/api/2"]
+        assert [received.target for received in server.received] == ["/api/1", "/api/2"]
 
     run_hosted(lambda balancer: MicadeckMiddleware(application(), balancer), scenario)
 
@@ -89,7 +100,7 @@
 def test_handlers_reach_the_balancer_from_the_requests_state() -> None:
     async def scenario(host: Host, server: ScriptedServer) -> None:
         assert (await _send(host, b"GET /quote HTTP/1.1\r\nHost: x\r\n\r\n")).body == b"served"
-        assert [received.target for received in server.heard] == ["/api/from-a-handler"]
+        assert [received.target for received in server.received] == ["/api/from-a-handler"]
 
     def make_app(balancer: Micadeck) -> Starlette:
         app = application()
@@ -132,7 +143,7 @@
         assert sent == ["lifespan.startup.failed"]
         assert "micadeck-engine" not in {thread.name for thread in threading.enumerate()}
 
-    play(work)
+    run_async(work)
 
 
 def test_a_balancer_that_was_started_before_is_left_running() -> None:
@@ -143,18 +154,18 @@
             assert (await balancer.request("check", "/api/1")).kind is Kind.REFUSED  # no server is listed
             assert "micadeck-engine" in {thread.name for thread in threading.enumerate()}
 
-    play(work)
+    run_async(work)
 
 
 def test_shutdown_answers_accepted_requests() -> None:
-    async def slow(_request: Heard) -> bytes:
+    async def slow(_request: ReceivedRequest) -> bytes:
         await asyncio.sleep(0.4)
         return OK
 
     async def scenario(host: Host, server: ScriptedServer) -> None:
         client = await host.client()
         client.send(request("lodge", target="/api/1"))
-        await until(lambda: len(server.heard) == 1)
+        await until(lambda: len(server.received) == 1)
         host.server.should_exit = True
         assert (await client.answer()).status == 200
 
@@ -168,7 +179,7 @@
         await asyncio.sleep(0.05)
         client.close()
         assert (await _send(host, request(target="/api/2"))).status == 200
-        assert [received.target for received in server.heard] == ["/api/2"]
+        assert [received.target for received in server.received] == ["/api/2"]
 
     run_hosted(lambda balancer: MicadeckMiddleware(application(), balancer), scenario)
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -12,7 +12,19 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, PATIENCE_S, Client, Stage, played, read_head, request, rested, soon, stage, until
+from loopback import (
+    HOST,
+    WAIT_TIMEOUT_S,
+    Client,
+    Harness,
+    async_test,
+    read_head,
+    request,
+    reuse_delay_passed,
+    run_harness,
+    soon,
+    until,
+)
 
 from micadeck.http.body_stream import MAX_BUFFERED_BYTES, BodyStream, BufferBudget
 from micadeck.http.connection_limits import DownstreamLimits
@@ -263,14 +275,14 @@
 
 @asynccontextmanager
 async def beside(
-    serve: Serve, given: dict[str, Any] = DOOR, **how: Any
-) -> AsyncIterator[tuple[HandServer, Stage]]:
+    serve: Serve, overrides: dict[str, Any] = DOOR, **how: Any
+) -> AsyncIterator[tuple[HandServer, Harness]]:
     """A sidecar before one server that `serve` plays; at the end nothing of any body is left."""
     server = await HandServer(serve).start()
-    async with stage(others=[server.line], given=given, **how) as scene:
-        yield server, scene
-        await until(lambda: scene.sidecar.open_requests == 0)
-        budget = scene.sidecar._runtime.buffer_budget
+    async with run_harness(extra_entries=[server.line], overrides=overrides, **how) as harness:
+        yield server, harness
+        await until(lambda: harness.sidecar.open_requests == 0)
+        budget = harness.sidecar._runtime.buffer_budget
         assert (budget.held, budget.open_streams) == (0, 0)
     server.stop()
 
@@ -295,7 +307,7 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
-@played
+@async_test
 async def test_large_bodies_go_both_ways_unchanged(framing: str) -> None:
     answer, body = content(LARGE), content(LARGE + 7)
 
@@ -313,8 +325,8 @@
                 writer.write(b"0\r\n\r\n")
             await writer.drain()
 
-    async with beside(serve) as (server, scene):
-        client = await scene.client()
+    async with beside(serve) as (server, harness):
+        client = await harness.client()
         for _ in range(2):  # on one connection
             if framing == "length":
                 client.send(request("lodge", body=body))
@@ -328,15 +340,15 @@
             assert first.split(" ")[1] == "200"
             assert ("content-length" in headers) == (framing == "length")
             assert await soon(read_body(client.reader, headers)) == answer
-            await rested()
+            await reuse_delay_passed()
         assert server.whole == [hashlib.sha256(body).digest()] * 2
         assert server.connections == 1  # it is used again
-        await until(lambda: scene.sidecar.open_requests == 0)
-        assert b"handled.lodge.passed:2|c" in scene.sidecar.statistics_report()
+        await until(lambda: harness.sidecar.open_requests == 0)
+        assert b"handled.lodge.passed:2|c" in harness.sidecar.statistics_report()
 
 
 @pytest.mark.parametrize("stop_after", [0, 1_000, 100_000, LARGE])
-@played
+@async_test
 async def test_a_large_request_whose_server_breaks_is_refused_before_its_last_byte_and_failed_after(
     stop_after: int,
 ) -> None:
@@ -348,30 +360,30 @@
         await reader.readexactly(stop_after)
         writer.transport.abort()
 
-    async with beside(serve) as (server, scene):
-        client = await scene.client()
+    async with beside(serve) as (server, harness):
+        client = await harness.client()
         client.send(request("lodge", body=body))
         answer = await client.answer()
         assert answer.status == (502 if stop_after == LARGE else 503)
         assert server.connections == 1
 
 
-@played
+@async_test
 async def test_a_large_request_goes_elsewhere_as_long_as_nothing_of_it_went_out() -> None:
     body = content(LARGE)
     server = await HandServer(answers()).start()
     with socket.socket() as deaf:  # a port that refuses
         deaf.bind((HOST, 0))
         refusing = {**server.line, "id": "h-1", "addr": f"{HOST}:{deaf.getsockname()[1]}"}
-        async with stage(others=[server.line, refusing], given=DOOR) as scene:
+        async with run_harness(extra_entries=[server.line, refusing], overrides=DOOR) as harness:
             for _ in range(6):
-                client = await scene.client()
+                client = await harness.client()
                 client.send(request("lodge", body=body))
                 assert (await client.answer()).status == 200
     server.stop()
 
 
-@played
+@async_test
 async def test_an_answer_that_breaks_off_is_never_taken_for_whole() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
         await read_head(reader)
@@ -382,19 +394,19 @@
         await writer.drain()
         await asyncio.sleep(0.05)
 
-    async with beside(serve) as (server, scene):
+    async with beside(serve) as (server, harness):
         for _ in range(2):
-            client = await scene.client()
+            client = await harness.client()
             client.send(request("check"))
             _, headers = await soon(read_head(client.reader))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await soon(read_body(client.reader, headers))
-        await until(lambda: scene.sidecar.open_requests == 0)
+        await until(lambda: harness.sidecar.open_requests == 0)
         assert server.connections == 2  # begun answers are not asked for again
-        assert b"handled.check.bad_gateway:2|c" in scene.sidecar.statistics_report()
+        assert b"handled.check.bad_gateway:2|c" in harness.sidecar.statistics_report()
 
 
-@played
+@async_test
 async def test_a_slow_reader_holds_its_own_answer_only_and_memory_stays_bounded() -> None:
     answer = content(LARGE)
 
@@ -405,20 +417,20 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + answer[:size])
             await writer.drain()
 
-    async with beside(serve, client_limits=DownstreamLimits(write_stall_s=1.5)) as (_, scene):
-        budget = scene.sidecar._runtime.buffer_budget
+    async with beside(serve, client_limits=DownstreamLimits(write_stall_s=1.5)) as (_, harness):
+        budget = harness.sidecar._runtime.buffer_budget
         slow: list[Client] = []
         for _ in range(10):
             with_little = socket.socket()
             with_little.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             with_little.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(with_little, (HOST, scene.sidecar.listener.port))
+            await asyncio.get_running_loop().sock_connect(with_little, (HOST, harness.sidecar.listener.port))
             client = Client(*await asyncio.open_connection(sock=with_little, limit=1_024))
             client.send(request("check", target="/large"))
             slow.append(client)
         await until(lambda: budget.open_streams == 10)
         for _ in range(20):
-            assert (await scene.ask("check")).status == 200  # nobody else waits
+            assert (await harness.exchange("check")).status == 200  # nobody else waits
         assert budget.held <= 10 * (96 << 10)
         # Past its bound each is cut off, in a way that its client can tell.
         await until(lambda: budget.open_streams == 0)
@@ -429,7 +441,7 @@
             client.close()
 
 
-@played
+@async_test
 async def test_clients_that_take_nothing_of_their_answers_give_way_to_a_new_one() -> None:
     """Against a few clients that hold every place, so that all others are shut out."""
 
@@ -440,11 +452,11 @@
         await reader.read()  # until the sidecar ends the connection
 
     limits = DownstreamLimits(stall_s=0.4)
-    async with beside(serve, given={"limits": {"sockets": 64}}, client_limits=limits) as (_, scene):
-        connections = scene.sidecar.listener.connections
-        taking_nothing = [await asks_and_takes_nothing(scene) for _ in range(connections.max_connections)]
+    async with beside(serve, overrides={"limits": {"sockets": 64}}, client_limits=limits) as (_, harness):
+        connections = harness.sidecar.listener.connections
+        taking_nothing = [await asks_and_takes_nothing(harness) for _ in range(connections.max_connections)]
         began = time.monotonic()
-        while not await is_served(scene):
+        while not await is_served(harness):
             assert time.monotonic() - began < 5.0
             await asyncio.sleep(0.05)
         assert len(connections) >= connections.max_connections - 1  # one place was enough
@@ -452,20 +464,20 @@
             each.close()
 
 
-async def asks_and_takes_nothing(scene: Stage) -> socket.socket:
+async def asks_and_takes_nothing(harness: Harness) -> socket.socket:
     """A client that asks for a large answer, and never reads."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     client.setblocking(False)
     loop = asyncio.get_running_loop()
-    await loop.sock_connect(client, (HOST, scene.sidecar.listener.port))
+    await loop.sock_connect(client, (HOST, harness.sidecar.listener.port))
     await loop.sock_sendall(client, request("check", timeout="3.0", target="/large"))
     return client
 
 
-async def is_served(scene: Stage) -> bool:
+async def is_served(harness: Harness) -> bool:
     """Whether a request on a connection of its own is served."""
-    client = await scene.client()
+    client = await harness.client()
     try:
         client.send(request("check"))
         return (await client.answer()).status == 200
@@ -475,7 +487,7 @@
         client.close()
 
 
-@played
+@async_test
 async def test_a_client_that_goes_amid_its_answer_ends_the_servers_work() -> None:
     ended = asyncio.Event()
 
@@ -489,19 +501,19 @@
         finally:
             ended.set()
 
-    async with beside(serve) as (_, scene):
-        client = await scene.client()
+    async with beside(serve) as (_, harness):
+        client = await harness.client()
         client.send(request("check"))
         await soon(read_head(client.reader))
         client.writer.transport.abort()
         await soon(ended.wait())
 
 
-@played
+@async_test
 async def test_a_body_may_come_slowly_and_its_time_counts_from_its_last_byte() -> None:
     body = content(150_000)
-    async with beside(answers(expected=body)) as (_, scene):
-        client = await scene.client()
+    async with beside(answers(expected=body)) as (_, harness):
+        client = await harness.client()
         raw = request("lodge", timeout="0.3", body=body)
         head, rest = raw[:80_000], raw[80_000:]
         client.send(head)
@@ -511,7 +523,7 @@
         assert (await client.answer()).status == 200
 
 
-@played
+@async_test
 async def test_a_body_that_stalls_is_turned_away_and_reaches_nobody_whole() -> None:
     broken = asyncio.Event()
 
@@ -522,18 +534,18 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             broken.set()
 
-    async with beside(serve, client_limits=DownstreamLimits(stall_s=0.3, sweep_s=0.02)) as (_, scene):
-        client = await scene.client()
+    async with beside(serve, client_limits=DownstreamLimits(stall_s=0.3, sweep_s=0.02)) as (_, harness):
+        client = await harness.client()
         client.send(request("lodge", body=content(LARGE))[:200_000])
         assert (await client.answer()).status == 408
         await soon(broken.wait())
 
 
-@played
+@async_test
 async def test_a_client_with_a_large_body_waits_for_the_word_to_go_on() -> None:
     body = content(200_000)
-    async with beside(answers(expected=body)) as (_, scene):
-        client = await scene.client()
+    async with beside(answers(expected=body)) as (_, harness):
+        client = await harness.client()
         raw = request("lodge", body=body, Expect="100-continue")
         head = raw[: len(raw) - len(body)]
         client.send(head)
@@ -542,7 +554,7 @@
         assert (await client.answer()).status == 200
 
 
-@played
+@async_test
 async def test_what_is_pipelined_behind_a_large_body_is_answered_in_its_turn() -> None:
     body = content(300_000)
 
@@ -554,8 +566,8 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"y" * size)
             await writer.drain()
 
-    async with beside(serve) as (_, scene):
-        client = await scene.client()
+    async with beside(serve) as (_, harness):
+        client = await harness.client()
         client.send(request("lodge", body=body) + request("check") + request("lodge", body=b"end"))
         sizes = []
         for _ in range(3):
@@ -565,7 +577,7 @@
         assert sizes == [300_000, 0, 3]
 
 
-@played
+@async_test
 async def test_a_client_of_http_1_0_gets_no_chunks() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
         await read_head(reader)
@@ -573,15 +585,15 @@
         writer.write(b"\r\n0\r\n\r\n")
         await writer.drain()
 
-    async with beside(serve) as (_, scene):
-        client = await scene.client()
+    async with beside(serve) as (_, harness):
+        client = await harness.client()
         client.send(request("check").replace(b"HTTP/1.1", b"HTTP/1.0"))
         _, headers = await soon(read_head(client.reader))
         assert headers["connection"] == "close" and "transfer-encoding" not in headers
         assert await soon(client.reader.read()) == b"x" * 100_000
 
 
-@played
+@async_test
 async def test_ten_bodies_each_way_at_once_take_little_memory() -> None:
     size = 8 << 20
 
@@ -595,8 +607,8 @@
             writer.write(b"x" * 65_536)
             await writer.drain()
 
-    async def client(scene: Stage) -> None:
-        one = await scene.client()
+    async def client(harness: Harness) -> None:
+        one = await harness.client()
         one.send(request("lodge", body=b"", Content_Length=str(size)))
         for _ in range(size // 65_536):
             one.send(b"y" * 65_536)
@@ -604,10 +616,10 @@
         _, headers = await soon(read_head(one.reader))
         left = int(headers["content-length"])
         while left:
-            left -= len(await asyncio.wait_for(one.reader.read(1 << 16), PATIENCE_S))
+            left -= len(await asyncio.wait_for(one.reader.read(1 << 16), WAIT_TIMEOUT_S))
 
-    async with beside(serve) as (_, scene):
-        budget = scene.sidecar._runtime.buffer_budget
+    async with beside(serve) as (_, harness):
+        budget = harness.sidecar._runtime.buffer_budget
         most = 0
 
         async def watch() -> None:
@@ -617,7 +629,7 @@
                 await asyncio.sleep(0.001)
 
         watching = asyncio.ensure_future(watch())
-        await asyncio.gather(*(client(scene) for _ in range(10)))
+        await asyncio.gather(*(client(harness) for _ in range(10)))
         watching.cancel()
         assert most <= budget.max_bytes
 
@@ -631,30 +643,30 @@
         stream.drop()
 
 
-@played
+@async_test
 async def test_an_answer_that_lies_about_its_length_is_asked_for_elsewhere() -> None:
     # Guards against beginning an answer on its word alone: once it has begun, nobody else can be asked.
     async def lies(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n" + b"x" * 1_000)
-        await asyncio.sleep(PATIENCE_S)
+        await asyncio.sleep(WAIT_TIMEOUT_S)
 
     liar, other = await HandServer(lies).start(), await HandServer(answers(b"ok")).start()
-    async with stage(others=[liar.line, {**other.line, "id": "h-1"}], given=DOOR) as scene:
-        assert [(await scene.ask("check")).status for _ in range(6)] == [200] * 6
+    async with run_harness(extra_entries=[liar.line, {**other.line, "id": "h-1"}], overrides=DOOR) as harness:
+        assert [(await harness.exchange("check")).status for _ in range(6)] == [200] * 6
     assert liar.connections > 0
     liar.stop()
     other.stop()
 
 
-@played
+@async_test
 async def test_bodies_that_come_for_ever_make_room_for_a_new_client() -> None:
     given = {**DOOR, "limits": {"sockets": 80, "memory_mb": 16}}
-    async with beside(answers(b"ok"), given) as (_, scene):
-        frontend = scene.sidecar.listener
+    async with beside(answers(b"ok"), given) as (_, harness):
+        frontend = harness.sidecar.listener
         for _ in range(frontend.connections.max_connections):
-            client = await scene.client()
+            client = await harness.client()
             client.send(request("lodge", body=content(LARGE))[:100_000])
-        await until(lambda: scene.sidecar.open_requests == frontend.connections.max_connections)
-        assert (await scene.ask("check")).status in (200, 503)  # the servers' side may be full of them
+        await until(lambda: harness.sidecar.open_requests == frontend.connections.max_connections)
+        assert (await harness.exchange("check")).status in (200, 503)  # the servers' side may be full of them
         assert len(frontend.connections) <= frontend.connections.max_connections
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -7,7 +7,7 @@
 
 import pytest
 from click.testing import CliRunner
-from loopback import played
+from loopback import async_test
 from test_incidents import day, folder
 from textual.widgets import DataTable, Static
 
@@ -25,7 +25,7 @@
     return str(app.query_one(f"#{name}", Static).render())
 
 
-@played
+@async_test
 async def test_keys_walk_through_time_servers_and_incidents_at_80_by_24(tmp_path: Path) -> None:
     told = folder(day(2, "zone"), tmp_path / "day")
     app = ConsoleApp((told,), plain=True)
@@ -51,7 +51,7 @@
         assert app.second == app.model.seconds - 1 and app.follows
 
 
-@played
+@async_test
 async def test_files_that_grow_are_followed(tmp_path: Path) -> None:
     told = folder(day(2, "zone"), tmp_path / "day")
     whole = {each: each.read_bytes() for each in told.iterdir()}
--- a/tests/test_consul_client.py
+++ b/tests/test_consul_client.py
@@ -11,7 +11,7 @@
 
 import consul as pyconsul  # type: ignore[import-untyped]
 import pytest
-from loopback import HOST, play, soon
+from loopback import HOST, run_async, soon
 
 from micadeck.membership.consul import Agents, ConsulClient, ConsulError, RequestOptions, parse_health
 from micadeck.network import LoopNetwork, parse_address
@@ -47,7 +47,7 @@
         finally:
             agent.stop()
 
-    play(main)
+    run_async(main)
 
 
 def test_a_list_is_read_and_a_blocking_query_wakes_by_a_change_and_by_that_alone() -> None:
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -13,7 +13,17 @@
 from typing import Any
 
 import pytest
-from loopback import CLASSES, HOST, Client, ScriptedDiscovery, consul_config, line, play, soon, until
+from loopback import (
+    CLASSES,
+    HOST,
+    Client,
+    ScriptedDiscovery,
+    consul_config,
+    list_entry,
+    run_async,
+    soon,
+    until,
+)
 
 from micadeck.config import ConfigError, parse
 from micadeck.engine import EndpointEntry, EndpointUpdate
@@ -71,7 +81,7 @@
     async def statuses(self, count: int, kind: str = "check") -> list[int]:
         """Ask so often, one after the other."""
         client = self.idle.pop() if self.idle else await self.client()
-        statuses = [(await client.ask(kind)).status for _ in range(count)]
+        statuses = [(await client.exchange(kind)).status for _ in range(count)]
         self.idle.append(client)
         return statuses
 
@@ -134,7 +144,9 @@
     if in_roster is not None:
         roster = ScriptedDiscovery()
         roster.servers = [
-            line(f"s-{number}", each.address) for number, each in enumerate(servers) if in_roster(number)
+            list_entry(f"s-{number}", each.address)
+            for number, each in enumerate(servers)
+            if in_roster(number)
         ]
         await roster.start()
         config["discovery"] = roster.address
@@ -163,7 +175,7 @@
     async def main() -> None:
         await work()
 
-    play(main)
+    run_async(main)
 
 
 def test_health_that_flips_at_random_among_200_nodes_lets_nothing_reach_a_drained_one() -> None:
@@ -179,7 +191,7 @@
             async def ask() -> None:
                 client = await scene.client()
                 while not is_over:
-                    answers.append((await client.ask()).status)
+                    answers.append((await client.exchange()).status)
                     await asyncio.sleep(0.01)
 
             async def flip() -> None:
@@ -307,10 +319,10 @@
                 scene.check(0, "critical")
             else:
                 state = "leaving" if who.startswith("leaving") else "left"
-                scene.roster.tell(line("s-0", scene.servers[0].address, state=state))
+                scene.roster.publish(list_entry("s-0", scene.servers[0].address, state=state))
             await scene.uses(1, 2)
             # The other source's word, told anew, changes nothing.
-            scene.roster.tell(line("s-1", scene.servers[1].address))
+            scene.roster.publish(list_entry("s-1", scene.servers[1].address))
             if who != "critical in consul":
                 scene.register(0)
             assert set(await scene.statuses(30)) == {200}
@@ -341,7 +353,7 @@
                 scene.undrain(2) if turn % 2 else scene.drain(2)
                 await asyncio.sleep(0.02)
             again = ScriptedDiscovery()
-            again.servers = [line("s-0", scene.servers[0].address)]
+            again.servers = [list_entry("s-0", scene.servers[0].address)]
             scene.roster = again
             await again.start(port)
             await scene.uses(0, 2)
@@ -357,13 +369,13 @@
             server.takes_s = 0.8
             client = await scene.client()
             heard = len(server.heard)
-            asking = asyncio.ensure_future(client.ask("lodge"))
+            asking = asyncio.ensure_future(client.exchange("lodge"))
             await until(lambda: len(server.heard) == heard + 1)
             scene.drop(0)
             await until(lambda: scene.sidecar._runtime.sources.merge.snapshot().entries == ())  # type: ignore[union-attr]
             assert (await soon(asking)).status == 200
             assert len(server.heard) == heard + 1
-            assert (await (await scene.client()).ask()).status == 503
+            assert (await (await scene.client()).exchange()).status == 503
 
     played(work)
 
--- a/tests/test_consul_show.py
+++ b/tests/test_consul_show.py
@@ -10,7 +10,7 @@
 
 import pytest
 from child_process_peers import ROOT
-from loopback import HOST, play, soon, until
+from loopback import HOST, run_async, soon, until
 from test_consul_source import put
 
 from micadeck.membership.consul.config import ConsulConfigError, load, parse
@@ -127,7 +127,7 @@
         assert "critical: service:t-81" in lines[1] and "maintenance" in lines[2]
         agent.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_the_command_watches_on_and_tells_of_changes(tmp_path: Path) -> None:
@@ -148,7 +148,7 @@
         await soon(child.wait())
         agent.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_consul_that_answers_nothing_and_a_bad_file_have_exit_codes_of_their_own(tmp_path: Path) -> None:
@@ -165,7 +165,7 @@
         _, err = await soon(child.communicate())
         assert child.returncode == 2 and err == b"micadeck: consul: agents: at least one address is needed\n"
 
-    play(work)
+    run_async(work)
 
 
 def agent_place(path: Path) -> str:
--- a/tests/test_consul_source.py
+++ b/tests/test_consul_source.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from loopback import play, soon, until
+from loopback import run_async, soon, until
 
 from micadeck.membership.consul import (
     Agents,
@@ -92,7 +92,7 @@
         finally:
             agent.stop()
 
-    play(main)
+    run_async(main)
 
 
 def test_a_flip_is_published_within_the_grace_while_others_flip_at_random() -> None:
@@ -212,4 +212,4 @@
         listener.watch.close()
         agent.stop()
 
-    play(work)
+    run_async(work)
--- a/tests/test_daemon_library_parity.py
+++ b/tests/test_daemon_library_parity.py
@@ -13,7 +13,7 @@
 
 import loopback
 import pytest
-from loopback import ERROR, FULL, OK, Heard, play, request, stage, until
+from loopback import ERROR, FULL, OK, ReceivedRequest, request, run_async, run_harness, until
 
 import micadeck.network.loop
 
@@ -84,9 +84,9 @@
     SteppedClock.at = START_US
     current = 0
 
-    async def respond(received: Heard) -> bytes | None:
+    async def respond(received: ReceivedRequest) -> bytes | None:
         attempt = sum(1 for sent in workload.sends if sent[0] == current)
-        server_number = next(n for n, server in enumerate(setup.servers) if received in server.heard)
+        server_number = next(n for n, server in enumerate(setup.servers) if received in server.received)
         headers = {name: value for name, value in received.headers.items() if name != "request-timeout"}
         fields = (received.method, received.target, tuple(sorted(headers.items())), received.body)
         workload.sends.append((current, server_number, *fields))
@@ -96,8 +96,8 @@
         received.writer.transport.abort()
         return None
 
-    async with stage(*[respond] * 5) as setup:
-        await until(lambda: len(setup.discovery.heard) >= 2)
+    async with run_harness(*[respond] * 5) as setup:
+        await until(lambda: len(setup.discovery.received) >= 2)
         await asyncio.sleep(0.01)
         for current, raw in enumerate(workload.requests):  # noqa: B007 - `respond` reads it
             client = await setup.client()
@@ -129,4 +129,4 @@
         assert len(by_daemon.sends) > 10
         assert len({sent[1] for sent in by_daemon.sends}) > 2  # servers
 
-    play(work)
+    run_async(work)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,7 +6,17 @@
 import json
 
 import pytest
-from loopback import HOST, Heard, ScriptedDiscovery, ScriptedServer, line, play, reply, soon, until
+from loopback import (
+    HOST,
+    ReceivedRequest,
+    ScriptedDiscovery,
+    ScriptedServer,
+    list_entry,
+    reply,
+    run_async,
+    soon,
+    until,
+)
 
 from micadeck.engine import EndpointUpdate
 from micadeck.membership.discovery_watcher import DiscoveryWatcher, WatchOptions
@@ -36,25 +46,25 @@
 def test_a_watch_is_answered_at_once_then_waits_for_news() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
-        server.servers = [line("s-1", "127.0.0.2:80")]
+        server.servers = [list_entry("s-1", "127.0.0.2:80")]
         await server.start()
         ears = Ears(server)
         ears.discovery.watch(True)
         first = await ears.next()
         assert first is not None and first.full and first.version == 1
-        await until(lambda: len(server.heard) == 2)
-        assert server.heard[0].target == "/catalog/members?after=41&wait_ms=0"
-        assert server.heard[1].target == "/catalog/members?after=1&wait_ms=2000"
-        server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
+        await until(lambda: len(server.received) == 2)
+        assert server.received[0].target == "/catalog/members?after=41&wait_ms=0"
+        assert server.received[1].target == "/catalog/members?after=1&wait_ms=2000"
+        server.publish(list_entry("s-1", "127.0.0.2:80", state="leaving"))
         news = await ears.next()
         assert news is not None and not news.full and news.version == 2
-        await until(lambda: len(server.heard) == 3)
+        await until(lambda: len(server.received) == 3)
         ears.discovery.watch(False)
         await until(lambda: len(server.closed) == 0 or server.closed == [0])
         ears.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 GOOD = {"version": 7, "full": True, "servers": []}
@@ -78,10 +88,10 @@
 @pytest.mark.parametrize("how", ["follow", "fetch"])
 def test_a_call_that_fails_is_one_failure_and_the_next_is_answered(answer: bytes | None, how: str) -> None:
     async def work() -> None:
-        async def once(heard: Heard) -> bytes:
+        async def once(received: ReceivedRequest) -> bytes:
             server.script = reply(json.dumps(GOOD).encode())
             if answer is None:
-                heard.writer.transport.abort()
+                received.writer.transport.abort()
                 return b""
             return answer
 
@@ -98,12 +108,12 @@
         assert await ears.next() is None
         assert ears.events.empty()
         call()
-        heard = await ears.next()
-        assert heard is not None and heard.version == 7
+        received = await ears.next()
+        assert received is not None and received.version == 7
         ears.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_changed_address_is_read_completely_without_a_failure_of_the_old_one() -> None:
@@ -115,20 +125,20 @@
         ears = Ears(old)
         ears.discovery.watch(True)
         assert await ears.next() is not None
-        await until(lambda: len(old.heard) == 2)
+        await until(lambda: len(old.received) == 2)
         ears.discovery.change_address(parse_address(new.address))
-        old.tell(line("s-9", "127.0.0.2:80"))  # nobody hears it any more
-        heard = await ears.next()
-        assert heard is not None and heard.version == 5
+        old.publish(list_entry("s-9", "127.0.0.2:80"))  # nobody hears it any more
+        received = await ears.next()
+        assert received is not None and received.version == 5
         await until(lambda: old.closed == [0])
-        await until(lambda: len(new.heard) == 2)
-        assert new.heard[0].target == "/catalog/members"
+        await until(lambda: len(new.received) == 2)
+        assert new.received[0].target == "/catalog/members"
         assert ears.events.empty()
         ears.discovery.close()
         for each in (old, new):
             each.stop()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -149,7 +159,7 @@
     async def work() -> None:
         answers = [body, body, reply(json.dumps(GOOD).encode()), body]
 
-        async def answer(heard: Heard) -> bytes:
+        async def answer(received: ReceivedRequest) -> bytes:
             given = answers.pop(0)
             return given if given.startswith(b"HTTP") else reply(given)
 
@@ -157,15 +167,15 @@
         ears = Ears(server)
         for told in ("failed", "failed", "listed", "failed"):
             ears.discovery.fetch()
-            heard = await ears.next()
-            assert (heard is None) == (told == "failed")
+            received = await ears.next()
+            assert (received is None) == (told == "failed")
         assert len(ears.log) == 2  # the first of a row, and the first after a list that could be read
         assert all(each.startswith("discovery: ") and names in each for each in ears.log)
         assert all(each.endswith("; its last list stays in use") for each in ears.log)
         ears.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_fetch_that_was_overtaken_by_news_changes_nothing() -> None:
@@ -173,10 +183,10 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def answer(heard: Heard) -> bytes | None:
-            if "wait_ms=0" in heard.target:
+        async def answer(received: ReceivedRequest) -> bytes | None:
+            if "wait_ms=0" in received.target:
                 return reply(json.dumps({**GOOD, "version": 42}).encode())
-            if "wait_ms" in heard.target:
+            if "wait_ms" in received.target:
                 return None
             await release.wait()
             return reply(json.dumps({**GOOD, "version": 40}).encode())
@@ -184,7 +194,7 @@
         server = await ScriptedServer(answer).start()
         ears = Ears(server)
         ears.discovery.fetch()
-        await until(lambda: len(server.heard) == 1)
+        await until(lambda: len(server.received) == 1)
         ears.discovery.watch(True)
         news = await ears.next()
         assert news is not None and news.version == 42
@@ -194,7 +204,7 @@
         ears.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_discovery_that_is_down_fails_a_call() -> None:
@@ -207,7 +217,7 @@
         ears.discovery.fetch()
         assert await ears.next() is None
 
-    play(work)
+    run_async(work)
 
 
 def test_a_watch_wanted_again_before_its_answer_keeps_its_place() -> None:
@@ -215,7 +225,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def slow(heard: Heard) -> bytes:
+        async def slow(received: ReceivedRequest) -> bytes:
             await release.wait()
             return reply(json.dumps(GOOD).encode())
 
@@ -223,7 +233,7 @@
         ears = Ears(server)
         for _ in range(3):
             ears.discovery.watch(True)
-        await until(lambda: len(server.heard) == 1)
+        await until(lambda: len(server.received) == 1)
         ears.discovery.watch(True)
         release.set()
         assert await ears.next() is not None
@@ -231,7 +241,7 @@
         ears.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_pushed_lists_are_received_unrequested_also_after_the_agent_was_away() -> None:
@@ -244,21 +254,25 @@
         server.stop()
         again = ScriptedDiscovery()
         again.version = 9
-        again.servers = [line("s-1", f"{HOST}:80")]
+        again.servers = [list_entry("s-1", f"{HOST}:80")]
         await again.start(port)
-        again.tell(line("s-2", f"{HOST}:80"))
-        heard = await ears.next()
-        assert heard is not None and heard.version == 10
+        again.publish(list_entry("s-2", f"{HOST}:80"))
+        received = await ears.next()
+        assert received is not None and received.version == 10
         assert ears.events.empty()
         ears.discovery.close()
         again.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_listing_is_read_as_the_decisions_need_it() -> None:
     listing = parse_endpoint_update(
-        {"version": 3, "full": False, "servers": [line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)]}
+        {
+            "version": 3,
+            "full": False,
+            "servers": [list_entry("a", "127.0.0.1:80", started_ms=1_700_000_000_123)],
+        }
     )
     listed = listing.entries[0].endpoint
     assert listed.started_at == 1_700_000_000_123_000
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import HOST, play, soon, until
+from loopback import HOST, run_async, soon, until
 from test_program import GOOD, ROOT
 
 HUP, TERM, INT = signal.SIGHUP, signal.SIGTERM, signal.SIGINT
@@ -65,7 +65,7 @@
         reloads = [each for each in lines.decode().splitlines() if each.startswith("reloaded")]
         assert not reloads or reloads[-1].endswith(f"{HOST}:{count}")
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("after_s", MOMENTS_S)
@@ -77,7 +77,7 @@
         process = await at_start(tmp_path, after_s, *signals)
         assert await soon(process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -91,4 +91,4 @@
             await asyncio.sleep(APART_S)
         assert await soon(process.wait()) == 0
 
-    play(work)
+    run_async(work)
--- a/tests/test_exit_codes.py
+++ b/tests/test_exit_codes.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import play, soon
+from loopback import run_async, soon
 from test_program import GOOD, ROOT, started
 
 from micadeck.config import ConfigError, ConfigUnreadableError
@@ -40,7 +40,7 @@
         assert process.returncode == -what
         assert b"Fatal Python error" in told and b"daemon.py" in told
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("what", [signal.SIGTERM, signal.SIGINT])
@@ -52,7 +52,7 @@
         assert process.returncode == 0
         assert told.decode().splitlines()[-1] == f"ended: code 0, received {what.name}"
 
-    play(work)
+    run_async(work)
 
 
 def test_an_end_by_a_defect_is_one_line_and_code_3(tmp_path: Path) -> None:
@@ -68,7 +68,7 @@
         assert process.returncode == 3
         assert told.decode().splitlines()[-1].startswith("ended: code 3, TypeError")
 
-    play(work)
+    run_async(work)
 
 
 def test_a_limit_of_memory_that_the_idle_process_passes_is_a_fault_of_the_configuration(
@@ -86,7 +86,7 @@
         assert process.returncode == 2
         assert told.startswith(b"micadeck: config: limits.memory_mb: 16")
 
-    play(work)
+    run_async(work)
 
 
 def test_each_error_has_advice_of_its_own_and_keeps_its_text() -> None:
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from loopback import OK, play, stage, until
+from loopback import OK, run_async, run_harness, until
 
 from micadeck.config import ConfigError
 
@@ -25,15 +25,15 @@
     """A sidecar with these settings answers each request, whatever the answer is, and lives on."""
 
     async def work() -> None:
-        async with stage(OK, **{"lanes": CLASSES, **settings}) as scene:
+        async with run_harness(OK, **{"lanes": CLASSES, **settings}) as harness:
             for kind in ("check", "amend", "lodge") * 2:
-                assert (await scene.ask(kind, timeout="0.5")).status in (200, 503, 504)
-            scene.servers[0].hang_up()
-            assert (await scene.ask("check", timeout="0.5")).status in (200, 503, 504)
-            await until(lambda: scene.sidecar.open_requests == 0)
-            assert not [each for each in scene.log if "internal error" in each]
+                assert (await harness.exchange(kind, timeout="0.5")).status in (200, 503, 504)
+            harness.servers[0].hang_up()
+            assert (await harness.exchange("check", timeout="0.5")).status in (200, 503, 504)
+            await until(lambda: harness.sidecar.open_requests == 0)
+            assert not [each for each in harness.log if "internal error" in each]
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("figure", FIGURES)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -7,7 +7,7 @@
 import weakref
 
 import pytest
-from loopback import OK, Heard, play, request, soon, stage, until
+from loopback import OK, ReceivedRequest, request, run_async, run_harness, soon, until
 
 from micadeck.http.connection_limits import DownstreamLimits
 from micadeck.http.h1 import MAX_BODY_BYTES
@@ -18,18 +18,18 @@
 )
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back(kind: str, body: bytes) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            answer = await scene.ask(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
+        async with run_harness(OK) as harness:
+            answer = await harness.exchange(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
             assert (answer.status, answer.body) == (200, b"served")
-            (heard,) = scene.heard
-            assert heard.method == ("GET" if kind == "check" else "POST")
-            assert heard.target == "/api/7f3a?x=1"
-            assert heard.body == body
-            assert heard.headers["request-id"] == "9b1f03aa5c7e2d41"
-            assert heard.headers.get("idempotency-key") == ("5c0f" if kind == "amend" else None)
-            assert 0.0 < float(heard.headers["request-timeout"]) <= 1.5
+            (received,) = harness.received
+            assert received.method == ("GET" if kind == "check" else "POST")
+            assert received.target == "/api/7f3a?x=1"
+            assert received.body == body
+            assert received.headers["request-id"] == "9b1f03aa5c7e2d41"
+            assert received.headers.get("idempotency-key") == ("5c0f" if kind == "amend" else None)
+            assert 0.0 < float(received.headers["request-timeout"]) <= 1.5
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -62,141 +62,141 @@
 )
 def test_bad_input_gets_400_and_reaches_no_server(raw: bytes) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with run_harness(OK) as harness:
+            client = await harness.client()
             client.send(raw)
             assert (await client.answer()).status == 400
-            assert scene.heard == []
-            assert (await scene.ask()).status == 200  # it lives on
+            assert harness.received == []
+            assert (await harness.exchange()).status == 200  # it lives on
 
-    play(work)
+    run_async(work)
 
 
 def test_a_body_over_the_bound_gets_413() -> None:
     # Guards against a reset that takes the answer with it, when the client is still sending.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with run_harness(OK) as harness:
+            client = await harness.client()
             body = b"x" * (MAX_BODY_BYTES + 1)
             client.send(request("lodge", body=body))
             assert (await client.answer()).status == 413
-            assert scene.heard == []
+            assert harness.received == []
 
-    play(work)
+    run_async(work)
 
 
 def test_requests_on_one_connection_are_answered_in_order_also_when_sent_ahead() -> None:
     async def work() -> None:
-        async def echo(heard: Heard) -> bytes:
-            return b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + heard.target[-2:].encode()
+        async def echo(received: ReceivedRequest) -> bytes:
+            return b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + received.target[-2:].encode()
 
-        async with stage(echo) as scene:
-            client = await scene.client()
+        async with run_harness(echo) as harness:
+            client = await harness.client()
             client.send(b"".join(request(target=f"/api/{number}") for number in range(10, 30)))
             assert [(await client.answer()).body for _ in range(20)] == [b"%d" % n for n in range(10, 30)]
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_that_leaves_ends_the_attempt_and_the_sidecar_forgets_the_request() -> None:
     async def work() -> None:
-        async with stage(None) as scene:
-            client = await scene.client()
+        async with run_harness(None) as harness:
+            client = await harness.client()
             client.send(request("lodge"))
-            await until(lambda: len(scene.heard) == 1)
+            await until(lambda: len(harness.received) == 1)
             client.close()
-            await until(lambda: scene.servers[0].closed == [0])
-            await until(lambda: scene.sidecar.open_requests == 0)
+            await until(lambda: harness.servers[0].closed == [0])
+            await until(lambda: harness.sidecar.open_requests == 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_more_than_max_open_is_refused_at_once() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(received: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with stage(hold, bounds={"maxOpen": 2}) as scene:
-            first, second = await scene.client(), await scene.client()
+        async with run_harness(hold, bounds={"maxOpen": 2}) as harness:
+            first, second = await harness.client(), await harness.client()
             first.send(request("lodge"))
             second.send(request("lodge"))
-            await until(lambda: scene.sidecar.open_requests == 2)
-            assert (await scene.ask("lodge")).status == 503
+            await until(lambda: harness.sidecar.open_requests == 2)
+            assert (await harness.exchange("lodge")).status == 503
             release.set()
             assert [(await first.answer()).status, (await second.answer()).status] == [200, 200]
-            assert len(scene.heard) == 2
+            assert len(harness.received) == 2
 
-    play(work)
+    run_async(work)
 
 
 def test_the_connection_longest_at_rest_makes_room_for_a_new_one() -> None:
     # Guards against running out of descriptors: 64 leave room for a handful of clients.
     async def work() -> None:
-        async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
+        async with run_harness(OK, overrides={"limits": {"sockets": 64}}) as harness:
             clients = []
             for _ in range(20):
-                client = await scene.client()
-                assert (await client.ask()).status == 200
+                client = await harness.client()
+                assert (await client.exchange()).status == 200
                 clients.append(client)
             assert await clients[0].reader.read() == b""
-            assert (await clients[-1].ask()).status == 200
-            await until(lambda: len(scene.sidecar.listener.connections) <= 8)
+            assert (await clients[-1].exchange()).status == 200
+            await until(lambda: len(harness.sidecar.listener.connections) <= 8)
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_cannot_have_the_host_or_the_ids_taken_off() -> None:
     # Guards against a request that can't be written to a server: its client would wait for the deadline.
     async def work() -> None:
-        async with stage(OK) as scene:
-            answer = await scene.ask("amend", Connection="host, request-id, idempotency-key, tenant")
+        async with run_harness(OK) as harness:
+            answer = await harness.exchange("amend", Connection="host, request-id, idempotency-key, tenant")
             assert answer.status == 200
-            headers = scene.heard[0].headers
+            headers = harness.received[0].headers
             assert headers["host"] == "origin.svc" and headers["idempotency-key"] == "5c0f"
             assert "request-id" in headers and "tenant" not in headers
 
-    play(work)
+    run_async(work)
 
 
 def test_requests_that_stall_half_sent_make_room_for_new_ones() -> None:
     # Guards against clients that begin a body and never end it: each would hold its descriptor for good.
     async def work() -> None:
-        async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
+        async with run_harness(OK, overrides={"limits": {"sockets": 64}}) as harness:
             for _ in range(12):
-                stalled = await scene.client()
+                stalled = await harness.client()
                 stalled.send(request("lodge", body=b"x" * 10)[:-1])
-            assert (await scene.ask()).status == 200
-            await until(lambda: len(scene.sidecar.listener.connections) <= 8)
+            assert (await harness.exchange()).status == 200
+            await until(lambda: len(harness.sidecar.listener.connections) <= 8)
 
-    play(work)
+    run_async(work)
 
 
 def test_letting_go_of_idle_connections_spares_one_with_a_request_unread() -> None:
     # Guards against a reset that loses a request at the end of a drain, when nobody listens for a second try.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            assert (await client.ask()).status == 200
+        async with run_harness(OK) as harness:
+            client = await harness.client()
+            assert (await client.exchange()).status == 200
             client.send(request("lodge"))  # it is in the sidecar's socket now, and the event loop has not run
-            scene.sidecar.listener.connections.close_idle()
+            harness.sidecar.listener.connections.close_idle()
             assert (await client.answer()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_health_is_answered_here() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with run_harness(OK) as harness:
+            client = await harness.client()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await client.answer()).status == 200
-            assert (await client.ask()).status == 200
-            assert len(scene.heard) == 1
+            assert (await client.exchange()).status == 200
+            assert len(harness.received) == 1
 
-    play(work)
+    run_async(work)
 
 
 SMUGGLED = request("lodge", target="/api/hidden")
@@ -221,14 +221,14 @@
 def test_what_can_be_read_in_two_ways_is_turned_away_with_all_that_follows(raw: bytes) -> None:
     # Guards against a request that hides in another's body, and against serving a client that sends nonsense.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with run_harness(OK) as harness:
+            client = await harness.client()
             client.send(raw)
             assert (await client.answer()).status in (400, 413)
             assert await soon(client.reader.read()) == b""
-            assert scene.heard == []
+            assert harness.received == []
 
-    play(work)
+    run_async(work)
 
 
 SHORT = DownstreamLimits(
@@ -248,38 +248,38 @@
 )
 def test_a_client_that_sends_no_whole_request_in_time_is_let_go(raw: bytes, status: int | None) -> None:
     async def work() -> None:
-        async with stage(OK, client_limits=SHORT) as scene:
-            client = await scene.client()
+        async with run_harness(OK, client_limits=SHORT) as harness:
+            client = await harness.client()
             client.send(raw)
             if status is not None:
                 assert (await client.answer()).status == status
             assert await soon(client.reader.read()) == b""
             client.writer.write(b"more of it")  # a client that sends on and on is cut off all the same
-            await until(lambda: len(scene.sidecar.listener.connections) == 0)
-            assert scene.heard == []
+            await until(lambda: len(harness.sidecar.listener.connections) == 0)
+            assert harness.received == []
 
-    play(work)
+    run_async(work)
 
 
 def test_a_connection_at_rest_is_closed_in_the_end_and_one_that_waits_is_not() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
-            if len(scene.heard) == 2:
+        async def hold(received: ReceivedRequest) -> bytes:
+            if len(harness.received) == 2:
                 await release.wait()
             return OK
 
-        async with stage(hold, client_limits=SHORT) as scene:
-            resting, waiting = await scene.client(), await scene.client()
-            assert (await resting.ask("lodge")).status == 200
+        async with run_harness(hold, client_limits=SHORT) as harness:
+            resting, waiting = await harness.client(), await harness.client()
+            assert (await resting.exchange("lodge")).status == 200
             waiting.send(request("lodge"))
             assert await soon(resting.reader.read()) == b""
             await asyncio.sleep(2 * SHORT.request_timeout_s)
             release.set()
             assert (await waiting.answer()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_hundreds_that_connect_and_say_nothing_leave_room_for_those_that_ask() -> None:
@@ -287,113 +287,113 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(received: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with stage(hold, given={"limits": {"sockets": 64}}) as scene:
-            waiting = await scene.client()
+        async with run_harness(hold, overrides={"limits": {"sockets": 64}}) as harness:
+            waiting = await harness.client()
             waiting.send(request("lodge"))
-            await until(lambda: len(scene.heard) == 1)
+            await until(lambda: len(harness.received) == 1)
             most = 0
             for _ in range(200):
-                await scene.client()
-                most = max(most, len(scene.sidecar.listener.connections))
+                await harness.client()
+                most = max(most, len(harness.sidecar.listener.connections))
             release.set()
-            assert (await scene.ask("lodge")).status == 200
+            assert (await harness.exchange("lodge")).status == 200
             assert (await waiting.answer()).status == 200
             assert most <= 8
 
-    play(work)
+    run_async(work)
 
 
 def test_when_every_connection_is_owed_an_answer_a_further_one_is_closed() -> None:
     async def work() -> None:
-        async with stage(None, given={"limits": {"sockets": 64}}) as scene:
-            clients = [await scene.client() for _ in range(8)]
+        async with run_harness(None, overrides={"limits": {"sockets": 64}}) as harness:
+            clients = [await harness.client() for _ in range(8)]
             for client in clients:
                 client.send(request("lodge", timeout="10"))
-            await until(lambda: scene.sidecar.open_requests == 8)
+            await until(lambda: harness.sidecar.open_requests == 8)
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-                await scene.ask("lodge")
-            assert scene.sidecar.open_requests == 8
+                await harness.exchange("lodge")
+            assert harness.sidecar.open_requests == 8
 
-    play(work)
+    run_async(work)
 
 
 def test_what_half_sent_requests_hold_in_memory_is_bounded() -> None:
     # Guards against many clients that each send most of a body: together they would take all memory.
     async def work() -> None:
-        async with stage(OK, client_limits=DownstreamLimits(max_bytes=300_000)) as scene:
-            clients = [await scene.client() for _ in range(6)]
+        async with run_harness(OK, client_limits=DownstreamLimits(max_bytes=300_000)) as harness:
+            clients = [await harness.client() for _ in range(6)]
             for client in clients:
                 client.send(request("lodge", body=b"x" * 65_000)[:-1])
             assert (await clients[0].answer()).status == 503
-            assert (await scene.ask("lodge")).status == 200
+            assert (await harness.exchange("lodge")).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_what_comes_behind_an_open_request_is_left_in_the_socket() -> None:
     # Guards against a flood of pipelined requests: none but the first is due, so none is read into memory.
     async def work() -> None:
-        async with stage(None) as scene:
-            client = await scene.client()
+        async with run_harness(None) as harness:
+            client = await harness.client()
             client.send(request("lodge") * 1_000)
-            await until(lambda: len(scene.heard) == 1)
+            await until(lambda: len(harness.received) == 1)
             await asyncio.sleep(0.05)
-            (held,) = scene.sidecar.listener.connections
+            (held,) = harness.sidecar.listener.connections
             assert held.held_bytes < 70_000
 
-    play(work)
+    run_async(work)
 
 
 def test_the_id_of_an_open_request_is_not_taken_twice() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(received: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with stage(hold) as scene:
-            first = await scene.client()
+        async with run_harness(hold) as harness:
+            first = await harness.client()
             first.send(request("lodge", Request_Id="same"))
-            await until(lambda: len(scene.heard) == 1)
-            assert (await scene.ask("lodge", Request_Id="same")).status == 409
+            await until(lambda: len(harness.received) == 1)
+            assert (await harness.exchange("lodge", Request_Id="same")).status == 409
             release.set()
             assert (await first.answer()).status == 200
-            assert len(scene.heard) == 1
-            assert (await scene.ask("lodge", Request_Id="same")).status == 200
+            assert len(harness.received) == 1
+            assert (await harness.exchange("lodge", Request_Id="same")).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_what_a_client_that_was_turned_away_sent_is_freed_at_once() -> None:
     # Guards against memory that waits for a collection of cycles, while bad clients come by hundreds.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with run_harness(OK) as harness:
+            client = await harness.client()
             client.send(request("lodge", body=b"x" * 60_000)[:-1])
-            await until(lambda: any(each.has_head for each in scene.sidecar.listener.connections))
-            (connection,) = scene.sidecar.listener.connections
+            await until(lambda: any(each.has_head for each in harness.sidecar.listener.connections))
+            (connection,) = harness.sidecar.listener.connections
             reader = weakref.ref(connection._reader)
             gc.disable()
             try:
                 client.close()
-                await until(lambda: len(scene.sidecar.listener.connections) == 0)
+                await until(lambda: len(harness.sidecar.listener.connections) == 0)
                 del connection
                 await until(lambda: reader() is None)
             finally:
                 gc.enable()
 
-    play(work)
+    run_async(work)
 
 
 def test_no_client_gets_more_time_than_its_class_has() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            assert (await scene.ask("amend", timeout="99999")).status == 200
-            assert float(scene.heard[0].headers["request-timeout"]) <= 2.0
+        async with run_harness(OK) as harness:
+            assert (await harness.exchange("amend", timeout="99999")).status == 200
+            assert float(harness.received[0].headers["request-timeout"]) <= 2.0
 
-    play(work)
+    run_async(work)
--- a/tests/test_held_up_end.py
+++ b/tests/test_held_up_end.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import Heard, play, request, soon
+from loopback import ReceivedRequest, request, run_async, soon
 from test_program import GOOD, program
 
 from micadeck.operations.shutdown_budget import (
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("held_up_at_s", [0.6, 0.7, 0.8, 0.84, 0.9, 0.95, 0.98])
 def test_what_hangs_at_servers_is_answered_before_sigkill(held_up_at_s: float, tmp_path: Path) -> None:
-    async def hang(heard: Heard) -> None:
+    async def hang(received: ReceivedRequest) -> None:
         return None
 
     async def work() -> None:
@@ -63,7 +63,7 @@
                 assert (await client.answer()).status in (502, 503, 504)
             assert await soon(clients[2].reader.read()) == b""
 
-    play(work)
+    run_async(work)
 
 
 def test_the_margins_cover_a_hold_up_and_the_last_answers() -> None:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -13,7 +13,18 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from loopback import HOST, OK, Client, Heard, play, played, request, soon, stage, until
+from loopback import (
+    HOST,
+    OK,
+    Client,
+    ReceivedRequest,
+    async_test,
+    request,
+    run_async,
+    run_harness,
+    soon,
+    until,
+)
 from test_program import program, started
 
 from micadeck.operations import HotRestart, RequestIdRegistry, divide_limit
@@ -96,17 +107,17 @@
     beside.unregister()
 
 
-@played
+@async_test
 async def test_the_limits_hold_over_both_and_come_back_with_the_end_of_one(tmp_path: Path) -> None:
     limits = {"memory_mb": 64, "sockets": 256}
-    async with stage(OK, given={"operator": f"{HOST}:0", "limits": limits}) as scene:
-        sidecar = scene.sidecar
+    async with run_harness(OK, overrides={"operator": f"{HOST}:0", "limits": limits}) as harness:
+        sidecar = harness.sidecar
         runtime = sidecar._runtime
         whole = runtime.max_client_connections + runtime.upstream.max_connections
         assert whole == 256 - _RESERVED_DESCRIPTORS
-        resting = [await scene.client() for _ in range(60)]
+        resting = [await harness.client() for _ in range(60)]
         for each in resting:
-            assert (await each.ask()).status == 200
+            assert (await each.exchange()).status == 200
         beside = sidecar._hot_restart = HotRestart(str(tmp_path), "n0")
         beside.register()
         with other(tmp_path):
@@ -128,11 +139,11 @@
     assert _MIN_DESCRIPTORS > 0
 
 
-@played
+@async_test
 async def test_what_waits_in_the_kernel_is_taken_before_a_listener_closes() -> None:
     # Guards against requests turned back unheard: a close resets what has connected and was not accepted.
-    async with stage(OK) as scene:
-        frontend = scene.sidecar.listener
+    async with run_harness(OK) as harness:
+        frontend = harness.sidecar.listener
         waiting = [
             socket.create_connection((HOST, frontend.port)) for _ in range(50)
         ]  # the loop stands still
@@ -141,7 +152,7 @@
             each.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=each)
             client = Client(reader, writer)
-            assert (await client.ask("lodge")).status == 200
+            assert (await client.exchange("lodge")).status == 200
             client.close()
 
 
@@ -199,7 +210,7 @@
     async def work() -> None:
         answered = asyncio.Event()
 
-        async def slow(heard: Heard) -> bytes:
+        async def slow(received: ReceivedRequest) -> bytes:
             await answered.wait()
             return OK
 
@@ -209,20 +220,20 @@
             path.write_text(json.dumps({**given, "listen": f"{HOST}:{running.port}"}))
             first = await running.client()
             first.send(request("lodge", Request_Id="00000000000000aa", timeout="4.0"))
-            await until(lambda: len(running.server.heard) == 1)
+            await until(lambda: len(running.server.received) == 1)
             second = await started(path)
             assert second.stderr is not None
             assert b"serves on" in await soon(second.stderr.readline())
             for _ in range(24):  # the kernel gives some to each
                 again = await running.client()
-                assert (await again.ask("lodge", Request_Id="00000000000000aa")).status == 409
+                assert (await again.exchange("lodge", Request_Id="00000000000000aa")).status == 409
                 again.close()
             answered.set()
             assert (await first.answer()).status == 200
             after = await running.client()
-            assert (await after.ask("lodge", Request_Id="00000000000000aa")).status == 200
-            assert len(running.server.heard) == 2
+            assert (await after.exchange("lodge", Request_Id="00000000000000aa")).status == 200
+            assert len(running.server.received) == 2
             second.kill()
             await second.wait()
 
-    play(work)
+    run_async(work)
--- a/tests/test_httpx.py
+++ b/tests/test_httpx.py
@@ -8,8 +8,8 @@
 
 import httpx
 import pytest
-from child_process_peers import world
-from loopback import CLASSES, HOST, OK, ScriptedServer, line, play, soon
+from child_process_peers import run_stand_ins
+from loopback import CLASSES, HOST, OK, ScriptedServer, list_entry, run_async, soon
 from test_program import GOOD
 
 from micadeck import Answer, Kind, Micadeck
@@ -18,7 +18,7 @@
 
 
 def _config(server: ScriptedServer, **settings: Any) -> dict[str, Any]:
-    known = {"version": 1, "full": True, "servers": [line("s-0", server.address)]}
+    known = {"version": 1, "full": True, "servers": [list_entry("s-0", server.address)]}
     return {**GOOD, "known": known, "settings": {**GOOD["settings"], **settings}}
 
 
@@ -40,20 +40,20 @@
                 lodged = await client.post("/api/9", content=b"{}")
                 responses = (checked, amended, lodged)
                 assert [_answer(response).kind for response in responses] == [Kind.SERVED] * 3
-        first, second, third = server.heard
+        first, second, third = server.received
         assert first.target == "/api/7?x=1+2" and first.headers["host"] == "origin.svc"
         classes = [received.headers["request-class"] for received in (first, second, third)]
         assert classes == ["check", "amend", "lodge"]
         assert second.headers["content-type"] == "application/json"
         assert second.headers["idempotency-key"] == "5c0f"
-        assert len({received.headers["request-id"] for received in server.heard}) == 3
+        assert len({received.headers["request-id"] for received in server.received}) == 3
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_synchronous_client_is_balanced() -> None:
-    with world(1) as stand_ins, Micadeck(stand_ins.config(), log=print) as balancer:
+    with run_stand_ins(1) as stand_ins, Micadeck(stand_ins.config(), log=print) as balancer:
         with httpx.Client(transport=MicadeckTransport(balancer), base_url="http://x") as client:
             assert client.get("/api/1").text == "served"
             stand_ins.do("mode", "s-0", mode="turns away")
@@ -62,7 +62,7 @@
             stand_ins.do("mode", "s-0", mode="hangs")
             late = client.post("/api/3", content=b"x", timeout=0.3)
             assert late.status_code == 504 and _answer(late).may_have_run
-        assert [received["target"] for received in stand_ins.heard()] == ["/api/1", "/api/2", "/api/3"]
+        assert [received["target"] for received in stand_ins.received()] == ["/api/1", "/api/2", "/api/3"]
 
 
 def test_streamed_bodies_are_joined_and_those_over_the_limit_reach_no_server() -> None:
@@ -83,32 +83,32 @@
                 assert sent < 400  # the rest of the body is not read
                 large = await client.post("http://x/api/3", content=b"x" * (MAX_BODY_BYTES + 1))
                 assert large.status_code == 413
-        (received,) = server.heard
+        (received,) = server.received
         assert received.body == b"x" * 700_000 and received.headers["content-length"] == "700000"
         assert "transfer-encoding" not in received.headers
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_synchronous_streamed_body_over_the_limit_is_rejected() -> None:
     def chunks() -> Iterator[bytes]:
         yield from (b"x" * 1_000_000 for _ in range(40))
 
-    with world(1) as stand_ins, Micadeck(stand_ins.config(), log=print) as balancer:
+    with run_stand_ins(1) as stand_ins, Micadeck(stand_ins.config(), log=print) as balancer:
         with httpx.Client(transport=MicadeckTransport(balancer)) as client:
             assert client.post("http://x/api/1", content=chunks()).status_code == 413
-        assert stand_ins.heard() == []
+        assert stand_ins.received() == []
 
 
 @pytest.mark.parametrize("method", ["HEAD", "PUT", "DELETE", "OPTIONS"])
 def test_methods_of_no_class_are_rejected_as_by_the_daemon(method: str) -> None:
-    with world(1) as stand_ins, Micadeck(stand_ins.config(), log=print) as balancer:
+    with run_stand_ins(1) as stand_ins, Micadeck(stand_ins.config(), log=print) as balancer:
         with httpx.Client(transport=MicadeckTransport(balancer)) as client:
             response = client.request(method, "http://x/api/1", headers={"Request-Class": "check"})
             assert response.status_code == 400
             assert client.request(method, "http://x/api/1").status_code == 400
-        assert stand_ins.heard() == []
+        assert stand_ins.received() == []
 
 
 def test_the_class_must_be_named_if_several_match() -> None:
@@ -126,10 +126,10 @@
                 assert (await client.get("http://x/api/3")).status_code == 200
             with pytest.raises(ValueError, match="service_class"):
                 AsyncMicadeckTransport(balancer, service_class="unheard-of")
-        assert [received.headers["request-class"] for received in server.heard] == ["list", "check"]
+        assert [received.headers["request-class"] for received in server.received] == ["list", "check"]
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_the_clients_read_timeout_is_the_requests_timeout() -> None:
@@ -139,11 +139,11 @@
             async with httpx.AsyncClient(transport=AsyncMicadeckTransport(balancer)) as client:
                 await client.get("http://x/api/1", timeout=0.75)
                 await client.get("http://x/api/2", timeout=None)
-        first, second = (float(received.headers["request-timeout"]) for received in server.heard)
+        first, second = (float(received.headers["request-timeout"]) for received in server.received)
         assert 0.4 < first <= 0.75 and 2.0 < second <= 3.0
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_cancelled_call_withdraws_its_request() -> None:
@@ -156,10 +156,10 @@
                         await client.post("http://x/api/1", content=b"x")
             while not server.closed:
                 await soon(asyncio.sleep(0.01))
-            assert len(server.heard) == 1
+            assert len(server.received) == 1
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_responses_keep_the_headers_that_describe_their_body() -> None:
@@ -174,4 +174,4 @@
                 assert "x-own" not in response.headers
         server.stop()
 
-    play(work)
+    run_async(work)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from loopback import OK, Client, Stage, play, request, soon, stage, until
+from loopback import OK, Client, Harness, request, run_async, run_harness, soon, until
 
 from micadeck.http.connection_limits import DownstreamLimits
 from micadeck.http.idle_connections import IdleConnections, idle_timeout_s
@@ -67,53 +67,53 @@
 SMALL = {"limits": {"sockets": 112}}  # room for 32 clients
 
 
-async def _once(scene: Stage) -> Client:
-    client = await scene.client()
-    assert (await client.ask()).status == 200
+async def _once(harness: Harness) -> Client:
+    client = await harness.client()
+    assert (await client.exchange()).status == 200
     return client
 
 
 def test_clients_that_ask_once_and_keep_leave_room_for_others() -> None:
     # Seen on a recorded day: all connections that clients may hold rested here, and no request could come.
     async def work() -> None:
-        async with stage(OK, given=SMALL, client_limits=PATIENT) as scene:
-            kept = [await _once(scene) for _ in range(28)]
-            most = scene.sidecar.listener.connections.max_connections
+        async with run_harness(OK, overrides=SMALL, client_limits=PATIENT) as harness:
+            kept = [await _once(harness) for _ in range(28)]
+            most = harness.sidecar.listener.connections.max_connections
             assert most == 32
-            await until(lambda: len(scene.sidecar.listener.connections) <= most * 0.5)
+            await until(lambda: len(harness.sidecar.listener.connections) <= most * 0.5)
             assert await soon(kept[0].reader.read()) == b""
-            assert (await kept[3].ask()).status == 200  # a witness
-            assert (await kept[-1].ask()).status == 200
+            assert (await kept[3].exchange()).status == 200  # a witness
+            assert (await kept[-1].exchange()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_clients_that_reuse_keep_their_connections_beside_those_that_ask_once() -> None:
     async def work() -> None:
-        async with stage(OK, given=SMALL, client_limits=PATIENT) as scene:
+        async with run_harness(OK, overrides=SMALL, client_limits=PATIENT) as harness:
             reusing = []
             for _ in range(12):
-                reusing.append(await _once(scene))
-                assert (await reusing[-1].ask()).status == 200
+                reusing.append(await _once(harness))
+                assert (await reusing[-1].exchange()).status == 200
             for _ in range(40):
-                await _once(scene)
+                await _once(harness)
             for client in reusing:
-                assert (await client.ask()).status == 200
+                assert (await client.exchange()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_a_connection_with_a_request_unread_is_not_closed_for_room() -> None:
     async def work() -> None:
-        async with stage(OK, given=SMALL, client_limits=PATIENT) as scene:
-            kept = [await _once(scene) for _ in range(8)]
+        async with run_harness(OK, overrides=SMALL, client_limits=PATIENT) as harness:
+            kept = [await _once(harness) for _ in range(8)]
             for client in kept:
                 client.send(request("lodge"))  # in the sidecar's sockets; the event loop has not run
-            scene.sidecar.listener.connections.max_connections = (
+            harness.sidecar.listener.connections.max_connections = (
                 16  # less room, as after a reload: too many rest now
             )
-            scene.sidecar.listener.connections._close_excess_idle()
+            harness.sidecar.listener.connections._close_excess_idle()
             await asyncio.sleep(0)
             assert [(await client.answer()).status for client in kept] == [200] * 8
 
-    play(work)
+    run_async(work)
--- a/tests/test_library_process.py
+++ b/tests/test_library_process.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 import pytest
-from child_process_peers import WorldProcess, world
-from loopback import Client, play, request, soon, until
+from child_process_peers import StandInProcess, run_stand_ins
+from loopback import Client, request, run_async, soon, until
 from test_program import ROOT
 
 HOST_PROLOGUE = """
@@ -34,14 +34,14 @@
 """
 
 
-def host_command(body: str, stand_ins: WorldProcess, tmp_path: Path) -> tuple[str, ...]:
+def host_command(body: str, stand_ins: StandInProcess, tmp_path: Path) -> tuple[str, ...]:
     """Return the command that runs a host: the common prologue, then this code."""
     script = tmp_path / "host.py"
     script.write_text(HOST_PROLOGUE + textwrap.dedent(body))
     return (sys.executable, "-W", "error::ResourceWarning", str(script), json.dumps(stand_ins.config()))
 
 
-def run_host(body: str, stand_ins: WorldProcess, tmp_path: Path) -> tuple[list[dict[str, Any]], float]:
+def run_host(body: str, stand_ins: StandInProcess, tmp_path: Path) -> tuple[list[dict[str, Any]], float]:
     """Return a host's reports and the time of its exit, which must be clean."""
     env = {"PYTHONPATH": str(ROOT), "PATH": "/usr/bin:/bin"}
     with subprocess.Popen(
@@ -60,7 +60,7 @@
 def test_an_interpreter_that_exits_with_an_open_balancer_answers_accepted_requests(
     daemon: bool, tmp_path: Path
 ) -> None:
-    with world(1) as stand_ins:
+    with run_stand_ins(1) as stand_ins:
         stand_ins.do("mode", "s-0", mode="serves", takes_s=0.7)
         reports, _ = run_host(
             f"""
@@ -74,12 +74,12 @@
         )
         # The interpreter may stop a daemon thread before it reports its answer.
         assert daemon or reports == [{"target": "/api/1", "kind": "served", "may_have_run": True}]
-        assert len(stand_ins.heard()) == 1
+        assert len(stand_ins.received()) == 1
         assert stand_ins.do("heard")["abandoned"] == {"s-0": []}  # the attempt completed
 
 
 def test_interpreter_exit_is_delayed_no_longer_than_the_longest_deadline(tmp_path: Path) -> None:
-    with world(1) as stand_ins:
+    with run_stand_ins(1) as stand_ins:
         stand_ins.do("mode", "s-0", mode="hangs")
         reports, ended_at = run_host(
             """
@@ -97,7 +97,7 @@
 
 
 def test_an_unused_balancer_does_not_delay_interpreter_exit(tmp_path: Path) -> None:
-    with world(1) as stand_ins:
+    with run_stand_ins(1) as stand_ins:
         reports, ended_at = run_host("balancer.start()\nreport(at=time.monotonic())\n", stand_ins, tmp_path)
         assert ended_at - reports[0]["at"] < 2.0
 
@@ -105,7 +105,7 @@
 def test_a_forked_child_gets_a_clear_error_and_leaves_the_parents_connections_open(
     tmp_path: Path,
 ) -> None:
-    with world(1) as stand_ins:
+    with run_stand_ins(1) as stand_ins:
         reports, _ = run_host(
             """
             balancer.start()
@@ -132,7 +132,7 @@
         assert before["kind"] == after["kind"] == "served"
         assert f"started in process {error['parent']}" in error["error"]
         assert own == {"own": "served"} and status == {"status": 0}
-        assert [received["target"] for received in stand_ins.heard()] == [
+        assert [received["target"] for received in stand_ins.received()] == [
             "/api/before",
             "/api/own",
             "/api/after",
@@ -160,7 +160,7 @@
 
 def test_sigterm_under_uvicorn_answers_accepted_requests(tmp_path: Path) -> None:
     async def work() -> None:
-        with world(1) as stand_ins:
+        with run_stand_ins(1) as stand_ins:
             stand_ins.do("mode", "s-0", mode="serves", takes_s=0.8)
             child = await asyncio.create_subprocess_exec(
                 *host_command(SERVE_WITH_UVICORN, stand_ins, tmp_path),
@@ -171,12 +171,12 @@
             port = json.loads(await soon(child.stdout.readline()))["port"]
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
             client.send(request("lodge"))
-            await until(lambda: len(stand_ins.heard()) == 1)
+            await until(lambda: len(stand_ins.received()) == 1)
             child.send_signal(signal.SIGTERM)
             assert (await client.answer()).status == 200
             # After its shutdown, uvicorn raises the signal again.
             assert await soon(child.wait()) in (0, -signal.SIGTERM)
-            assert len(stand_ins.heard()) == 1
+            assert len(stand_ins.received()) == 1
             client.close()
 
-    play(work)
+    run_async(work)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from loopback import play as played_by
+from loopback import run_async as played_by
 
 from micadeck.stand_ins.hostile import LOADS, Side, play
 from micadeck.stand_ins.hostile.daemon_under_load import ASKED, MEMORY_MB
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from loopback import OK, play, reply, request, stage, until
+from loopback import OK, reply, request, run_async, run_harness, until
 from test_program import GOOD
 
 from micadeck.config import parse
@@ -113,59 +113,59 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def answer(heard: object) -> bytes:
+        async def answer(received: object) -> bytes:
             await release.wait()
             return OK
 
         bounds = {"maxRetryAfterUs": 300_000}
-        async with stage(answer, bounds=bounds) as scene:
-            memory = scene.sidecar.memory
-            taken = await scene.client()
+        async with run_harness(answer, bounds=bounds) as harness:
+            memory = harness.sidecar.memory
+            taken = await harness.client()
             taken.send(request("lodge"))
-            await until(lambda: len(scene.heard) == 1)
+            await until(lambda: len(harness.received) == 1)
             memory.charge(MemoryUse.ANSWERS, int(memory.limit_bytes * ENTER_AT_CHARGED[PressureLevel.SHED]))
-            refused = await scene.ask("lodge")
+            refused = await harness.exchange("lodge")
             assert refused.status == 503 and refused.headers["retry-after"] == "0.300"
             release.set()
             assert (await taken.answer()).status == 200
             memory.set_charge(MemoryUse.ANSWERS, 0)
-            assert (await scene.ask("lodge")).status == 200
-            assert len(scene.heard) == 2  # the refused one was sent on to nobody
-            assert scene.sidecar._engine.shed_requests == 1
+            assert (await harness.exchange("lodge")).status == 200
+            assert len(harness.received) == 2  # the refused one was sent on to nobody
+            assert harness.sidecar._engine.shed_requests == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_half_sent_requests_are_given_up_and_no_whole_one_is() -> None:
     async def work() -> None:
-        async with stage(None) as scene:
-            memory = scene.sidecar.memory
-            half, whole = await scene.client(), await scene.client()
+        async with run_harness(None) as harness:
+            memory = harness.sidecar.memory
+            half, whole = await harness.client(), await harness.client()
             whole.send(request("lodge", timeout="10"))
-            await until(lambda: len(scene.heard) == 1)
+            await until(lambda: len(harness.received) == 1)
             half.send(request("lodge", body=b"x" * 1_000)[:-1])
-            await until(lambda: scene.sidecar.listener.connections.partial_requests == 1)
+            await until(lambda: harness.sidecar.listener.connections.partial_requests == 1)
             memory.charge(
                 MemoryUse.ANSWERS, int(memory.limit_bytes * ENTER_AT_CHARGED[PressureLevel.CLOSE_IDLE])
             )
             assert (await half.answer()).status == 503
             await asyncio.sleep(0.3)
-            assert scene.sidecar.open_requests == 1  # it is owed its answer
+            assert harness.sidecar.open_requests == 1  # it is owed its answer
             memory.set_charge(MemoryUse.ANSWERS, 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_bodies_are_passed_on_from_a_smaller_size_while_memory_is_short() -> None:
     async def work() -> None:
         body = b"y" * 30_000
 
-        async def half(heard: object) -> bytes:
+        async def half(received: object) -> bytes:
             return reply(body)[:20_000]
 
-        async with stage(half) as scene:
-            memory = scene.sidecar.memory
-            client = await scene.client()
+        async with run_harness(half) as harness:
+            memory = harness.sidecar.memory
+            client = await harness.client()
             memory.charge(
                 MemoryUse.REQUESTS, int(memory.limit_bytes * ENTER_AT_CHARGED[PressureLevel.PASS_ON])
             )
@@ -173,25 +173,25 @@
             head = await client.reader.readuntil(b"\r\n\r\n")
             assert b" 200 " in head and b"content-length: 30000" in head
 
-    play(work)
+    run_async(work)
 
 
 def test_all_that_was_booked_is_free_once_all_is_answered() -> None:
     async def work() -> None:
-        async with stage(reply(b"z" * 40_000)) as scene:
-            clients = [await scene.client() for _ in range(4)]
+        async with run_harness(reply(b"z" * 40_000)) as harness:
+            clients = [await harness.client() for _ in range(4)]
             for client in clients:
                 client.send(request("lodge", body=b"x" * 30_000) * 3)
             for client in clients:
                 for _ in range(3):
                     assert (await client.answer()).status == 200
-            half = await scene.client()
+            half = await harness.client()
             half.send(request("lodge", body=b"x" * 30_000)[:-1])
-            await until(lambda: scene.sidecar.memory.charged_bytes[MemoryUse.REQUESTS] > 30_000)
+            await until(lambda: harness.sidecar.memory.charged_bytes[MemoryUse.REQUESTS] > 30_000)
             half.close()
-            await until(lambda: not any(scene.sidecar.memory.charged_bytes.values()))
+            await until(lambda: not any(harness.sidecar.memory.charged_bytes.values()))
 
-    play(work)
+    run_async(work)
 
 
 class _Clock:
@@ -258,17 +258,19 @@
 def test_a_probe_that_is_answered_with_34_mb_is_cut_off_at_its_head() -> None:
     async def work() -> None:
         ended: list[object] = []
-        async with stage(b"HTTP/1.1 200 OK\r\nContent-Length: 34000000\r\n\r\n" + b"x" * 100_000) as scene:
-            carrier = scene.sidecar._runtime.upstream
+        async with run_harness(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 34000000\r\n\r\n" + b"x" * 100_000
+        ) as harness:
+            carrier = harness.sidecar._runtime.upstream
             began = carrier._network.time()
             until_us = carrier._network.now() + 5_000_000
             carrier.probe("s-0", until_us, lambda outcome, *_: ended.append(outcome))
             await until(lambda: bool(ended))
             assert ended == [Outcome.MALFORMED]
             assert carrier._network.time() - began < 0.2  # by its head, not by its stall of 0.25 s
-            assert scene.sidecar.memory.charged_bytes[MemoryUse.ANSWERS] == 0
+            assert harness.sidecar.memory.charged_bytes[MemoryUse.ANSWERS] == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_the_library_refuses_nobody_for_its_hosts_memory() -> None:
@@ -277,4 +279,4 @@
         assert runtime.engine.memory is None
         runtime.close()
 
-    play(work)
+    run_async(work)
--- a/tests/test_message_races.py
+++ b/tests/test_message_races.py
@@ -19,16 +19,16 @@
     ERROR,
     HOST,
     OK,
-    Heard,
-    SlowToAccept,
-    Stage,
-    line,
-    play,
+    FullBacklogServer,
+    Harness,
+    ReceivedRequest,
+    list_entry,
     raw_client,
+    read_rest,
     request,
-    rest_of,
+    run_async,
+    run_harness,
     soon,
-    stage,
     until,
 )
 
@@ -42,13 +42,13 @@
     client.close()
 
 
-async def at_rest(scene: Stage, client: socket.socket) -> DownstreamConnection:
+async def at_rest(harness: Harness, client: socket.socket) -> DownstreamConnection:
     """The sidecar's side of a client that has had one answer."""
     client.sendall(request())
     client.setblocking(False)
     assert (await soon(asyncio.get_running_loop().sock_recv(client, 65_536))).startswith(b"HTTP/1.1 200")
     client.setblocking(True)
-    (side,) = scene.sidecar.listener.connections
+    (side,) = harness.sidecar.listener.connections
     assert isinstance(side, DownstreamConnection) and side.is_idle
     return side
 
@@ -61,26 +61,26 @@
 ) -> None:
     # Its end lies behind what it sent ahead, of which nothing is due yet.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds={"dialTimeoutUs": 15_000_000, "mayCancel": may_cancel}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            with raw_client(scene) as client:
+        slow = FullBacklogServer()
+        await slow.fill_backlog()
+        async with run_harness(bounds={"dialTimeoutUs": 15_000_000, "mayCancel": may_cancel}) as harness:
+            await until(lambda: len(harness.discovery.received) >= 2)
+            harness.discovery.publish(list_entry("s", slow.address))
+            await until(lambda: len(harness.discovery.received) >= 3)
+            with raw_client(harness) as client:
                 client.sendall(b"".join(request("lodge", timeout="4") for _ in range(1 + behind)))
-                await until(lambda: scene.sidecar.open_requests == 1)
+                await until(lambda: harness.sidecar.open_requests == 1)
                 reset(client) if how == "resets" else client.close()
                 async with asyncio.timeout(1.5):  # its own time would end it only after 4 s
-                    await until(lambda: scene.sidecar.open_requests == 0)
-            assert len(scene.sidecar.listener.connections) == 0
-            accepted = await slow.let_go()
-            scene.sidecar.close()
+                    await until(lambda: harness.sidecar.open_requests == 0)
+            assert len(harness.sidecar.listener.connections) == 0
+            accepted = await slow.accept_sidecar()
+            harness.sidecar.close()
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("how", ["ends", "resets"])
@@ -92,105 +92,105 @@
     async def work() -> None:
         left = asyncio.Event()
 
-        async def breaks(heard: Heard) -> bytes | None:
+        async def breaks(received: ReceivedRequest) -> bytes | None:
             await left.wait()
             return ERROR
 
-        slow = SlowToAccept()
-        await slow.fill()
+        slow = FullBacklogServer()
+        await slow.fill_backlog()
         limits = DownstreamLimits(sweep_s=60.0)
         bounds = {"dialTimeoutUs": 15_000_000}
-        async with stage(breaks, breaks, bounds=bounds, client_limits=limits) as scene:
+        async with run_harness(breaks, breaks, bounds=bounds, client_limits=limits) as harness:
             if waits_for == "a dial":
-                await until(lambda: len(scene.discovery.heard) >= 2)
-                gone = [{**each, "state": "left"} for each in scene.discovery.servers]
-                scene.discovery.tell(line("s", slow.address), *gone)
-                await until(lambda: len(scene.discovery.heard) >= 3)
-            with raw_client(scene) as client:
+                await until(lambda: len(harness.discovery.received) >= 2)
+                gone = [{**each, "state": "left"} for each in harness.discovery.servers]
+                harness.discovery.publish(list_entry("s", slow.address), *gone)
+                await until(lambda: len(harness.discovery.received) >= 3)
+            with raw_client(harness) as client:
                 client.sendall(b"".join(request("check", timeout="4") for _ in range(400)))
-                await until(lambda: scene.sidecar.open_requests == 1)
+                await until(lambda: harness.sidecar.open_requests == 1)
                 if waits_for == "a retry":
-                    await until(lambda: len(scene.heard) == 1)
+                    await until(lambda: len(harness.received) == 1)
                 reset(client) if how == "resets" else client.close()
             await asyncio.sleep(0.05)  # so that its end has come, and lies there
-            assert scene.sidecar.open_requests == 1
+            assert harness.sidecar.open_requests == 1
             left.set()
             if waits_for == "a dial":
-                accepted = await slow.let_go()
+                accepted = await slow.accept_sidecar()
             async with asyncio.timeout(1.5):
-                await until(lambda: scene.sidecar.open_requests == 0)
-            assert len(scene.heard) == (waits_for == "a retry")
-            scene.sidecar.close()
+                await until(lambda: harness.sidecar.open_requests == 0)
+            assert len(harness.received) == (waits_for == "a retry")
+            harness.sidecar.close()
             if waits_for == "a dial":
                 assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
                 accepted.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_that_sends_ahead_and_stays_has_all_its_answers() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            with raw_client(scene) as client:
+        async with run_harness(OK) as harness:
+            with raw_client(harness) as client:
                 client.sendall(b"".join(request("lodge") for _ in range(400)))
                 client.setblocking(False)
                 came = b""
                 while came.count(b"HTTP/1.1 200") < 400 or not came.endswith(b"served"):
                     came += await soon(asyncio.get_running_loop().sock_recv(client, 65_536))
-            assert len(scene.heard) == 400
+            assert len(harness.received) == 400
 
-    play(work)
+    run_async(work)
 
 
 def test_a_request_that_comes_as_its_connection_is_closed_is_never_sent_on_and_nothing_is_reset() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            with raw_client(scene) as client:
-                side = await at_rest(scene, client)
+        async with run_harness(OK) as harness:
+            with raw_client(harness) as client:
+                side = await at_rest(harness, client)
                 client.sendall(request("lodge"))  # after the look, before the close
                 side.close()
-                assert await rest_of(client) == b""
-            await until(lambda: len(scene.sidecar.listener.connections) == 0)
-            assert len(scene.heard) == 1
+                assert await read_rest(client) == b""
+            await until(lambda: len(harness.sidecar.listener.connections) == 0)
+            assert len(harness.received) == 1
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("behind", [b"", b"GET /api/7f", request("lodge")], ids=["", "half", "whole"])
 def test_the_last_answer_comes_whole_whatever_the_client_sends_in_that_instant(behind: bytes) -> None:
     async def work() -> None:
-        async with stage(None) as scene:
-            with raw_client(scene) as client:
+        async with run_harness(None) as harness:
+            with raw_client(harness) as client:
                 client.sendall(request("lodge"))
-                await until(lambda: len(scene.heard) == 1)
-                scene.sidecar.listener.is_draining = True
+                await until(lambda: len(harness.received) == 1)
+                harness.sidecar.listener.is_draining = True
                 client.sendall(behind)
-                scene.sidecar._engine.fail_open_requests()  # its answer is written, its connection closed
-                answer = await rest_of(client)
+                harness.sidecar._engine.fail_open_requests()  # its answer is written, its connection closed
+                answer = await read_rest(client)
             assert answer.startswith(b"HTTP/1.1 504") and b"connection: close" in answer
-            await until(lambda: len(scene.sidecar.listener.connections) == 0)
-            assert len(scene.heard) == 1
+            await until(lambda: len(harness.sidecar.listener.connections) == 0)
+            assert len(harness.received) == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_a_long_last_answer_to_a_slow_reader_is_not_cut_off_by_the_close() -> None:
     async def work() -> None:
         body = b"x" * (64 << 10)
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        async with stage(answer) as scene:
+        async with run_harness(answer) as harness:
             with socket.socket() as client:
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                client.connect((HOST, scene.sidecar.listener.port))
-                scene.sidecar.listener.is_draining = True
+                client.connect((HOST, harness.sidecar.listener.port))
+                harness.sidecar.listener.is_draining = True
                 client.sendall(request("lodge"))
-                await until(lambda: any(not each.is_idle for each in scene.sidecar.listener.connections))
-                await until(lambda: scene.sidecar.open_requests == 0)
+                await until(lambda: any(not each.is_idle for each in harness.sidecar.listener.connections))
+                await until(lambda: harness.sidecar.open_requests == 0)
                 await asyncio.sleep(0.8)  # it takes nothing for longer than a client is waited for otherwise
-                assert (await rest_of(client)).endswith(body)
+                assert (await read_rest(client)).endswith(body)
 
-    play(work)
+    run_async(work)
 
 
 def test_an_answer_that_is_passed_on_as_the_time_ends_is_cut_off_and_not_taken_for_whole() -> None:
@@ -200,42 +200,42 @@
         loop.set_exception_handler(lambda _, what: faults.append(what))
         body = b"x" * (8 << 20)
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        async with stage(answer) as scene:
+        async with run_harness(answer) as harness:
             with socket.socket() as client:
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                client.connect((HOST, scene.sidecar.listener.port))
+                client.connect((HOST, harness.sidecar.listener.port))
                 client.sendall(request("lodge"))
-                await until(lambda: scene.sidecar.open_requests == 1)
-                (side,) = scene.sidecar.listener.connections
+                await until(lambda: harness.sidecar.open_requests == 1)
+                (side,) = harness.sidecar.listener.connections
                 await until(lambda: side.has_unsent)
-                await soon(scene.sidecar.stop(loop.time() - 100.0))
+                await soon(harness.sidecar.stop(loop.time() - 100.0))
                 came = 0
                 with contextlib.suppress(ConnectionResetError):
-                    came = len(await rest_of(client))
+                    came = len(await read_rest(client))
             assert came < len(body)
             await asyncio.sleep(0.05)
             # The scripted servers' own tasks are cut off with their connections; nothing else may go wrong.
             assert [each for each in faults if "StreamReaderProtocol" not in str(each)] == []
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_that_never_ends_its_side_is_cut_off_soon_after_ours_ended() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            with raw_client(scene) as client:
-                (await at_rest(scene, client)).close()
-                assert await rest_of(client) == b""
+        async with run_harness(OK) as harness:
+            with raw_client(harness) as client:
+                (await at_rest(harness, client)).close()
+                assert await read_rest(client) == b""
                 async with asyncio.timeout(3.0):
-                    await until(lambda: len(scene.sidecar.listener.connections) == 0)
+                    await until(lambda: len(harness.sidecar.listener.connections) == 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_who_connects_as_the_listener_closes_is_answered() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            frontend, clients = scene.sidecar.listener, []
+        async with run_harness(OK) as harness:
+            frontend, clients = harness.sidecar.listener, []
             stop_listening = frontend.stop_listening
 
             def connect_then_stop() -> None:
@@ -246,12 +246,12 @@
                 stop_listening()
 
             frontend.stop_listening = connect_then_stop
-            await soon(scene.sidecar.stop())
+            await soon(harness.sidecar.stop())
             for client in clients:
-                assert (await rest_of(client)).startswith(b"HTTP/1.1 200")
+                assert (await read_rest(client)).startswith(b"HTTP/1.1 200")
                 client.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("held_up_s", [0.0, 1.0])
@@ -259,21 +259,21 @@
     # Guards against a kill that comes before the last answers: the event loop heard of the signal late.
     async def work() -> None:
         kind = {"name": "lodge", "giveUpUs": 1_500_000, "promiseUs": 1_200_000, "repeat": "non_idempotent"}
-        async with stage(None, lanes=[kind]) as scene:
-            with raw_client(scene) as client:
+        async with run_harness(None, lanes=[kind]) as harness:
+            with raw_client(harness) as client:
                 client.sendall(request("lodge", timeout="1.5"))
-                await until(lambda: len(scene.heard) == 1)
+                await until(lambda: len(harness.received) == 1)
                 loop = asyncio.get_running_loop()
                 asked_at = loop.time() - held_up_s
-                stopping = asyncio.ensure_future(scene.sidecar.stop(asked_at))
-                answer = await rest_of(client)
+                stopping = asyncio.ensure_future(harness.sidecar.stop(asked_at))
+                answer = await read_rest(client)
                 took = loop.time() - asked_at
                 client.close()
                 await stopping
             assert answer.startswith(b"HTTP/1.1 504")
             assert took < 1.5 + 0.7
 
-    play(work)
+    run_async(work)
 
 
 def test_the_time_of_a_signal_is_that_of_the_signal_also_while_the_event_loop_is_held_up() -> None:
@@ -297,16 +297,16 @@
             for number, handler in before.items():
                 signal.signal(number, handler)
 
-    play(work)
+    run_async(work)
 
 
 def test_a_request_on_every_connection_that_stays_open_is_answered_up_to_the_end() -> None:
     async def work() -> None:
-        async def answer(heard: Heard) -> bytes:
+        async def answer(received: ReceivedRequest) -> bytes:
             return OK
 
-        async with stage(answer) as scene:
-            stopping = asyncio.ensure_future(scene.sidecar.stop())
+        async with run_harness(answer) as harness:
+            stopping = asyncio.ensure_future(harness.sidecar.stop())
             lost: list[object] = []
             asked = 0
 
@@ -315,7 +315,7 @@
                 nonlocal asked
                 while not stopping.done():
                     try:
-                        client = await scene.client()
+                        client = await harness.client()
                     except OSError:
                         return
                     client.send(request("lodge"))
@@ -331,4 +331,4 @@
             await soon(stopping)
             assert asked > 20 and lost == []
 
-    play(work)
+    run_async(work)
--- a/tests/test_mysql_error_mapping.py
+++ b/tests/test_mysql_error_mapping.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from loopback import play, soon, until
+from loopback import run_async, soon, until
 from mysql_stage import ROWS, Scene, ask, scene
 
 from micadeck.mysql.error_mapping import TABLE, StatementContext, StatementFailure, Transaction
@@ -64,7 +64,7 @@
                 assert answer == WHOLE
             assert len(stage.ran("FROM tariff")) <= 2
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN, What.SPOIL])
@@ -81,7 +81,7 @@
             assert len(stage.ran(LODGE)) == effects
             assert await ask(client, READ) == WHOLE  # the session goes on
 
-    play(work)
+    run_async(work)
 
 
 def test_a_write_goes_elsewhere_where_it_cannot_have_run() -> None:
@@ -95,7 +95,7 @@
             assert [stage.lodged(f"W{number}") for number in range(6)] == [1] * 6
             assert len(stage.servers[2].texts("INSERT")) == 6
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("what", [What.DIE, What.RESET, What.GO_DOWN])
@@ -110,7 +110,7 @@
             assert await ask(client, LODGE) == 1
             assert stage.lodged("L1") == 1
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("text", [READ, LODGE])
@@ -127,7 +127,7 @@
             assert await soon(asked) == (WHOLE if text == READ else 1)
             assert not first.texts(text)
 
-    play(work)
+    run_async(work)
 
 
 def test_the_carrier_itself_writes_nothing_new_to_a_server_that_drains() -> None:
@@ -150,7 +150,7 @@
             await until(lambda: bool(ended))
             assert ended == [Outcome.NOT_SENT] and len(stage.ran("FROM tariff")) == 1
 
-    play(work)
+    run_async(work)
 
 
 IN_TRANSACTION = [
@@ -188,7 +188,7 @@
             assert await ask(client, READ) == WHOLE
             assert stage.service.carrier.pool.in_use_count(stage.servers[0].name) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_after_an_error_in_a_transaction_nothing_is_called_rolled_back_that_may_have_committed() -> None:
@@ -214,7 +214,7 @@
             assert fails(await ask(client, "INSERT INTO lodged VALUES ('L2', 'x')"), BACK)
             assert stage.lodged("L2") == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(("text", "is_told"), [(LODGE, True), ("COMMIT", True), ("ROLLBACK", False)])
@@ -236,7 +236,7 @@
             assert await ask(client, "COMMIT") == 0
             assert stage.lodged("L1") == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_a_transaction_may_commit_within_its_part_of_the_grace() -> None:
@@ -254,7 +254,7 @@
             assert await ask(client, READ) == WHOLE
             assert len(server.ran) == before  # what needs no transaction went elsewhere
 
-    play(work)
+    run_async(work)
 
 
 def test_past_its_part_of_the_grace_a_transaction_is_rolled_back_and_nothing_more_is_sent() -> None:
@@ -271,7 +271,7 @@
             assert stage.lodged("L1") == 0
             assert len(server.ran) == before
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("text", ["COMMIT", "INSERT INTO lodged VALUES ('L2', 'x')"])
@@ -293,7 +293,7 @@
                 assert fails(await ask(client, "COMMIT"), BACK)
                 assert stage.lodged("L1") == stage.lodged("L2") == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_session_with_state_at_a_server_that_is_lost_hears_so_and_ends() -> None:
@@ -309,7 +309,7 @@
             assert fails(await ask(client, READ), (1105, "the server that held this session's state"))
             await until(lambda: not stage.service.front.clients)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(("text", "code"), [(READ, 3024), (LODGE, 1105)])
@@ -323,7 +323,7 @@
             await until(lambda: stage.service.engine.open_requests == 0)
             assert stage.service.carrier.pool.in_use_count("m-0") == 0  # its connection is closed
 
-    play(work)
+    run_async(work)
 
 
 def test_a_statement_past_its_time_is_killed_where_that_is_allowed() -> None:
@@ -338,7 +338,7 @@
             assert [each.text for each in server.ran][-1].endswith("SLEEP(20)")
             await until(lambda: server.commands["QUERY"] >= before + 2)  # KILL QUERY came
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_that_goes_away_half_way_leaves_nothing_behind() -> None:
@@ -357,7 +357,7 @@
             assert stage.service.front.clients == set()
             assert stage.service.carrier.held_bytes == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("what", [What.DIE, What.RESET])
@@ -375,7 +375,7 @@
             assert len(rows) == 64 and all(len(row[0]) == 16 << 10 for row in rows)
             assert stage.service.carrier.held_bytes == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_without_any_server_a_statement_is_refused_as_harmless() -> None:
@@ -388,4 +388,4 @@
                 assert fails(await ask(client, text), (1213, "running it again is harmless"))
             assert stage.lodged("L1") == 0
 
-    play(work)
+    run_async(work)
--- a/tests/test_mysql_program.py
+++ b/tests/test_mysql_program.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from loopback import ConsulDiscovery, consul_config, line, play, soon, until
+from loopback import ConsulDiscovery, consul_config, list_entry, run_async, soon, until
 from mysql_stage import PASSWORD, ROWS, Scene, ask, configured, given, load, scene
 from test_mysql_sessions import Wire
 
@@ -118,7 +118,7 @@
             assert not stage.service.front.clients
             stage.service = inner
 
-    play(work)
+    run_async(work)
 
 
 def test_a_daemon_whose_mysql_file_is_wrong_names_the_key(tmp_path: Path) -> None:
@@ -156,7 +156,7 @@
             assert stage.service.front.read == 0
             assert configured("127.0.0.1:1").name == "mysql"
 
-    play(work)
+    run_async(work)
 
 
 def test_any_command_has_an_answer_or_ends_its_connection() -> None:
@@ -180,7 +180,7 @@
             assert (await wire.ask(bytes((Command.PING,))))[0][:1] == b"\x00"
             assert not [line for line in stage.log if "internal error" in line]
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_that_sends_on_and_on_takes_no_room_of_others() -> None:
@@ -203,7 +203,7 @@
             for _ in range(1_000):
                 assert (await greedy.packet())[:1] == b"\x00"  # and then, all in their order
 
-    play(work)
+    run_async(work)
 
 
 def test_servers_come_from_consul_as_they_do_from_the_roster() -> None:
@@ -213,7 +213,7 @@
         for server in servers:
             load(server)
             await server.start()
-            discovery.servers.append(line(server.name, server.address))
+            discovery.servers.append(list_entry(server.name, server.address))
         await discovery.start()
         consul = consul_config(discovery.address, doubt_s=0)
         changes = {**given()["servers"], "consul": consul}
@@ -225,7 +225,7 @@
         for _ in range(20):
             assert await ask(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
         assert all(server.ran for server in servers)
-        discovery.tell(line("m-0", servers[0].address, state="leaving"))
+        discovery.publish(list_entry("m-0", servers[0].address, state="leaving"))
         await until(lambda: any(each.is_leaving for each in service.carrier._servers.values()))
         before = len(servers[0].ran)
         for _ in range(20):
@@ -237,4 +237,4 @@
         for server in servers:
             server.die()
 
-    play(work)
+    run_async(work)
--- a/tests/test_mysql_proof.py
+++ b/tests/test_mysql_proof.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from loopback import play
+from loopback import run_async
 from mysql_stage import Scene, ask, load, scene
 from pymysql.err import MySQLError
 
@@ -183,4 +183,4 @@
             told = Counter(word for desk in desks for word in desk.told.values())
             assert told["done"] > 0.5 * sum(told.values()), (told, counts)
 
-    play(work)
+    run_async(work)
--- a/tests/test_mysql_reload.py
+++ b/tests/test_mysql_reload.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from loopback import played
+from loopback import async_test
 from mysql_stage import PASSWORD_FILE, configured
 
 from micadeck.mysql.config import MysqlConfig
@@ -29,7 +29,7 @@
         service.close()
 
 
-@played
+@async_test
 async def test_a_static_list_that_is_put_back_is_in_force_again() -> None:
     """Against a reload that compares with the list of the start in place of the one in force."""
     first, second = _listing("m-0"), _listing("m-0", "m-1", "m-2")
@@ -41,7 +41,7 @@
     assert counts == [3, 1, 1, 3]
 
 
-@played
+@async_test
 async def test_a_static_list_stays_while_a_roster_waits_for_a_restart() -> None:
     """Against a reload that drops every server, though it can't take up what is to list them."""
     with _running(_listing("m-0", "m-1")) as service:
--- a/tests/test_mysql_server_connection.py
+++ b/tests/test_mysql_server_connection.py
@@ -4,13 +4,13 @@
 
 from unittest import mock
 
-from loopback import played
+from loopback import async_test
 
 from micadeck.mysql.protocol.packets import frame
 from micadeck.mysql.server_connection import Credentials, ServerConnection
 
 
-@played
+@async_test
 async def test_an_answer_that_meets_a_log_in_just_given_up_ends_the_connection_quietly() -> None:
     """Against an exception out of the event loop's callback, after which the owner is not told of the end."""
     closed: list[ServerConnection] = []
--- a/tests/test_mysql_sessions.py
+++ b/tests/test_mysql_sessions.py
@@ -9,7 +9,7 @@
 import mysql.connector
 import pymysql
 import pytest
-from loopback import play, soon, until
+from loopback import run_async, soon, until
 from mysql_stage import PASSWORD, ROWS, Scene, ask, configured, given, load, scene
 from sqlalchemy import create_engine, text
 
@@ -123,7 +123,7 @@
             assert through == direct
             assert len(direct) >= 3
 
-    play(work)
+    run_async(work)
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -139,7 +139,7 @@
                 client = await stage.connect(auth_plugin=plugin)
                 assert await ask(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
             assert denied[0][:3] == b"\xff" + (1044).to_bytes(2, "little")
             assert await ask(clerk, "SELECT DATABASE()") == [("tariff",)]
 
-    play(work)
+    run_async(work)
 
 
 def test_a_failed_log_in_at_a_server_is_that_servers_failure() -> None:
@@ -180,7 +180,7 @@
             assert len(servers[1].texts("INSERT")) == 8
             assert not any("server-secret" in line or "another" in line for line in stage.log)
 
-    play(work)
+    run_async(work)
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -225,7 +225,7 @@
                 assert list(seen) == expected
             assert stage.servers[0].logins <= 2  # one connection, but for one that had a schema
 
-    play(work)
+    run_async(work)
 
 
 def test_what_a_client_held_is_let_go_of_as_soon_as_it_leaves() -> None:
@@ -243,7 +243,7 @@
             await until(lambda: not any(each.sql.in_transaction for each in sessions))
             assert stage.lodged("held") == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_without_a_schema_gets_no_connection_that_has_one() -> None:
@@ -258,7 +258,7 @@
             third = await stage.connect(db=None)
             assert await ask(third, "SELECT DATABASE()") == [(None,)]
 
-    play(work)
+    run_async(work)
 
 
 def test_drawn_sessions_on_few_connections_never_cross() -> None:
@@ -296,7 +296,7 @@
             assert not crossed
             assert sum(each is None for each in results) >= 4
 
-    play(work)
+    run_async(work)
 
 
 def test_a_session_moves_with_what_it_set_when_its_server_goes() -> None:
@@ -314,7 +314,7 @@
                     assert await ask(client, asked) == wanted
                 break
 
-    play(work)
+    run_async(work)
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -352,7 +352,7 @@
             assert all(each.texts("rate = ?") for each in stage.servers)
             held["client"].close()
 
-    play(work)
+    run_async(work)
 
 
 class Wire:
@@ -410,7 +410,7 @@
             unknown = await wire.ask(bytes((Command.STMT_EXECUTE,)) + struct.pack("<IBI", 99, 0, 1))
             assert unknown[0][:3] == b"\xff" + (1243).to_bytes(2, "little")
 
-    play(work)
+    run_async(work)
 
 
 def test_preparing_over_and_over_leaves_no_statements_at_servers() -> None:
@@ -426,7 +426,7 @@
             assert server.commands["STMT_PREPARE"] == 300
             await until(lambda: sum(len(each._prepared) for each in server.sessions.values()) <= 64)
 
-    play(work)
+    run_async(work)
 
 
 _REFUSED = [
@@ -462,7 +462,7 @@
             assert b"Clients: 1 " in told and b"Held for: nothing" in told
             assert not stage.servers[0].ran
 
-    play(work)
+    run_async(work)
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -489,7 +489,7 @@
             answer = await ask(stage.clients[1], "SELECT '" + "x" * (1 << 20) + "'")
             assert answer[0] in (1153, 2006, 2013)
 
-    play(work)
+    run_async(work)
 
 
 def test_a_transaction_left_idle_for_too_long_is_rolled_back_and_its_client_told() -> None:
@@ -502,7 +502,7 @@
             assert (await ask(client, "COMMIT"))[0] == 1213
             assert stage.lodged("idle") == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_service_that_drains_ends_transactions_first_and_refuses_the_rest_in_words() -> None:
@@ -518,7 +518,7 @@
             await soon(ending)
             assert (stage.lodged("late"), stage.lodged("other")) == (1, 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_a_reload_takes_users_and_rules_and_names_what_waits() -> None:
@@ -533,7 +533,7 @@
             assert await ask(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
             assert "mysql: reloaded: 1 users; only a restart takes up front" in stage.log
 
-    play(work)
+    run_async(work)
 
 
 _WRONG: list[tuple[dict[str, Any], str]] = [
--- a/tests/test_peer_datagrams.py
+++ b/tests/test_peer_datagrams.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from loopback import HOST, play, soon
+from loopback import HOST, run_async, soon
 
 from micadeck.network import Address, LoopNetwork
 from micadeck.peer_datagrams import PeerDatagrams
@@ -41,4 +41,4 @@
         first.close()
         second.close()
 
-    play(work)
+    run_async(work)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -20,12 +20,12 @@
     HOST,
     OK,
     Client,
-    Heard,
+    ReceivedRequest,
     ScriptedDiscovery,
     ScriptedServer,
-    line,
-    play,
+    list_entry,
     request,
+    run_async,
     soon,
     until,
 )
@@ -121,12 +121,12 @@
 
 @asynccontextmanager
 async def program(
-    script: Callable[[Heard], Any] | bytes, folder: Path, **keys: Any
+    script: Callable[[ReceivedRequest], Any] | bytes, folder: Path, **keys: Any
 ) -> AsyncIterator[Program]:
     """The program with one server; `keys` are further ones of its configuration."""
     server = await ScriptedServer(script).start()
     discovery = ScriptedDiscovery()
-    discovery.servers = [line("s-1", server.address)]
+    discovery.servers = [list_entry("s-1", server.address)]
     await discovery.start()
     known = {"version": 1, "full": True, "servers": discovery.servers}
     path = folder / "config.json"
@@ -151,18 +151,18 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(received: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
         async with program(hold, tmp_path) as running:
             taken, resting = await running.client(), await running.client()
             taken.send(request("lodge"))
-            await until(lambda: len(running.server.heard) == 1)
+            await until(lambda: len(running.server.received) == 1)
             running.process.send_signal(signal.SIGTERM)
             late = await running.client()
             late.send(request("lodge"))
-            await until(lambda: len(running.server.heard) == 2)
+            await until(lambda: len(running.server.received) == 2)
             assert await soon(resting.reader.read()) == b""  # a connection at rest is let go
             release.set()
             for client in (taken, late):
@@ -171,53 +171,53 @@
                 assert await soon(client.reader.read()) == b""
             assert await soon(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_sigterm_with_a_silent_server_still_answers_in_time(tmp_path: Path) -> None:
     # Guards against SIGKILL finding a request unanswered that had more time left than the process has.
     async def work() -> None:
-        async def silent(heard: Heard) -> None:
+        async def silent(received: ReceivedRequest) -> None:
             return None
 
         async with program(silent, tmp_path) as running:
             taken = await running.client()
             taken.send(request("lodge", timeout="30"))
-            await until(lambda: len(running.server.heard) == 1)
+            await until(lambda: len(running.server.received) == 1)
             running.process.send_signal(signal.SIGTERM)
             answer = await taken.answer()
             assert (answer.status, answer.headers["connection"]) == (504, "close")
             assert await soon(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_sighup_follows_a_new_discovery_and_an_unusable_file_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         async with program(OK, tmp_path) as running:
-            assert (await (await running.client()).ask("lodge")).status == 200
+            assert (await (await running.client()).exchange("lodge")).status == 200
             other = await ScriptedServer(OK).start()
             discovery = ScriptedDiscovery()
             discovery.version = 0  # it counts its own versions, and begins anew
-            discovery.servers = [line("s-2", other.address)]
+            discovery.servers = [list_entry("s-2", other.address)]
             await discovery.start()
             given = json.loads(running.config.read_text())
             running.config.write_text("{")
             running.process.send_signal(signal.SIGHUP)
             assert "the old configuration stays in force: BALANCER_CONFIG" in await running.says()
-            assert (await (await running.client()).ask("lodge")).status == 200
-            assert len(running.server.heard) == 2
+            assert (await (await running.client()).exchange("lodge")).status == 200
+            assert len(running.server.received) == 2
             running.config.write_text(json.dumps({**given, "discovery": discovery.address, "seed": "1"}))
             running.process.send_signal(signal.SIGHUP)
             told = await running.says()
             assert told == f"reloaded: discovery at {discovery.address}; a restart is needed for seed\n"
-            await until(lambda: len(discovery.heard) >= 2)  # the list, then the watch
-            assert (await (await running.client()).ask("lodge")).status == 200
-            assert len(other.heard) == 1
+            await until(lambda: len(discovery.received) >= 2)  # the list, then the watch
+            assert (await (await running.client()).exchange("lodge")).status == 200
+            assert len(other.received) == 1
             other.stop()
             discovery.stop()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("key", ["listen", "operator"])
@@ -234,7 +234,7 @@
         assert ended.startswith(f"micadeck: can't listen: {key}: {other.address}")
         other.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_second_process_takes_over_and_no_request_is_lost(tmp_path: Path) -> None:
@@ -250,7 +250,7 @@
                 while not done.is_set():
                     try:
                         client = await running.client()
-                        answers.append((await client.ask("lodge")).status)
+                        answers.append((await client.exchange("lodge")).status)
                         client.close()
                     except (ConnectionError, asyncio.IncompleteReadError):
                         pass  # turned back unheard, in the moment between the last look and the close
@@ -270,7 +270,7 @@
             await soon(second.communicate())
             assert second.returncode == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("which", ["new", "old"])
@@ -290,9 +290,9 @@
             await soon(killed.wait())
             for _ in range(20):  # nobody is sent to the dead one
                 client = await running.client()
-                assert (await client.ask("lodge")).status == 200
+                assert (await client.exchange("lodge")).status == 200
                 client.close()
             left.send_signal(signal.SIGTERM)
             assert await soon(left.wait()) == 0
 
-    play(work)
+    run_async(work)
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -10,7 +10,16 @@
 from pathlib import Path
 from typing import Any
 
-from loopback import HOST, OK, Heard, ScriptedDiscovery, ScriptedServer, line, play, request
+from loopback import (
+    HOST,
+    OK,
+    ReceivedRequest,
+    ScriptedDiscovery,
+    ScriptedServer,
+    list_entry,
+    request,
+    run_async,
+)
 from test_program import GOOD, ROOT
 
 AT_ONCE = 8
@@ -26,10 +35,10 @@
         super().__init__()
         self.is_open = False
 
-    async def _answer(self, heard: Heard) -> bytes:
+    async def _answer(self, received: ReceivedRequest) -> bytes:
         if not self.is_open:
             await asyncio.Event().wait()
-        return await super()._answer(heard)
+        return await super()._answer(received)
 
 
 async def started(config: Path) -> tuple[asyncio.subprocess.Process, int]:
@@ -90,7 +99,7 @@
             **GOOD,
             "discovery": discovery.address,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64},
-            "known": {"version": 1, "full": True, "servers": [line("s-1", server.address)]},
+            "known": {"version": 1, "full": True, "servers": [list_entry("s-1", server.address)]},
         }
         opened = asyncio.Event()
         async with asyncio.TaskGroup() as group:
@@ -99,10 +108,10 @@
             while len(ready) < AT_ONCE:
                 await asyncio.sleep(0.05)
             discovery.version += 1
-            discovery.servers = [line("s-1", server.address, state="leaving")]
+            discovery.servers = [list_entry("s-1", server.address, state="leaving")]
             discovery.is_open = True
             opened.set()
         server.stop()
         discovery.stop()
 
-    play(work)
+    run_async(work)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -15,7 +15,7 @@
 from helpers import MS, S, Stage, settings
 from hypothesis import given
 from hypothesis import strategies as st
-from loopback import ERROR, OK, Heard, played, stage, until
+from loopback import ERROR, OK, ReceivedRequest, async_test, run_harness, until
 
 from micadeck.incidents import frames
 from micadeck.incidents.archive import FileStatus, Start, load
@@ -30,32 +30,32 @@
 class Looks:
     """The engine's part: names of requests, and figures."""
 
-    def __init__(self, scene: Stage) -> None:
-        self.statistics = scene.balancer.statistics
+    def __init__(self, harness: Stage) -> None:
+        self.statistics = harness.balancer.statistics
 
     def request_id(self, request: int) -> bytes:
         return b"id-%d" % request
 
 
 def watched(**changes: Any) -> tuple[Stage, Observer]:
-    scene = Stage(settings(**changes))
-    observer = Observer(scene.balancer, scene.balancer._context.settings, Looks(scene), "n0", "00")
-    scene.balancer = observer  # type: ignore[assignment]
-    return scene, observer
+    harness = Stage(settings(**changes))
+    observer = Observer(harness.balancer, harness.balancer._context.settings, Looks(harness), "n0", "00")
+    harness.balancer = observer  # type: ignore[assignment]
+    return harness, observer
 
 
 def test_plain_requests_are_counted_and_others_have_records_of_their_own() -> None:
-    scene, observer = watched()
-    scene.servers(["a", "b", "c"])
+    harness, observer = watched()
+    harness.servers(["a", "b", "c"])
     for _ in range(20):
-        request = scene.request("look")
-        scene.wait(10 * MS)
-        scene.end(request)
-    request = scene.request("pay")
-    scene.wait(10 * MS)
-    scene.end(request, Outcome.CONNECT_FAILED)
-    scene.end(request, Outcome.CONNECTION_LOST)
-    told = observer.take(scene.now, 0, 0)
+        request = harness.request("look")
+        harness.wait(10 * MS)
+        harness.end(request)
+    request = harness.request("pay")
+    harness.wait(10 * MS)
+    harness.end(request, Outcome.CONNECT_FAILED)
+    harness.end(request, Outcome.CONNECTION_LOST)
+    told = observer.take(harness.now, 0, 0)
     span = told[-1]
     assert isinstance(span, Span)
     counts = {each.name: each for each in span.classes}
@@ -69,38 +69,38 @@
     ]
     (end,) = [each for each in told if isinstance(each, End)]
     assert (end.how, end.may_have_run, end.attempts, end.ident) == ("failed", True, 2, attempts[0].ident)
-    assert observer.take(scene.now, 0, 0)[:-1] == []  # nothing is told twice
+    assert observer.take(harness.now, 0, 0)[:-1] == []  # nothing is told twice
 
 
-@played
+@async_test
 async def test_a_defect_of_the_records_ends_them_and_costs_no_request(tmp_path: Path) -> None:
     """Against a recording whose own defect takes the decisions' actions from the engine."""
-    async with stage(OK, ERROR, given={"records": str(tmp_path)}) as scene:
-        engine = scene.sidecar._runtime.engine
+    async with run_harness(OK, ERROR, overrides={"records": str(tmp_path)}) as harness:
+        engine = harness.sidecar._runtime.engine
         with mock.patch.object(engine, "request_id", side_effect=ZeroDivisionError):
             for _ in range(20):
-                assert (await scene.ask("check")).status == 200
-        await until(lambda: scene.log[-1] == "records: recording ends: ZeroDivisionError()")
-        assert not [line for line in scene.log if "internal error" in line]
+                assert (await harness.exchange("check")).status == 200
+        await until(lambda: harness.log[-1] == "records: recording ends: ZeroDivisionError()")
+        assert not [line for line in harness.log if "internal error" in line]
 
 
 def test_states_of_servers_are_told_as_they_change_and_again_at_the_head_of_each_segment() -> None:
-    scene, observer = watched()
-    scene.servers(["a", "b", "c"])
+    harness, observer = watched()
+    harness.servers(["a", "b", "c"])
     for _ in range(10):
-        requests = [scene.request() for _ in range(9)]
-        scene.wait(10 * MS)
+        requests = [harness.request() for _ in range(9)]
+        harness.wait(10 * MS)
         for request in requests:
-            if scene.target(request) == "a":
-                scene.end(request, Outcome.ERROR)  # and goes to another
-            scene.end(request)
-    scene.drain("b")
-    scene.drain("c", ServerState.REMOVED)
-    told = [each for each in observer.take(scene.now, 0, 0) if isinstance(each, State)]
+            if harness.target(request) == "a":
+                harness.end(request, Outcome.ERROR)  # and goes to another
+            harness.end(request)
+    harness.drain("b")
+    harness.drain("c", ServerState.REMOVED)
+    told = [each for each in observer.take(harness.now, 0, 0) if isinstance(each, State)]
     assert [each.server for each in told[:3] if each.state == "ready"] == ["a", "b", "c"]
     assert ("a", "ejected", "error") in [(each.server, each.state, each.why) for each in told]
     assert [(each.server, each.state) for each in told[-2:]] == [("b", "draining"), ("c", "gone")]
-    head, *again = observer.head(scene.now, 7, 3)
+    head, *again = observer.head(harness.now, 7, 3)
     assert isinstance(head, Head) and head.segment == 3 and head.wall == 7
     assert {each.server: each.state for each in again if isinstance(each, State)} == {
         "a": "ejected",
@@ -109,13 +109,13 @@
 
 
 def test_an_outage_leaves_out_records_and_says_how_many() -> None:
-    scene, observer = watched()
-    scene.servers(["a", "b", "c"])
+    harness, observer = watched()
+    harness.servers(["a", "b", "c"])
     for _ in range(MAX_ATTEMPT_RECORDS + 50):
-        request = scene.request("pay")
-        if scene.sends(request):
-            scene.end(request, Outcome.CONNECTION_LOST)
-    told = observer.take(scene.now, 0, 0)
+        request = harness.request("pay")
+        if harness.sends(request):
+            harness.end(request, Outcome.CONNECTION_LOST)
+    told = observer.take(harness.now, 0, 0)
     attempts = sum(isinstance(each, Attempt) for each in told)
     assert attempts <= MAX_ATTEMPT_RECORDS and isinstance(told[-1], Span)
     sent = sum(each.sent for each in told[-1].servers)
@@ -125,27 +125,27 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_over_drawn_days_every_attempt_and_every_end_is_accounted_for(seed: int) -> None:
     drawn = random.Random(seed)
-    scene, observer = watched()
-    scene.servers([f"s-{number}" for number in range(6)])
+    harness, observer = watched()
+    harness.servers([f"s-{number}" for number in range(6)])
     open_requests: list[int] = []
     told: list[Record] = []
     for number in range(600):
-        scene.wait(drawn.randrange(1, 20) * MS)
-        open_requests.append(scene.request(drawn.choice(["look", "pay", "amend"])))
+        harness.wait(drawn.randrange(1, 20) * MS)
+        open_requests.append(harness.request(drawn.choice(["look", "pay", "amend"])))
         while open_requests and drawn.random() < 0.6:
             request = open_requests.pop(0)
-            if scene.sends(request):
+            if harness.sends(request):
                 bad = drawn.choice([Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.FULL])
-                scene.end(request, bad if drawn.random() < 0.3 else Outcome.DELIVERED)
+                harness.end(request, bad if drawn.random() < 0.3 else Outcome.DELIVERED)
         if number % 100 == 99:
-            told += observer.take(scene.now, 0, 0)
-    scene.wait(20 * S)
-    told += observer.take(scene.now, 0, 0)
+            told += observer.take(harness.now, 0, 0)
+    harness.wait(20 * S)
+    told += observer.take(harness.now, 0, 0)
     spans = [each for each in told if isinstance(each, Span)]
     classes = [each for span in spans for each in span.classes]
     ended = sum(each.served + each.refused + each.failed for each in classes)
     assert sum(each.arrived for each in classes) == 600 == ended
-    assert sum(each.sent for span in spans for each in span.servers) == len(scene.sends())
+    assert sum(each.sent for span in spans for each in span.servers) == len(harness.sends())
     by_request = Counter(each.ident for each in told if isinstance(each, Attempt))
     for end in (each for each in told if isinstance(each, End)):
         if int(end.ident[3:]) not in observer._open:  # those have an attempt out that never ends here
@@ -240,15 +240,15 @@
     return [each for each in start.records if isinstance(each, kind)]
 
 
-@played
+@async_test
 async def test_a_sidecar_records_and_its_records_tell_what_happened(tmp_path: Path) -> None:
-    async def fails_some(heard: Heard) -> bytes:
-        return ERROR if heard.headers["request-class"] == "lodge" else OK
+    async def fails_some(received: ReceivedRequest) -> bytes:
+        return ERROR if received.headers["request-class"] == "lodge" else OK
 
-    async with stage(fails_some, given={"records": str(tmp_path / "in" / "here")}) as scene:
+    async with run_harness(fails_some, overrides={"records": str(tmp_path / "in" / "here")}) as harness:
         for _ in range(30):
-            assert (await scene.ask("check")).status == 200
-        assert (await scene.ask("lodge", Request_Id="00000000000000aa")).status == 502
+            assert (await harness.exchange("check")).status == 200
+        assert (await harness.exchange("lodge", Request_Id="00000000000000aa")).status == 502
     archive = load([tmp_path])
     (start,) = archive.starts
     assert [each.found for each in archive.files] == [FileStatus.INTACT]
@@ -260,22 +260,22 @@
     assert records_of(start, State)[0].server == "s-0"
 
 
-@played
+@async_test
 async def test_a_folder_that_vanishes_or_is_a_file_stops_no_request(
     tmp_path: Path,
 ) -> None:
     (tmp_path / "file").write_text("")
-    async with stage(OK, given={"records": str(tmp_path / "file" / "in")}) as scene:
-        assert (await scene.ask()).status == 200
-        assert any(each.startswith("records: no recording: ") for each in scene.log)
+    async with run_harness(OK, overrides={"records": str(tmp_path / "file" / "in")}) as harness:
+        assert (await harness.exchange()).status == 200
+        assert any(each.startswith("records: no recording: ") for each in harness.log)
     folder = tmp_path / "gone"
-    async with stage(OK, given={"records": str(folder)}) as scene:
+    async with run_harness(OK, overrides={"records": str(folder)}) as harness:
         shutil.rmtree(folder)
-        assert (await scene.ask()).status == 200
-        writer = scene.sidecar._runtime.recording._writer
+        assert (await harness.exchange()).status == 200
+        writer = harness.sidecar._runtime.recording._writer
         await until(lambda: writer.has_failed)
-        assert (await scene.ask()).status == 200
-        assert len([each for each in scene.log if each.startswith("records: recording ends: ")]) == 1
+        assert (await harness.exchange()).status == 200
+        assert len([each for each in harness.log if each.startswith("records: recording ends: ")]) == 1
 
 
 def test_segments_that_are_missing_twice_or_foreign_are_told_apart(tmp_path: Path) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 import pytest
-from loopback import played
+from loopback import async_test
 from test_program import GOOD
 
 from micadeck.config import Config, ConfigError, parse
@@ -57,7 +57,7 @@
         plan_reload(replace(running, keys=running.keys | {"settings.extra"}), config())
 
 
-@played
+@async_test
 async def test_settings_that_a_host_puts_back_are_in_force_again() -> None:
     """Without a listener, as in the library, settings are in force at once: the engine follows each."""
     first = config()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from loopback import CLASSES, HOST, OK, Heard, played, request, stage, until
+from loopback import CLASSES, HOST, OK, ReceivedRequest, async_test, request, run_harness, until
 
 from micadeck.config import ConfigError, load, parse
 from micadeck.http.settings_versions import SettingsVersions
@@ -210,27 +210,27 @@
 # The daemon
 
 
-@played
+@async_test
 async def test_a_reload_brings_classes_and_drops_them_while_requests_are_open() -> None:
-    async def slow(heard: Heard) -> bytes:
-        await asyncio.sleep(0.2 if heard.headers["request-class"] == "lodge" else 0.0)
+    async def slow(received: ReceivedRequest) -> bytes:
+        await asyncio.sleep(0.2 if received.headers["request-class"] == "lodge" else 0.0)
         return OK
 
-    async with stage(slow, given={"operator": f"{HOST}:0"}) as scene:
-        sidecar = scene.sidecar
+    async with run_harness(slow, overrides={"operator": f"{HOST}:0"}) as harness:
+        sidecar = harness.sidecar
         running = sidecar._runtime.config
         changed = replace(running, settings=settings(CHECK, TRACK))
-        open_one = await scene.client()
+        open_one = await harness.client()
         open_one.send(request("lodge"))
-        await until(lambda: len(scene.heard) == 1)
+        await until(lambda: len(harness.received) == 1)
         sidecar.reload(changed)
-        assert (await scene.ask("amend")).status == 200  # clients have not learnt of it yet
+        assert (await harness.exchange("amend")).status == 200  # clients have not learnt of it yet
         track = request("check").replace(b"Request-Class: check", b"Request-Class: track")
-        asking = await scene.client()
+        asking = await harness.client()
         asking.send(track)
         assert (await asking.answer()).status == 200
         assert (await open_one.answer()).status == 200  # its class is dropped meanwhile
-        assert (await scene.ask("lodge")).status == 200  # by the old rules, for a moment
+        assert (await harness.exchange("lodge")).status == 200  # by the old rules, for a moment
         with pytest.raises(ConfigError):
             sidecar.reload(replace(changed, keys=frozenset()))
         sidecar.count_rejected_config()
@@ -238,28 +238,28 @@
         assert "edge_balancer.loads:1|c" in told and "edge_balancer.load_errors:1|c" in told
         assert "edge_balancer.handled.track.passed:1|c" in told
         await asyncio.sleep(0.35)
-        gone = await scene.ask("lodge")
+        gone = await harness.exchange("lodge")
         assert (gone.status, gone.body) == (400, b"request-class is unknown\n")
-        assert (await scene.ask("check")).status == 200
+        assert (await harness.exchange("check")).status == 200
 
 
-@played
+@async_test
 async def test_without_a_request_that_needs_them_they_are_in_force_after_a_while() -> None:
-    async with stage(OK) as scene:
-        sidecar = scene.sidecar
+    async with run_harness(OK) as harness:
+        sidecar = harness.sidecar
         sidecar.reload(replace(sidecar._runtime.config, settings=settings(CHECK)))
         assert len(sidecar._runtime.config.settings.classes) == 3
         await until(lambda: len(sidecar._runtime.config.settings.classes) == 1)
-        assert "reloaded" in scene.log[-1]
+        assert "reloaded" in harness.log[-1]
 
 
-@played
+@async_test
 async def test_a_reload_that_takes_the_one_before_back_leaves_the_settings_as_they_are() -> None:
-    async with stage(OK) as scene:
-        sidecar = scene.sidecar
+    async with run_harness(OK) as harness:
+        sidecar = harness.sidecar
         running = sidecar._runtime.config
         sidecar.reload(replace(running, settings=settings(CHECK)))
         sidecar.reload(running)
         await asyncio.sleep(1.3)
         assert sidecar._runtime.config.settings == running.settings
-        assert (await scene.ask("lodge")).status == 200
+        assert (await harness.exchange("lodge")).status == 200
--- a/tests/test_scheduling_delay.py
+++ b/tests/test_scheduling_delay.py
@@ -8,7 +8,7 @@
 from collections.abc import AsyncIterator
 
 import pytest
-from loopback import played
+from loopback import async_test
 from mysql_stage import ROWS, ask, scene
 
 from micadeck.network import LoopNetwork
@@ -39,7 +39,7 @@
     return count
 
 
-@played
+@async_test
 async def test_work_of_a_few_rounds_is_given_them_however_long_each_takes() -> None:
     async with late_by(0.05):
         assert await wait_excluding_lag(LoopNetwork(), 0.2, rounds(8)) == 8
@@ -47,7 +47,7 @@
             await wait_excluding_lag(LoopNetwork(), 0.2, rounds(200))
 
 
-@played
+@async_test
 async def test_silence_is_seen_in_its_time_by_a_loop_that_is_in_time() -> None:
     began = time.monotonic()
     with pytest.raises(TimeoutError):
@@ -55,7 +55,7 @@
     assert 0.19 <= time.monotonic() - began <= 0.4
 
 
-@played
+@async_test
 async def test_what_work_raises_is_passed_on_and_a_cancel_ends_it() -> None:
     ended = asyncio.Event()
 
@@ -78,7 +78,7 @@
     assert ended.is_set()
 
 
-@played
+@async_test
 async def test_a_late_process_logs_in_at_servers_that_are_well() -> None:
     async with scene() as stage:
         client = await stage.connect()
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 import pytest
-from loopback import HOST, OK, Heard, play, request, stage, until
+from loopback import HOST, OK, ReceivedRequest, request, run_async, run_harness, until
 
 from micadeck.policy import Settings
 from micadeck.policy.actions import (
@@ -63,7 +63,7 @@
         finally:
             self._inside = False
 
-    def heard(self, kind: type[T]) -> list[T]:
+    def received(self, kind: type[T]) -> list[T]:
         return [each for each in self.events if isinstance(each, kind)]
 
 
@@ -96,14 +96,14 @@
 
     async def work() -> None:
         scripted(decide)
-        async with stage(OK) as scene:
-            refused = await scene.ask("check", timeout="9000")
+        async with run_harness(OK) as harness:
+            refused = await harness.exchange("check", timeout="9000")
             assert (refused.status, refused.headers["retry-after"]) == (503, "0.250")
-            failed = await scene.ask("lodge", timeout="9000")
+            failed = await harness.exchange("lodge", timeout="9000")
             assert failed.status in (502, 504) and "retry-after" not in failed.headers
-            assert scene.heard == [] and scene.sidecar.open_requests == 0
+            assert harness.received == [] and harness.sidecar.open_requests == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_cancelled_attempt_ends_once_and_its_connection_is_closed(scripted: Use) -> None:
@@ -116,15 +116,15 @@
 
     async def work() -> None:
         balancer = scripted(decide)
-        async with stage(None) as scene:
-            assert (await scene.ask("lodge")).status == 502
-            (ended,) = balancer.heard(AttemptEnded)
+        async with run_harness(None) as harness:
+            assert (await harness.exchange("lodge")).status == 502
+            (ended,) = balancer.received(AttemptEnded)
             assert (ended.outcome, ended.answered, ended.server) == (Outcome.CANCELLED, False, "s-0")
-            await until(lambda: scene.servers[0].closed == [0])
-            assert balancer.heard(TimerFired)[0].token == "later"
+            await until(lambda: harness.servers[0].closed == [0])
+            assert balancer.received(TimerFired)[0].token == "later"
             assert balancer.times == sorted(balancer.times)
 
-    play(work)
+    run_async(work)
 
 
 def test_only_the_first_delivery_is_the_answer_and_every_attempt_ends(scripted: Use) -> None:
@@ -137,10 +137,10 @@
                 lambda number: Send(number, "s-0", 1),
             )
         )
-        async with stage(OK, OK) as scene:
-            assert (await scene.ask()).body == b"served"
-            await until(lambda: len(balancer.heard(AttemptEnded)) == 4)
-            ended = {each.attempt: each for each in balancer.heard(AttemptEnded)}
+        async with run_harness(OK, OK) as harness:
+            assert (await harness.exchange()).body == b"served"
+            await until(lambda: len(balancer.received(AttemptEnded)) == 4)
+            ended = {each.attempt: each for each in balancer.received(AttemptEnded)}
             assert [ended[number].outcome for number in range(4)] == [
                 Outcome.DELIVERED,
                 Outcome.DELIVERED,
@@ -148,9 +148,9 @@
                 Outcome.NOT_SENT,
             ]
             assert all(each.answered for each in (ended[0], ended[1]))
-            assert scene.sidecar.open_requests == 0
+            assert harness.sidecar.open_requests == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_that_leaves_is_told_to_the_decisions(scripted: Use) -> None:
@@ -158,26 +158,26 @@
         balancer = scripted(on_arrival(lambda number: Send(number, "s-0", FAR)))
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(received: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with stage(hold) as scene:
-            client = await scene.client()
+        async with run_harness(hold) as harness:
+            client = await harness.client()
             client.send(request("check"))
-            await until(lambda: len(scene.heard) == 1)
+            await until(lambda: len(harness.received) == 1)
             client.close()
-            await until(lambda: balancer.heard(ClientDisconnected) == [ClientDisconnected(1)])
+            await until(lambda: balancer.received(ClientDisconnected) == [ClientDisconnected(1)])
             release.set()
-            await until(lambda: len(balancer.heard(AttemptEnded)) == 1)
-            assert balancer.heard(AttemptEnded)[0].answered
+            await until(lambda: len(balancer.received(AttemptEnded)) == 1)
+            assert balancer.received(AttemptEnded)[0].answered
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("how", ["header", "body"])
 def test_a_probe_brings_its_report(scripted: Use, how: str) -> None:
-    async def report(heard: Heard) -> bytes:
+    async def report(received: ReceivedRequest) -> bytes:
         text = b"TEXT qps=7, util=0.5"
         if how == "header":
             return b"HTTP/1.1 200 OK\r\nServer-Load: %s\r\nContent-Length: 0\r\n\r\n" % text
@@ -185,15 +185,15 @@
 
     async def work() -> None:
         balancer = scripted(lambda event: [Probe("s-0")] if isinstance(event, RequestArrived) else [])
-        async with stage(report, bounds={"probing": True}) as scene:
-            (await scene.client()).send(request())
-            await until(lambda: len(balancer.heard(ProbeEnded)) == 1)
-            ended = balancer.heard(ProbeEnded)[0]
+        async with run_harness(report, bounds={"probing": True}) as harness:
+            (await harness.client()).send(request())
+            await until(lambda: len(balancer.received(ProbeEnded)) == 1)
+            ended = balancer.received(ProbeEnded)[0]
             assert (ended.server, ended.outcome) == ("s-0", Outcome.DELIVERED)
             assert ended.report == {"qps": 7.0, "util": 0.5}
-            assert scene.heard[0].target == "/_load" and "request-id" not in scene.heard[0].headers
+            assert harness.received[0].target == "/_load" and "request-id" not in harness.received[0].headers
 
-    play(work)
+    run_async(work)
 
 
 def test_idle_connections_are_closed_the_list_is_fetched_and_lines_are_logged(scripted: Use) -> None:
@@ -206,18 +206,18 @@
 
     async def work() -> None:
         balancer = scripted(decide)
-        async with stage(OK) as scene:
-            assert (await scene.ask()).status == 200
-            await until(lambda: scene.servers[0].closed == [0])
-            await until(lambda: len(balancer.heard(ServersListed)) == 2)
-            assert [each.kind for each in balancer.heard(ServersListed)] == [
+        async with run_harness(OK) as harness:
+            assert (await harness.exchange()).status == 200
+            await until(lambda: harness.servers[0].closed == [0])
+            await until(lambda: len(balancer.received(ServersListed)) == 2)
+            assert [each.kind for each in balancer.received(ServersListed)] == [
                 ListKind.REMEMBERED,
                 ListKind.COMPLETE,
             ]
-            assert scene.discovery.heard[0].target == "/catalog/members"
-            assert scene.log == ["a line"]
+            assert harness.discovery.received[0].target == "/catalog/members"
+            assert harness.log == ["a line"]
 
-    play(work)
+    run_async(work)
 
 
 def test_a_message_reaches_the_other_sidecar(scripted: Use) -> None:
@@ -246,16 +246,16 @@
             "peer_listen": f"{own[0]}:{own[1]}",
             "peers": [f"{own[0]}:{own[1]}", f"{other[0]}:{other[1]}"],
         }
-        async with stage(OK, given=peers, bounds={"mayTell": True}) as scene:
-            (await scene.client()).send(request())
+        async with run_harness(OK, overrides=peers, bounds={"mayTell": True}) as harness:
+            (await harness.client()).send(request())
             data, sender = await got.get()
             assert (data, sender) == (b"hi", own)
-            assert scene.log == ["peers: could not send a message"]
+            assert harness.log == ["peers: could not send a message"]
             transport.sendto(b"back", own)
-            await until(lambda: balancer.heard(MessageReceived) == [MessageReceived(1, b"back")])
+            await until(lambda: balancer.received(MessageReceived) == [MessageReceived(1, b"back")])
         transport.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_defect_of_the_decisions_fails_its_request_and_no_other(scripted: Use) -> None:
@@ -269,12 +269,12 @@
 
     async def work() -> None:
         scripted(decide)
-        async with stage(OK) as scene:
-            assert (await scene.ask("lodge")).status == 500
-            assert (await scene.ask("check")).status == 200
-            assert scene.log == ["internal error: RequestArrived: ZeroDivisionError()"]
+        async with run_harness(OK) as harness:
+            assert (await harness.exchange("lodge")).status == 500
+            assert (await harness.exchange("check")).status == 200
+            assert harness.log == ["internal error: RequestArrived: ZeroDivisionError()"]
 
-    play(work)
+    run_async(work)
 
 
 def test_any_bytes_from_clients_and_servers_leave_the_sidecar_alive() -> None:
@@ -287,27 +287,27 @@
             data[at : at + chance.randint(0, 4)] = chance.randbytes(chance.randint(0, 4))
         return bytes(data)
 
-    async def odd(heard: Heard) -> bytes:
+    async def odd(received: ReceivedRequest) -> bytes:
         return mangled(OK + OK) if chance.random() < 0.7 else OK
 
     async def work() -> None:
         faults: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
-        async with stage(odd, odd, odd) as scene:
+        async with run_harness(odd, odd, odd) as harness:
             for number in range(150):
-                client = await scene.client()
+                client = await harness.client()
                 kind = ("check", "amend", "lodge")[number % 3]
                 client.send(mangled(request(kind, timeout="0.2", body=b"" if kind == "check" else b"body")))
                 client.writer.write_eof()
                 await client.reader.read()
                 client.close()
-            await until(lambda: scene.sidecar.open_requests == 0)
-            scene.servers[0].script = scene.servers[1].script = scene.servers[2].script = OK
-            await until(lambda: len(scene.sidecar.listener.connections) == 0)
-            assert not [each for each in scene.log if "internal" in each]
-            client = await scene.client()
+            await until(lambda: harness.sidecar.open_requests == 0)
+            harness.servers[0].script = harness.servers[1].script = harness.servers[2].script = OK
+            await until(lambda: len(harness.sidecar.listener.connections) == 0)
+            assert not [each for each in harness.log if "internal" in each]
+            client = await harness.client()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await client.answer()).status == 200
         assert [each for each in faults if "micadeck" in repr(each) or "protocol." in each["message"]] == []
 
-    play(work)
+    run_async(work)
--- a/tests/test_stale_list_refresh.py
+++ b/tests/test_stale_list_refresh.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from loopback import ScriptedDiscovery, line, play, until
+from loopback import ScriptedDiscovery, list_entry, run_async, until
 
 from micadeck.engine import EndpointUpdate
 from micadeck.membership.consul import EntriesChange, InstanceMapping, RequestOptions, ServiceUpdate
@@ -53,13 +53,13 @@
         assert roster.suspicions == suspicions
         sources.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_watch_that_the_decisions_began_is_not_given_up_for_the_sources_own_retry() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
-        server.servers = [line("s-1", "127.0.0.2:80")]
+        server.servers = [list_entry("s-1", "127.0.0.2:80")]
         await server.start()
         network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
         roster = DiscoveryWatcher(network, nobody, 1)
@@ -77,28 +77,28 @@
         )  # nobody is there: from here on the sources' own retry is planned
         roster._address = parse_address(server.address)
         sources.watch(True)  # and the decisions were first
-        await until(lambda: len(server.heard) == 2)  # the first call, and the watch that waits
+        await until(lambda: len(server.received) == 2)  # the first call, and the watch that waits
         retry = sources._retry
         assert retry is not None
         await until(lambda: sources._retry is None)
         await asyncio.sleep(0.05)
-        assert len(server.heard) == 2 and server.closed == []
+        assert len(server.received) == 2 and server.closed == []
         sources.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_fetch_that_is_ahead_of_the_watch_makes_its_list_suspect() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
-        server.servers = [line("s-1", "127.0.0.2:80")]
+        server.servers = [list_entry("s-1", "127.0.0.2:80")]
         await server.start()
         roster = CountingWatcher(LoopNetwork(), parse_address(server.address), 0)
         updates: list[EndpointUpdate] = []
         roster.start(updates.append, lambda: None)
         roster.watch(True)
-        await until(lambda: len(server.heard) == 2)  # the watch waits for changes, and gets none
+        await until(lambda: len(server.received) == 2)  # the watch waits for changes, and gets none
         roster.fetch()
         await until(lambda: len(updates) == 2)
         assert roster.suspicions == 0  # both have the same version
@@ -110,4 +110,4 @@
         server.stop()
         await asyncio.sleep(0)
 
-    play(work)
+    run_async(work)
--- a/tests/test_startup_retry.py
+++ b/tests/test_startup_retry.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import play, soon
+from loopback import run_async, soon
 from test_program import GOOD, ROOT
 
 FAILS_S = 1.5
@@ -72,7 +72,7 @@
         process.send_signal(signal.SIGTERM)
         assert await soon(process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("what", [signal.SIGTERM, signal.SIGINT])
@@ -89,7 +89,7 @@
         assert await soon(process.wait()) == 0
         assert time.monotonic() - began <= 1.0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_start_ends_at_once_where_there_is_no_such_address(tmp_path: Path) -> None:
@@ -100,4 +100,4 @@
         assert process.returncode == 1 and time.monotonic() - began <= 5.0
         assert told.startswith(b"micadeck: can't listen: listen: ") and told.count(b"\n") == 1
 
-    play(work)
+    run_async(work)
--- a/tests/test_tasks_that_end.py
+++ b/tests/test_tasks_that_end.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 import pytest
-from loopback import OK, ScriptedDiscovery, line, played, stage, until
+from loopback import OK, ScriptedDiscovery, async_test, list_entry, run_harness, until
 from test_consul_source import Listener, put
 from test_fleet_host import FleetHosts
 
@@ -67,7 +67,7 @@
     [*AWAITED, (ServiceView, "take_change"), (EndpointMerge, "observe_changes")],
     ids=lambda each: each if isinstance(each, str) else "",
 )
-@played
+@async_test
 async def test_a_watch_of_consul_goes_on(owner: Any, name: str, number: int) -> None:
     agent = await StandInConsul().start()
     put(agent, 1)
@@ -86,7 +86,7 @@
     [(LoopNetwork, "dial"), (ClientConnection, "exchange"), (DiscoveryWatcher, "_accept")],
     ids=lambda each: each if isinstance(each, str) else "",
 )
-@played
+@async_test
 async def test_a_watch_of_discovery_goes_on(owner: Any, name: str, number: int) -> None:
     discovery = ScriptedDiscovery()
     await discovery.start()
@@ -99,24 +99,24 @@
         watcher.start(lists.append, lambda: None)
         await asyncio.sleep(0.05)
         for _ in range(3):
-            discovery.tell(line("s-0", "127.0.0.1:1"))
+            discovery.publish(list_entry("s-0", "127.0.0.1:1"))
             await until(lambda: bool(lists) and lists[-1].version == discovery.version)
     watcher.close()
     discovery.stop()
 
 
-@played
+@async_test
 async def test_timers_and_tasks_of_a_sidecar_go_on() -> None:
-    async with stage(OK) as scene:
+    async with run_harness(OK) as harness:
         watch = mock.Mock(refresh=FailingCall(lambda: False, 2))
-        watching = asyncio.create_task(scene.sidecar._watch_siblings(watch))
+        watching = asyncio.create_task(harness.sidecar._watch_siblings(watch))
         with failing(TimeoutSweeper, "_abort_lingering", 2) as sweep:
             await until(lambda: sweep.calls > 3 and watch.refresh.calls > 3)
         watching.cancel()
-        assert scene.log == ["internal error: siblings: DefectError()"]
+        assert harness.log == ["internal error: siblings: DefectError()"]
 
 
-@played
+@async_test
 async def test_samples_of_memory_go_on() -> None:
     refresh = FailingCall(lambda: None, 2)
     monitor = MemoryMonitor(LoopNetwork(), MemoryBudget(1 << 30), lambda _: None, refresh)
--- a/tests/test_time_of_answers.py
+++ b/tests/test_time_of_answers.py
@@ -8,7 +8,19 @@
 from collections.abc import AsyncIterator, Callable
 
 import pytest
-from loopback import OK, Client, Heard, Stage, played, raw_client, read_head, request, soon, stage, until
+from loopback import (
+    OK,
+    Client,
+    Harness,
+    ReceivedRequest,
+    async_test,
+    raw_client,
+    read_head,
+    request,
+    run_harness,
+    soon,
+    until,
+)
 
 LATE_S = 0.5
 TIMEOUT_S = 0.4
@@ -33,23 +45,23 @@
 @pytest.mark.parametrize(
     ("form", "every_s"), [("chunked", 0.0), ("no length", 0.0), ("chunked", 0.05), ("chunked", 0.2)]
 )
-@played
+@async_test
 async def test_a_begun_answer_that_stalls_or_drips_ends_in_the_time_of_its_request(
     form: str, every_s: float
 ) -> None:
     dripping: list[asyncio.Task[None]] = []
 
-    async def begin(heard: Heard) -> bytes:
+    async def begin(received: ReceivedRequest) -> bytes:
         async def drip() -> None:
-            while every_s and not heard.writer.is_closing():
-                heard.writer.write(b"1\r\nx\r\n")
+            while every_s and not received.writer.is_closing():
+                received.writer.write(b"1\r\nx\r\n")
                 await asyncio.sleep(every_s)
 
         dripping.append(asyncio.create_task(drip()))
         return STALLED[form]
 
-    async with stage(begin) as scene:
-        client = await scene.client()
+    async with run_harness(begin) as harness:
+        client = await harness.client()
         began = time.monotonic()
         client.send(request("lodge", timeout=str(TIMEOUT_S)))
         first, _ = await soon(read_head(client.reader))
@@ -60,13 +72,13 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-@played
+@async_test
 async def test_a_large_answer_that_a_server_goes_on_giving_is_not_cut_for_its_time(form: str) -> None:
     # Over 64 KiB only the first bytes are timed.
     pieces, piece = 12, b"y" * 16_384
 
-    async def begin(heard: Heard) -> bytes:
-        writer = heard.writer
+    async def begin(received: ReceivedRequest) -> bytes:
+        writer = received.writer
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (pieces * len(piece))
         writer.write(CHUNKED if form == "chunked" else head)
         for number in range(pieces):
@@ -74,8 +86,8 @@
             writer.write(b"%x\r\n%b\r\n" % (len(piece), piece) if form == "chunked" else piece)
         return b"0\r\n\r\n" if form == "chunked" else b""
 
-    async with stage(begin) as scene:
-        client = await scene.client()
+    async with run_harness(begin) as harness:
+        client = await harness.client()
         client.send(request("lodge", timeout=str(TIMEOUT_S)))
         _, headers = await soon(read_head(client.reader))
         body = b""
@@ -87,27 +99,27 @@
                 body += await soon(client.reader.readexactly(size))
                 await soon(client.reader.readline())
         assert body == pieces * piece
-        await until(lambda: scene.sidecar.open_requests == 0)
-        assert not scene.sidecar._engine.invariants.counts  # it was in time: only its first bytes are timed
+        await until(lambda: harness.sidecar.open_requests == 0)
+        assert not harness.sidecar._engine.invariants.counts  # it was in time: only its first bytes are timed
 
 
 @contextlib.asynccontextmanager
-async def slow_first(takes_s: float) -> AsyncIterator[tuple[Stage, Callable[[], list[str]]]]:
+async def slow_first(takes_s: float) -> AsyncIterator[tuple[Harness, Callable[[], list[str]]]]:
     """One server that takes so long for a `lodge`, and no time for others; and which of these came."""
 
-    async def work(heard: Heard) -> bytes:
-        if heard.headers["request-class"] == "lodge":
+    async def work(received: ReceivedRequest) -> bytes:
+        if received.headers["request-class"] == "lodge":
             await asyncio.sleep(takes_s)
         return OK
 
-    async with stage(work) as scene:
-        yield scene, lambda: [h.headers["request-timeout"] for h in scene.heard if h.method == "GET"]
+    async with run_harness(work) as harness:
+        yield harness, lambda: [h.headers["request-timeout"] for h in harness.received if h.method == "GET"]
 
 
-@played
+@async_test
 async def test_the_time_of_a_request_behind_another_counts_from_when_it_came() -> None:
-    async with slow_first(0.6) as (scene, checks):
-        client = await scene.client()
+    async with slow_first(0.6) as (harness, checks):
+        client = await harness.client()
         behind = request("check", timeout="1.0") + request("check", timeout="0.3") + request("check")
         client.send(request("lodge", timeout="2") + behind)
         # The time of the second but last was over before its turn: it is refused, and sent nowhere.
@@ -115,12 +127,12 @@
         assert [float(each) <= 0.4 + 0.15 for each in checks()] == [True, False]
 
 
-@played
+@async_test
 async def test_the_time_of_a_request_that_lay_unread_counts_from_when_it_came() -> None:
     # The event loop stands still while the request lies in the socket, on a connection old or new.
-    async with slow_first(0.0) as (scene, checks):
+    async with slow_first(0.0) as (harness, checks):
         loop = asyncio.get_running_loop()
-        with raw_client(scene) as client:
+        with raw_client(harness) as client:
             client.setblocking(False)
             for timeout, status in ((0.60, b"200"), (0.25, b"503"), (2.0, b"200")):
                 client.send(request(timeout=str(timeout)))
@@ -128,4 +140,4 @@
                 assert (await soon(loop.sock_recv(client, 4_096))).split(b" ")[1] == status
         told = [float(each) for each in checks()]
         assert len(told) == 2 and told[0] < 0.35 and told[1] < 1.75
-        await until(lambda: scene.sidecar.open_requests == 0)
+        await until(lambda: harness.sidecar.open_requests == 0)
