--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -14,7 +14,7 @@
 from helpers import MS, S, Stage, settings
 from hypothesis import example, given
 from hypothesis import strategies as st
-from loopback import OK, play, played, read_head, request, stage
+from loopback import OK, async_test, read_head, request, run_async, run_harness
 from test_bodies import LARGE, beside, content, read_body
 
 from micadeck.cli import main
@@ -54,21 +54,21 @@
 def _day(requests: int = 300, seed: int = 3) -> _Noted:
     """A made-up day: eight servers, one sick from the middle on, some answers late."""
     chance = random.Random(seed)
-    scene = Stage(settings(limits={"second_copies": False}))
-    noted = _Noted(scene.balancer)
-    scene.balancer = noted  # type: ignore[assignment]
+    harness = Stage(settings(limits={"second_copies": False}))
+    noted = _Noted(harness.balancer)
+    harness.balancer = noted  # type: ignore[assignment]
     names = [f"s-{number}" for number in range(8)]
-    scene.servers([ListedServer(each, zone="east") for each in names])
+    harness.servers([ListedServer(each, zone="east") for each in names])
     open_requests: list[int] = []
     for number in range(requests):
-        scene.wait(chance.randrange(1, 15) * MS)
-        open_requests.append(scene.request(chance.choice(["look", "pay", "amend"])))
+        harness.wait(chance.randrange(1, 15) * MS)
+        open_requests.append(harness.request(chance.choice(["look", "pay", "amend"])))
         while open_requests and chance.random() < 0.6:
             request = open_requests.pop(0)
-            if not scene.sends(request):
+            if not harness.sends(request):
                 continue
-            is_sick = number > requests // 2 and scene.target(request) == "s-1"
-            scene.end(request, Outcome.ERROR if is_sick else Outcome.DELIVERED, report={"util": 0.5})
+            is_sick = number > requests // 2 and harness.target(request) == "s-1"
+            harness.end(request, Outcome.ERROR if is_sick else Outcome.DELIVERED, report={"util": 0.5})
     return noted
 
 
@@ -159,13 +159,13 @@
     path = tmp_path / "day.trace"
 
     async def work() -> None:
-        async with stage(OK, OK, OK, given={"trace": str(path)}) as scene:
-            client = await scene.client()
+        async with run_harness(OK, OK, OK, overrides={"trace": str(path)}) as harness:
+            client = await harness.client()
             for _ in range(30):
-                assert (await client.ask("check")).status == 200
-            assert scene.log == [f"trace: recording to {path}"]
+                assert (await client.exchange("check")).status == 200
+            assert harness.log == [f"trace: recording to {path}"]
 
-    play(work)
+    run_async(work)
     trace = decode(path.read_bytes())
     assert trace.is_whole and totals(list(spans(trace, 1.0))).delivered == 30
     shown = CliRunner().invoke(main, ["trace", "show", str(path)])
@@ -212,7 +212,7 @@
     assert encoder.add(1, RequestCompleted(7, 2)) > 0
 
 
-@played
+@async_test
 async def test_a_large_request_is_answered_in_its_time_while_a_trace_is_recorded(tmp_path: Path) -> None:
     """Against a recorder that fails on an event and so keeps it from the decisions."""
 
@@ -221,13 +221,13 @@
         await read_body(reader, headers)
         await reader.read()  # until the sidecar ends the connection
 
-    async with beside(hang, given={"trace": str(tmp_path / "day.trace")}) as (_, scene):
-        client = await scene.client()
+    async with beside(hang, overrides={"trace": str(tmp_path / "day.trace")}) as (_, harness):
+        client = await harness.client()
         started = time.monotonic()
         client.send(request("lodge", timeout="0.5", body=content(LARGE)))
         assert (await client.answer()).status == 504
         assert time.monotonic() - started < 2.0
-        assert not [line for line in scene.log if "internal error" in line]
+        assert not [line for line in harness.log if "internal error" in line]
 
 
 def test_each_kind_of_event_has_its_place_in_a_trace() -> None:
