--- a/tests/broken_builds.py
+++ b/tests/broken_builds.py
@@ -1,4 +1,4 @@
-"""Builds that are broken on purpose: what each oracle of the simulation has to find."""
+"""Mutants of the program: each injects a defect that an oracle of the simulation has to find."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 Mutant = Callable[[], contextlib.AbstractContextManager[Any]]
 
 
-def _in_place(of: Any, name: str, value: Any) -> Mutant:
+def _patched(of: Any, name: str, value: Any) -> Mutant:
     return lambda: mock.patch.object(of, name, value)
 
 
-def _answers_twice() -> contextlib.AbstractContextManager[Any]:
+def _failure_answered_twice() -> contextlib.AbstractContextManager[Any]:
     answer = downstream_connection.DownstreamConnection.answer
 
     def twice(self: Any, status: int, headers: Any, body: bytes) -> None:
@@ -40,14 +40,14 @@
     return mock.patch.object(downstream_connection.DownstreamConnection, "answer", twice)
 
 
-def _forgets_answers() -> contextlib.AbstractContextManager[Any]:
-    """A failure is never told."""
+def _failure_never_answered() -> contextlib.AbstractContextManager[Any]:
+    """A failure is never answered."""
     return mock.patch.object(
         downstream_connection.DownstreamConnection, "failed", lambda self, cause, may_have_run: None
     )
 
 
-def _drops_are_unsent() -> contextlib.AbstractContextManager[Any]:
+def _lost_connection_counts_as_unsent() -> contextlib.AbstractContextManager[Any]:
     never_ran = Rules.never_ran
     return mock.patch.object(
         Rules,
@@ -56,7 +56,7 @@
     )
 
 
-def _any_cell() -> contextlib.AbstractContextManager[Any]:
+def _ignores_cells() -> contextlib.AbstractContextManager[Any]:
     def in_scope(request: Any, endpoint: Any) -> bool:
         return request.service_class.deduplication_scope is not DeduplicationScope.ZONE
 
@@ -69,7 +69,7 @@
     return both()
 
 
-def _refuses_what_ran() -> contextlib.AbstractContextManager[Any]:
+def _refuses_executed_requests() -> contextlib.AbstractContextManager[Any]:
     finish = balancer.Balancer._finish
 
     def refuse(self: Any, request: Any) -> None:
@@ -80,8 +80,8 @@
     return mock.patch.object(balancer.Balancer, "_finish", refuse)
 
 
-def _leaves_late() -> contextlib.AbstractContextManager[Any]:
-    """An attempt given up on stays open beside the next."""
+def _aborts_late() -> contextlib.AbstractContextManager[Any]:
+    """An abandoned attempt stays open during the next."""
 
     def later(self: Any) -> None:
         self._on_end = self._on_written = None
@@ -93,12 +93,12 @@
     return mock.patch.object(ClientConnection, "close", later)
 
 
-def _overhears_drains() -> contextlib.AbstractContextManager[Any]:
-    heard = EndpointRegistry.set_state
+def _ignores_drains() -> contextlib.AbstractContextManager[Any]:
+    set_state = EndpointRegistry.set_state
     listed = ConnectionPool.update_endpoints
 
     def ready(self: Any, server: Any, state: ServerState) -> None:
-        heard(self, server, ServerState.READY if state is ServerState.DRAINING else state)
+        set_state(self, server, ServerState.READY if state is ServerState.DRAINING else state)
 
     def list_all(self: Any, listing: Any) -> None:
         listed(self, listing)
@@ -114,8 +114,8 @@
     return both()
 
 
-def _ejects_for_good() -> contextlib.AbstractContextManager[Any]:
-    """No trial is due, and a start that the list tells brings nobody back either."""
+def _never_readmits() -> contextlib.AbstractContextManager[Any]:
+    """No probation request is due, and a restart in the list does not readmit a server."""
 
     @contextlib.contextmanager
     def both() -> Iterator[None]:
@@ -130,7 +130,7 @@
     return both()
 
 
-def _favours_cold_servers() -> contextlib.AbstractContextManager[Any]:
+def _prefers_cold_servers() -> contextlib.AbstractContextManager[Any]:
     dispatch = balancer.Balancer._dispatch
 
     def cold_first(self: Any, request: Any) -> None:
@@ -148,8 +148,8 @@
     return both()
 
 
-def _serves_what_came_before() -> contextlib.AbstractContextManager[Any]:
-    """Answers come from a store: the last good one is served in place of a spoilt one."""
+def _serves_cached_responses() -> contextlib.AbstractContextManager[Any]:
+    """The last good response is served in place of an error."""
     last: list[Any] = []
     answered = ClientConnection._finish_response
 
@@ -163,8 +163,8 @@
     return mock.patch.object(ClientConnection, "_finish_response", from_store)
 
 
-def _takes_cut_answers() -> contextlib.AbstractContextManager[Any]:
-    """What was spoilt passes for good."""
+def _accepts_malformed_responses() -> contextlib.AbstractContextManager[Any]:
+    """A malformed response is delivered."""
 
     def fail(self: Any, failure: Any) -> None:
         ended = self._on_end
@@ -175,8 +175,8 @@
     return mock.patch.object(ClientConnection, "_fail", fail)
 
 
-def _raises_on_drops() -> contextlib.AbstractContextManager[Any]:
-    """A defect where a connection breaks under a request."""
+def _raises_on_lost_connection() -> contextlib.AbstractContextManager[Any]:
+    """An exception is raised where a connection breaks under a request."""
     fail = ClientConnection._fail
 
     def defect(self: Any, failure: Any) -> None:
@@ -188,15 +188,15 @@
     return mock.patch.object(ClientConnection, "_fail", defect)
 
 
-def _spins() -> contextlib.AbstractContextManager[Any]:
+def _busy_loop() -> contextlib.AbstractContextManager[Any]:
     def again(self: Any) -> None:
         self._network.call_soon(again, self)
 
     return mock.patch.object(ConnectionPool, "_close_expired", again)
 
 
-def waits_long() -> contextlib.AbstractContextManager[Any]:
-    """Watches whose calls wait for twenty seconds, as they once did; no drawn day lasts that long."""
+def with_long_polls() -> contextlib.AbstractContextManager[Any]:
+    """Long polls wait for twenty seconds, as they once did: longer than any drawn scenario."""
 
     def update_limits(self: Any, max_poll_interval_us: int, grace_us: int) -> None:
         self.blocking_call = watch_health.ResponseTimeout(20_000, 22.0, 22.0, 22.0, 22.0, 1, False)
@@ -206,28 +206,28 @@
     return mock.patch.object(watch_health.WatchHealth, "update_limits", update_limits)
 
 
-# Each with the rules, any of which it has to be found by.
+# Each with the rules of which at least one has to detect it.
 MUTANTS: dict[str, tuple[Mutant, set[str]]] = {
-    "a failure is answered twice": (_answers_twice, {"one answer"}),
-    "a failure is not answered": (_forgets_answers, {"one answer"}),
-    "answers come 200 ms late": (_in_place(balancer, "ANSWER_MARGIN_TICKS", -40), {"in time"}),
-    "a reset proves that nothing ran": (_drops_are_unsent, {"no effect twice"}),
-    "a keyed request goes to any cell": (_any_cell, {"no effect twice"}),
-    "what may have run is refused": (_refuses_what_ran, {"a refusal is harmless"}),
-    "an attempt given up on lingers": (_leaves_late, {"one attempt at a time"}),
-    "word of a drain is overheard": (_overhears_drains, {"drains"}),
-    "cold servers are the first choice": (_favours_cold_servers, {"cold servers"}),
-    "an error is answered from a store": (_serves_what_came_before, {"own answer"}),
-    "a broken answer passes for good": (_takes_cut_answers, {"own answer"}),
+    "a failure is answered twice": (_failure_answered_twice, {"one answer"}),
+    "a failure is not answered": (_failure_never_answered, {"one answer"}),
+    "answers come 200 ms late": (_patched(balancer, "ANSWER_MARGIN_TICKS", -40), {"in time"}),
+    "a reset proves that nothing ran": (_lost_connection_counts_as_unsent, {"no effect twice"}),
+    "a keyed request goes to any cell": (_ignores_cells, {"no effect twice"}),
+    "what may have run is refused": (_refuses_executed_requests, {"a refusal is harmless"}),
+    "an attempt given up on lingers": (_aborts_late, {"one attempt at a time"}),
+    "word of a drain is overheard": (_ignores_drains, {"drains"}),
+    "cold servers are the first choice": (_prefers_cold_servers, {"cold servers"}),
+    "an error is answered from a store": (_serves_cached_responses, {"own answer"}),
+    "a broken answer passes for good": (_accepts_malformed_responses, {"own answer"}),
     "an open request is kept for good": (
-        _in_place(OpenRequests, "remove_if_over", lambda self, request: None),
+        _patched(OpenRequests, "remove_if_over", lambda self, request: None),
         {"no leak"},
     ),
     "connections at rest are never closed": (
-        _in_place(ConnectionPool, "_close_expired", lambda self: None),
+        _patched(ConnectionPool, "_close_expired", lambda self: None),
         {"no leak"},
     ),
-    "ejected servers stay out": (_ejects_for_good, {"service returns"}),
-    "a defect where connections break": (_raises_on_drops, {"no defect"}),
-    "a callback never ends": (_spins, {"an end"}),
+    "ejected servers stay out": (_never_readmits, {"service returns"}),
+    "a defect where connections break": (_raises_on_lost_connection, {"no defect"}),
+    "a callback never ends": (_busy_loop, {"an end"}),
 }
--- a/tests/failing_start.py
+++ b/tests/failing_start.py
@@ -1,4 +1,4 @@
-"""The program, one call of whose start fails for a while: `python failing_start.py CALL ERRNO SECONDS`."""
+"""Runs the program with a call that fails for a while: `python failing_start.py CALL ERRNO SECONDS`."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 def fail(call: str, number: int, until: float) -> None:
-    """Make a call fail with this errno up to a time of the monotonic clock."""
+    """Make a call fail with this errno until a time of the monotonic clock."""
     owner, name = CALLS[call]
     real: Callable[..., Any] = getattr(owner, name)
 
-    def failing(*given: Any, **named: Any) -> Any:
+    def failing(*args: Any, **kwargs: Any) -> Any:
         if time.monotonic() < until:
             raise OSError(number, os.strerror(number))
-        return real(*given, **named)
+        return real(*args, **kwargs)
 
     setattr(owner, name, failing)
 
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -1,4 +1,4 @@
-"""`accept` fails for a moment, in each way of its manual page, while a listener lives and as it closes."""
+"""Transient errors of `accept` while a listener is open and as it closes."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from loopback import HOST, OK, raw_client, read_rest, request, run_async, run_harness, soon, until
 
 CLIENTS = 20
-# accept(2): those that pass, of the network and of this machine.
-PASSING = [
+# Transient errors that accept(2) names, of the network and of this machine.
+TRANSIENT = [
     errno.ECONNABORTED, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO,
     errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH,
     errno.EOPNOTSUPP, errno.ENETUNREACH,
@@ -27,7 +27,7 @@
 
 @contextlib.contextmanager
 def failing_accept(codes: dict[int, int]) -> Iterator[list[float]]:
-    """Fail the calls with these numbers; give when each call was made."""
+    """Fail the calls with these numbers; yield the times of all calls."""
     real = socket.socket.accept
     calls: list[float] = []
 
@@ -42,11 +42,9 @@
         yield calls
 
 
-@pytest.mark.parametrize("code", PASSING, ids=errno.errorcode.get)
+@pytest.mark.parametrize("code", TRANSIENT, ids=errno.errorcode.get)
 @pytest.mark.parametrize("at", [1, 5])
-def test_who_waits_in_the_kernel_as_the_listener_closes_is_heard_though_accept_fails(
-    code: int, at: int
-) -> None:
+def test_queued_connections_are_served_as_the_listener_closes_though_accept_fails(code: int, at: int) -> None:
     async def work() -> None:
         async with run_harness(OK) as harness:
             with failing_accept({at: code}), contextlib.ExitStack() as held:
@@ -61,17 +59,17 @@
     run_async(work)
 
 
-def test_no_descriptor_is_left_for_a_while_and_accepting_does_not_spin() -> None:
+def test_accept_does_not_busy_loop_without_descriptors() -> None:
     async def work() -> None:
         async with run_harness(OK) as harness:
-            for_long = dict.fromkeys(range(1, 10_000), errno.EMFILE)
-            with failing_accept(for_long) as calls:
+            failing = dict.fromkeys(range(1, 10_000), errno.EMFILE)
+            with failing_accept(failing) as calls:
                 with raw_client(harness) as client:
                     client.sendall(request())
                     began = time.process_time()
                     await asyncio.sleep(0.5)
                     spent_s = time.process_time() - began
-                    for_long.clear()
+                    failing.clear()
                     client.setblocking(False)
                     loop = asyncio.get_running_loop()
                     assert (await soon(loop.sock_recv(client, 4_096))).startswith(b"HTTP/1.1 200")
@@ -81,10 +79,10 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_accept_fails_now_and_then_and_everybody_is_heard(seed: int) -> None:
+def test_all_clients_are_served_though_accept_fails_now_and_then(seed: int) -> None:
     async def work() -> None:
         drawn = random.Random(seed)
-        codes = {number: drawn.choice(PASSING) for number in range(1, 400) if drawn.random() < 0.4}
+        codes = {number: drawn.choice(TRANSIENT) for number in range(1, 400) if drawn.random() < 0.4}
         async with run_harness(OK) as harness:
             with failing_accept(codes):
                 for _ in range(CLIENTS):
@@ -95,7 +93,7 @@
     run_async(work)
 
 
-def test_a_listener_that_closes_gives_its_port_back() -> None:
+def test_a_closed_listener_frees_its_port() -> None:
     async def work() -> None:
         async with run_harness(OK) as harness:
             port = harness.sidecar.listener.port
--- a/tests/test_admin_under_pressure.py
+++ b/tests/test_admin_under_pressure.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from loopback import HOST, OK, Client, request, run_async, soon
-from test_program import Program, program
+from test_program import Program, run_program
 
 PART = 0.12  # of a core
 SLICE_S = 0.1
@@ -59,8 +59,8 @@
 
 def test_calls_are_answered_in_time_while_hundreds_of_clients_take_all_the_processor(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path, operator=f"{HOST}:0") as running:
-            port = running.door_port
+        async with run_program(OK, tmp_path, operator=f"{HOST}:0") as running:
+            port = running.admin_port
             clients = [asyncio.ensure_future(asking(running)) for _ in range(CLIENTS)]
             async with throttled(running):
                 await asyncio.sleep(1.0)  # until all are connected, and it is behind with them
@@ -83,12 +83,12 @@
 
 def test_a_caller_of_a_byte_a_second_is_cut_off_and_holds_back_nobody(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path, operator=f"{HOST}:0") as running:
-            slow = Client(*await asyncio.open_connection(HOST, running.door_port))
+        async with run_program(OK, tmp_path, operator=f"{HOST}:0") as running:
+            slow = Client(*await asyncio.open_connection(HOST, running.admin_port))
             began = time.monotonic()
             for byte in b"READ":
                 slow.send(bytes((byte,)))
-                assert (await call(running.door_port, b"STATS\n")).endswith(b"EOF\n")
+                assert (await call(running.admin_port, b"STATS\n")).endswith(b"EOF\n")
                 await asyncio.sleep(1.0)
                 if slow.reader.at_eof():
                     break
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Large and slow bodies: passed on as they come, in bounded memory, and never sent twice."""
+"""Large and slow bodies: streamed in bounded memory, and never sent twice."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 from micadeck.http.h1 import Request, RequestReader, Response, ResponseReader
 
 LARGE = 4 << 20
-DOOR = {"operator": f"{HOST}:0"}
+ADMIN = {"operator": f"{HOST}:0"}
 
 
-# The pipe
+# The body stream
 
 
-class Ends:
-    """A writer and a reader by hand."""
+class StreamEnds:
+    """Records what a body stream does to its writer and reader."""
 
-    def __init__(self, most: int = 1 << 20, length: int | None = None) -> None:
-        self.budget = BufferBudget(most)
+    def __init__(self, max_bytes: int = 1 << 20, length: int | None = None) -> None:
+        self.budget = BufferBudget(max_bytes)
         self.paused = False
         self.out = b""
         self.ends = 0
-        self.pipe = BodyStream(self.budget, length, self._pause, self._resume)
+        self.stream = BodyStream(self.budget, length, self._pause, self._resume)
 
     def _pause(self) -> None:
         assert not self.paused
@@ -63,38 +63,38 @@
         self.ends += 1
 
 
-def test_a_pipe_pauses_its_writer_and_passes_all_on_in_order() -> None:
-    ends = Ends()
+def test_a_stream_pauses_its_writer_and_keeps_the_order() -> None:
+    ends = StreamEnds()
     given = [bytes([number]) * 20_000 for number in range(12)]
     for each in given[:4]:
-        ends.pipe.put(each)
-    assert ends.paused  # nobody takes it yet
-    ends.pipe.open(ends.take, ends.ended)
+        ends.stream.put(each)
+    assert ends.paused  # it has no reader yet
+    ends.stream.open(ends.take, ends.ended)
     assert not ends.paused and ends.out == b"".join(given[:4]) and ends.budget.held == 0
-    ends.pipe.block()
+    ends.stream.block()
     for each in given[4:]:
-        ends.pipe.put(each)
-    ends.pipe.end()
+        ends.stream.put(each)
+    ends.stream.end()
     assert ends.paused and ends.ends == 0
-    ends.pipe.unblock()
+    ends.stream.unblock()
     assert ends.out == b"".join(given) and ends.ends == 1
     assert (ends.budget.held, ends.budget.open_streams) == (0, 0)
-    ends.pipe.drop()
+    ends.stream.drop()
     assert (ends.budget.held, ends.budget.open_streams) == (0, 0)
 
 
-def test_a_dropped_pipe_lets_go_of_all_and_of_its_writer() -> None:
-    ends = Ends()
-    ends.pipe.put(b"x" * 100_000)
+def test_a_dropped_stream_frees_its_buffer_and_resumes_its_writer() -> None:
+    ends = StreamEnds()
+    ends.stream.put(b"x" * 100_000)
     assert ends.paused and ends.budget.held == 100_000
-    ends.pipe.drop()
+    ends.stream.drop()
     assert not ends.paused and (ends.budget.held, ends.budget.open_streams) == (0, 0)
-    ends.pipe.put(b"more")
-    ends.pipe.end()
+    ends.stream.put(b"more")
+    ends.stream.end()
     assert ends.budget.held == 0 and ends.ends == 0
 
 
-def test_many_pipes_share_one_budget() -> None:
+def test_many_streams_share_one_budget() -> None:
     budget = BufferBudget(400_000)
     pipes = [BodyStream(budget, None, lambda: None, lambda: None) for _ in range(40)]
     for _ in range(100):
@@ -107,7 +107,7 @@
     assert (budget.held, budget.open_streams) == (0, 0)
 
 
-# Reading, in any cutting
+# Parsing in pieces of any size
 
 
 def read_cut(raw: bytes, size: int) -> list[tuple[bytes, bool]]:
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("size", [1 << 20, 65_536, 4_096, 997, 64])
-def test_bodies_come_whole_in_any_cutting(size: int) -> None:
+def test_bodies_are_read_in_pieces_of_any_size(size: int) -> None:
     small, large = b"s" * 900, bytes(range(256)) * 500
     chunks = b"".join(
         b"%x;name=value\r\n%b\r\n" % (len(large[at : at + 700]), large[at : at + 700])
@@ -150,7 +150,7 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def test_a_chunked_body_over_the_bound_is_turned_away_as_it_passes_it() -> None:
+def test_a_chunked_body_is_rejected_as_it_passes_the_limit() -> None:
     budget = BufferBudget(1 << 30)
     reader = RequestReader(100_000, lambda length: BodyStream(budget, length, lambda: None, lambda: None))
     reader.feed(request("lodge", Content_Length="", Transfer_Encoding="chunked"))
@@ -189,7 +189,7 @@
 
 @pytest.mark.parametrize("cut", [1, 7, 1_000])
 @pytest.mark.parametrize(("raw", "body"), [each[1:] for each in ANSWERS], ids=[each[0] for each in ANSWERS])
-def test_each_form_of_an_answer(raw: bytes, body: bytes | None, cut: int) -> None:
+def test_each_framing_of_a_response(raw: bytes, body: bytes | None, cut: int) -> None:
     reader = ResponseReader(1 << 20)
     for at in range(0, len(raw), cut):
         reader.feed(raw[at : at + cut])
@@ -197,7 +197,7 @@
     assert (None if reader.response is None or reader.is_malformed else reader.response.body) == body
 
 
-def test_only_a_large_answer_is_passed_on_and_nobody_needs_a_large_error() -> None:
+def test_only_large_successful_responses_are_streamed() -> None:
     budget = BufferBudget(1 << 30)
     for status, size, passed in (
         (200, MAX_BUFFERED_BYTES, 0),
@@ -222,22 +222,22 @@
             begun[0].stream.drop()
 
 
-# Over sockets: servers that read and write by hand
+# Over sockets
 
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
 
 
-class HandServer:
-    """Runs a function for each connection, and keeps what came."""
+class CallbackServer:
+    """Runs a function for each connection."""
 
     def __init__(self, serve: Serve) -> None:
         self.serve = serve
         self.connections = 0
-        self.whole: list[bytes] = []  # digests of bodies that came to their last byte
+        self.complete_digests: list[bytes] = []  # of bodies received to their last byte
         self._server: asyncio.Server | None = None
 
-    async def start(self) -> HandServer:
+    async def start(self) -> CallbackServer:
         self._server = await asyncio.start_server(self._run, HOST, 0)
         return self
 
@@ -251,7 +251,7 @@
             writer.close()
 
     @property
-    def line(self) -> dict[str, Any]:
+    def entry(self) -> dict[str, Any]:
         assert self._server is not None
         port = self._server.sockets[0].getsockname()[1]
         return {"id": "h-0", "addr": f"{HOST}:{port}", "zone": "a", "kind": "", "cell": 1, "state": "active"}
@@ -274,12 +274,12 @@
 
 
 @asynccontextmanager
-async def beside(
-    serve: Serve, overrides: dict[str, Any] = DOOR, **how: Any
-) -> AsyncIterator[tuple[HandServer, Harness]]:
-    """A sidecar before one server that `serve` plays; at the end nothing of any body is left."""
-    server = await HandServer(serve).start()
-    async with run_harness(extra_entries=[server.line], overrides=overrides, **how) as harness:
+async def sidecar_with_server(
+    serve: Serve, overrides: dict[str, Any] = ADMIN, **how: Any
+) -> AsyncIterator[tuple[CallbackServer, Harness]]:
+    """Run a sidecar with one server; at the end no body may be left in its buffers."""
+    server = await CallbackServer(serve).start()
+    async with run_harness(extra_entries=[server.entry], overrides=overrides, **how) as harness:
         yield server, harness
         await until(lambda: harness.sidecar.open_requests == 0)
         budget = harness.sidecar._runtime.buffer_budget
@@ -288,14 +288,14 @@
 
 
 def answers(body: bytes = b"", expected: bytes | None = None) -> Serve:
-    """Takes each request whole, then answers it; it asserts what came if that is known."""
+    """Read each request to its end, compare its body with `expected` if given, then answer."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
         while True:
             _, headers = await read_head(reader)
             assert "expect" not in headers
-            came = await read_body(reader, headers)
-            assert expected in (None, came)
+            body_received = await read_body(reader, headers)
+            assert expected in (None, body_received)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             await writer.drain()
 
@@ -308,13 +308,13 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 @async_test
-async def test_large_bodies_go_both_ways_unchanged(framing: str) -> None:
+async def test_large_bodies_are_forwarded_unchanged_both_ways(framing: str) -> None:
     answer, body = content(LARGE), content(LARGE + 7)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
         while True:
             _, headers = await read_head(reader)
-            server.whole.append(hashlib.sha256(await read_body(reader, headers)).digest())
+            server.complete_digests.append(hashlib.sha256(await read_body(reader, headers)).digest())
             if framing == "length":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
             else:
@@ -325,7 +325,7 @@
                 writer.write(b"0\r\n\r\n")
             await writer.drain()
 
-    async with beside(serve) as (server, harness):
+    async with sidecar_with_server(serve) as (server, harness):
         client = await harness.client()
         for _ in range(2):  # on one connection
             if framing == "length":
@@ -341,8 +341,8 @@
             assert ("content-length" in headers) == (framing == "length")
             assert await soon(read_body(client.reader, headers)) == answer
             await reuse_delay_passed()
-        assert server.whole == [hashlib.sha256(body).digest()] * 2
-        assert server.connections == 1  # it is used again
+        assert server.complete_digests == [hashlib.sha256(body).digest()] * 2
+        assert server.connections == 1  # it was reused
         await until(lambda: harness.sidecar.open_requests == 0)
         assert b"handled.lodge.passed:2|c" in harness.sidecar.statistics_report()
 
@@ -352,7 +352,7 @@
 async def test_a_large_request_whose_server_breaks_is_refused_before_its_last_byte_and_failed_after(
     stop_after: int,
 ) -> None:
-    # Rule 2: a server begins with the last byte.  What went out is not kept, so it goes to nobody else.
+    # Rule 2: a server starts work at the last byte. What was sent is not kept, so there is no retry.
     body = content(LARGE)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
@@ -360,7 +360,7 @@
         await reader.readexactly(stop_after)
         writer.transport.abort()
 
-    async with beside(serve) as (server, harness):
+    async with sidecar_with_server(serve) as (server, harness):
         client = await harness.client()
         client.send(request("lodge", body=body))
         answer = await client.answer()
@@ -369,13 +369,13 @@
 
 
 @async_test
-async def test_a_large_request_goes_elsewhere_as_long_as_nothing_of_it_went_out() -> None:
+async def test_a_large_request_is_retried_while_nothing_of_it_was_sent() -> None:
     body = content(LARGE)
-    server = await HandServer(answers()).start()
-    with socket.socket() as deaf:  # a port that refuses
-        deaf.bind((HOST, 0))
-        refusing = {**server.line, "id": "h-1", "addr": f"{HOST}:{deaf.getsockname()[1]}"}
-        async with run_harness(extra_entries=[server.line, refusing], overrides=DOOR) as harness:
+    server = await CallbackServer(answers()).start()
+    with socket.socket() as not_listening:  # a port that refuses
+        not_listening.bind((HOST, 0))
+        refusing = {**server.entry, "id": "h-1", "addr": f"{HOST}:{not_listening.getsockname()[1]}"}
+        async with run_harness(extra_entries=[server.entry, refusing], overrides=ADMIN) as harness:
             for _ in range(6):
                 client = await harness.client()
                 client.send(request("lodge", body=body))
@@ -384,7 +384,7 @@
 
 
 @async_test
-async def test_an_answer_that_breaks_off_is_never_taken_for_whole() -> None:
+async def test_a_truncated_response_is_never_taken_for_complete() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
         await read_head(reader)
         if number % 2:
@@ -394,7 +394,7 @@
         await writer.drain()
         await asyncio.sleep(0.05)
 
-    async with beside(serve) as (server, harness):
+    async with sidecar_with_server(serve) as (server, harness):
         for _ in range(2):
             client = await harness.client()
             client.send(request("check"))
@@ -402,12 +402,12 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await soon(read_body(client.reader, headers))
         await until(lambda: harness.sidecar.open_requests == 0)
-        assert server.connections == 2  # begun answers are not asked for again
+        assert server.connections == 2  # an answer that has begun is not retried
         assert b"handled.check.bad_gateway:2|c" in harness.sidecar.statistics_report()
 
 
 @async_test
-async def test_a_slow_reader_holds_its_own_answer_only_and_memory_stays_bounded() -> None:
+async def test_a_slow_reader_delays_only_its_own_answer_in_bounded_memory() -> None:
     answer = content(LARGE)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
@@ -417,22 +417,22 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + answer[:size])
             await writer.drain()
 
-    async with beside(serve, client_limits=DownstreamLimits(write_stall_s=1.5)) as (_, harness):
+    async with sidecar_with_server(serve, client_limits=DownstreamLimits(write_stall_s=1.5)) as (_, harness):
         budget = harness.sidecar._runtime.buffer_budget
         slow: list[Client] = []
         for _ in range(10):
-            with_little = socket.socket()
-            with_little.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            with_little.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(with_little, (HOST, harness.sidecar.listener.port))
-            client = Client(*await asyncio.open_connection(sock=with_little, limit=1_024))
+            small_buffer = socket.socket()
+            small_buffer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+            small_buffer.setblocking(False)
+            await asyncio.get_running_loop().sock_connect(small_buffer, (HOST, harness.sidecar.listener.port))
+            client = Client(*await asyncio.open_connection(sock=small_buffer, limit=1_024))
             client.send(request("check", target="/large"))
             slow.append(client)
         await until(lambda: budget.open_streams == 10)
         for _ in range(20):
-            assert (await harness.exchange("check")).status == 200  # nobody else waits
+            assert (await harness.exchange("check")).status == 200  # other clients do not wait
         assert budget.held <= 10 * (96 << 10)
-        # Past its bound each is cut off, in a way that its client can tell.
+        # After the stall timeout each is disconnected, and its client can detect the truncation.
         await until(lambda: budget.open_streams == 0)
         for client in slow:
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -442,30 +442,33 @@
 
 
 @async_test
-async def test_clients_that_take_nothing_of_their_answers_give_way_to_a_new_one() -> None:
-    """Against a few clients that hold every place, so that all others are shut out."""
+async def test_connections_of_clients_that_do_not_read_are_closed_for_a_new_one() -> None:
+    # Guards against a few clients that hold all connections and shut out all others.
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
         line, _ = await read_head(reader)
         size = LARGE if "large" in line else 6
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + bytes(size))
-        await reader.read()  # until the sidecar ends the connection
+        await reader.read()  # until the sidecar closes the connection
 
     limits = DownstreamLimits(stall_s=0.4)
-    async with beside(serve, overrides={"limits": {"sockets": 64}}, client_limits=limits) as (_, harness):
+    async with sidecar_with_server(serve, overrides={"limits": {"sockets": 64}}, client_limits=limits) as (
+        _,
+        harness,
+    ):
         connections = harness.sidecar.listener.connections
-        taking_nothing = [await asks_and_takes_nothing(harness) for _ in range(connections.max_connections)]
+        stalled_clients = [await connect_without_reading(harness) for _ in range(connections.max_connections)]
         began = time.monotonic()
         while not await is_served(harness):
             assert time.monotonic() - began < 5.0
             await asyncio.sleep(0.05)
-        assert len(connections) >= connections.max_connections - 1  # one place was enough
-        for each in taking_nothing:
+        assert len(connections) >= connections.max_connections - 1  # at most one had to be closed
+        for each in stalled_clients:
             each.close()
 
 
-async def asks_and_takes_nothing(harness: Harness) -> socket.socket:
-    """A client that asks for a large answer, and never reads."""
+async def connect_without_reading(harness: Harness) -> socket.socket:
+    """Connect a client that requests a large answer and never reads."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     client.setblocking(False)
@@ -476,7 +479,7 @@
 
 
 async def is_served(harness: Harness) -> bool:
-    """Whether a request on a connection of its own is served."""
+    """Whether a request on a new connection is served."""
     client = await harness.client()
     try:
         client.send(request("check"))
@@ -488,7 +491,7 @@
 
 
 @async_test
-async def test_a_client_that_goes_amid_its_answer_ends_the_servers_work() -> None:
+async def test_a_client_disconnect_amid_its_answer_ends_the_attempt() -> None:
     ended = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
@@ -501,7 +504,7 @@
         finally:
             ended.set()
 
-    async with beside(serve) as (_, harness):
+    async with sidecar_with_server(serve) as (_, harness):
         client = await harness.client()
         client.send(request("check"))
         await soon(read_head(client.reader))
@@ -510,21 +513,21 @@
 
 
 @async_test
-async def test_a_body_may_come_slowly_and_its_time_counts_from_its_last_byte() -> None:
+async def test_the_deadline_of_a_slow_body_counts_from_its_last_byte() -> None:
     body = content(150_000)
-    async with beside(answers(expected=body)) as (_, harness):
+    async with sidecar_with_server(answers(expected=body)) as (_, harness):
         client = await harness.client()
         raw = request("lodge", timeout="0.3", body=body)
         head, rest = raw[:80_000], raw[80_000:]
         client.send(head)
         for at in range(0, len(rest), 10_000):
-            await asyncio.sleep(0.1)  # 0.8 s in all, far beyond the time that it has
+            await asyncio.sleep(0.1)  # 0.8 s in all, far beyond its timeout
             client.send(rest[at : at + 10_000])
         assert (await client.answer()).status == 200
 
 
 @async_test
-async def test_a_body_that_stalls_is_turned_away_and_reaches_nobody_whole() -> None:
+async def test_a_stalled_body_gets_408_and_reaches_no_server_complete() -> None:
     broken = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
@@ -534,7 +537,10 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             broken.set()
 
-    async with beside(serve, client_limits=DownstreamLimits(stall_s=0.3, sweep_s=0.02)) as (_, harness):
+    async with sidecar_with_server(serve, client_limits=DownstreamLimits(stall_s=0.3, sweep_s=0.02)) as (
+        _,
+        harness,
+    ):
         client = await harness.client()
         client.send(request("lodge", body=content(LARGE))[:200_000])
         assert (await client.answer()).status == 408
@@ -542,9 +548,9 @@
 
 
 @async_test
-async def test_a_client_with_a_large_body_waits_for_the_word_to_go_on() -> None:
+async def test_a_client_with_a_large_body_gets_100_continue() -> None:
     body = content(200_000)
-    async with beside(answers(expected=body)) as (_, harness):
+    async with sidecar_with_server(answers(expected=body)) as (_, harness):
         client = await harness.client()
         raw = request("lodge", body=body, Expect="100-continue")
         head = raw[: len(raw) - len(body)]
@@ -555,7 +561,7 @@
 
 
 @async_test
-async def test_what_is_pipelined_behind_a_large_body_is_answered_in_its_turn() -> None:
+async def test_requests_pipelined_after_a_large_body_are_answered_in_order() -> None:
     body = content(300_000)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
@@ -566,7 +572,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"y" * size)
             await writer.drain()
 
-    async with beside(serve) as (_, harness):
+    async with sidecar_with_server(serve) as (_, harness):
         client = await harness.client()
         client.send(request("lodge", body=body) + request("check") + request("lodge", body=b"end"))
         sizes = []
@@ -585,7 +591,7 @@
         writer.write(b"\r\n0\r\n\r\n")
         await writer.drain()
 
-    async with beside(serve) as (_, harness):
+    async with sidecar_with_server(serve) as (_, harness):
         client = await harness.client()
         client.send(request("check").replace(b"HTTP/1.1", b"HTTP/1.0"))
         _, headers = await soon(read_head(client.reader))
@@ -618,7 +624,7 @@
         while left:
             left -= len(await asyncio.wait_for(one.reader.read(1 << 16), WAIT_TIMEOUT_S))
 
-    async with beside(serve) as (_, harness):
+    async with sidecar_with_server(serve) as (_, harness):
         budget = harness.sidecar._runtime.buffer_budget
         most = 0
 
@@ -634,39 +640,42 @@
         assert most <= budget.max_bytes
 
 
-def test_the_head_of_a_request_that_is_passed_on_says_how_its_body_is_framed() -> None:
+def test_the_encoded_head_of_a_streamed_request_has_no_body() -> None:
     budget = BufferBudget(1)
-    for length, told in ((5, b""), (None, b"")):
+    for length, body in ((5, b""), (None, b"")):
         stream = BodyStream(budget, length, lambda: None, lambda: None)
         made = Request(b"POST", b"/", [(b"host", b"x")], b"", True, stream)
-        assert made.encode() == b"POST / HTTP/1.1\r\nhost: x\r\n\r\n" + told
+        assert made.encode() == b"POST / HTTP/1.1\r\nhost: x\r\n\r\n" + body
         stream.drop()
 
 
 @async_test
-async def test_an_answer_that_lies_about_its_length_is_asked_for_elsewhere() -> None:
-    # Guards against beginning an answer on its word alone: once it has begun, nobody else can be asked.
-    async def lies(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
+async def test_a_request_whose_response_is_shorter_than_declared_is_retried() -> None:
+    # Guards against beginning an answer on its head alone: once it has begun, no retry is possible.
+    async def truncates(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int) -> None:
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n" + b"x" * 1_000)
         await asyncio.sleep(WAIT_TIMEOUT_S)
 
-    liar, other = await HandServer(lies).start(), await HandServer(answers(b"ok")).start()
-    async with run_harness(extra_entries=[liar.line, {**other.line, "id": "h-1"}], overrides=DOOR) as harness:
+    truncating, other = await CallbackServer(truncates).start(), await CallbackServer(answers(b"ok")).start()
+    async with run_harness(
+        extra_entries=[truncating.entry, {**other.entry, "id": "h-1"}], overrides=ADMIN
+    ) as harness:
         assert [(await harness.exchange("check")).status for _ in range(6)] == [200] * 6
-    assert liar.connections > 0
-    liar.stop()
+    assert truncating.connections > 0
+    truncating.stop()
     other.stop()
 
 
 @async_test
-async def test_bodies_that_come_for_ever_make_room_for_a_new_client() -> None:
-    given = {**DOOR, "limits": {"sockets": 80, "memory_mb": 16}}
-    async with beside(answers(b"ok"), given) as (_, harness):
+async def test_endless_bodies_do_not_shut_out_a_new_client() -> None:
+    given = {**ADMIN, "limits": {"sockets": 80, "memory_mb": 16}}
+    async with sidecar_with_server(answers(b"ok"), given) as (_, harness):
         frontend = harness.sidecar.listener
         for _ in range(frontend.connections.max_connections):
             client = await harness.client()
             client.send(request("lodge", body=content(LARGE))[:100_000])
         await until(lambda: harness.sidecar.open_requests == frontend.connections.max_connections)
-        assert (await harness.exchange("check")).status in (200, 503)  # the servers' side may be full of them
+        # 503 if connections to servers are exhausted.
+        assert (await harness.exchange("check")).status in (200, 503)
         assert len(frontend.connections) <= frontend.connections.max_connections
--- a/tests/test_exit_codes.py
+++ b/tests/test_exit_codes.py
@@ -11,7 +11,7 @@
 
 import pytest
 from loopback import run_async, soon
-from test_program import GOOD, ROOT, started
+from test_program import GOOD, ROOT, start_process
 
 from micadeck.config import ConfigError, ConfigUnreadableError
 from micadeck.engine import RequestIdInUseError
@@ -25,7 +25,7 @@
 async def serving(folder: Path) -> asyncio.subprocess.Process:
     path = folder / "config.json"
     path.write_text(json.dumps(GOOD))
-    process = await started(path)
+    process = await start_process(path)
     assert process.stderr is not None
     assert b"serves on" in await soon(process.stderr.readline())
     return process
--- a/tests/test_failing_streams.py
+++ b/tests/test_failing_streams.py
@@ -1,4 +1,4 @@
-"""What the system does not tell of a connection, and what fails in a callback, leaves nobody waiting."""
+"""Failing socket look-ups and exceptions in callbacks leave no client waiting."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Failing:
-    """Fails so many times, and counts."""
+    """Raises an error a given number of times."""
 
     def __init__(self, times: int) -> None:
         self.times = times
@@ -27,9 +27,7 @@
 
 @pytest.mark.parametrize("times", [1, 2, 3])
 @async_test
-async def test_a_socket_that_is_not_told_at_once_is_asked_for_again(
-    times: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_a_failed_socket_lookup_is_retried(times: int, monkeypatch: pytest.MonkeyPatch) -> None:
     real, failing = stream_socket.socket_of, Failing(times)
 
     def socket_of(transport: asyncio.BaseTransport) -> object:
@@ -44,7 +42,7 @@
 
 
 @async_test
-async def test_a_connection_whose_socket_is_never_told_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_client_connection_without_a_socket_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     def never(transport: asyncio.BaseTransport) -> object:
         raise OSError(errno.ENOBUFS, "drawn")
 
@@ -62,7 +60,7 @@
 
 
 @async_test
-async def test_a_server_whose_socket_is_never_told_fails_the_dial_and_nothing_waits(
+async def test_a_server_connection_without_a_socket_fails_the_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with run_harness(OK) as harness:
@@ -80,10 +78,10 @@
 
 
 @async_test
-async def test_a_defect_as_a_request_is_read_is_one_answer_and_one_line(
+async def test_an_exception_while_reading_a_request_is_a_500_and_a_log_line(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def broken(*given: object) -> None:
+    def broken(*args: object) -> None:
         raise ZeroDivisionError("drawn")
 
     async with run_harness(OK) as harness:
@@ -93,13 +91,13 @@
         assert (await client.answer()).status == 500
         monkeypatch.undo()
         assert (await harness.exchange("lodge")).status == 200
-        told = next(each for each in harness.log if "ZeroDivisionError" in each)
-        assert told.startswith("internal error: ")
+        line = next(each for each in harness.log if "ZeroDivisionError" in each)
+        assert line.startswith("internal error: ")
 
 
 @async_test
-async def test_a_defect_in_a_dial_ends_its_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*given: object, **named: object) -> None:
+async def test_an_exception_while_connecting_ends_the_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+    def broken(*args: object, **kwargs: object) -> None:
         raise ZeroDivisionError("drawn")
 
     async with run_harness(OK) as harness:
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -1,4 +1,4 @@
-"""The application's side, over loopback sockets."""
+"""Client connections: validation, limits, timeouts and order of answers, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize(
     ("kind", "body"), [("check", b""), ("amend", b'{"a":1}'), ("lodge", b"x" * 65_536)], ids=str
 )
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back(kind: str, body: bytes) -> None:
+def test_a_request_is_forwarded_unchanged_and_its_answer_returned(kind: str, body: bytes) -> None:
     async def work() -> None:
         async with run_harness(OK) as harness:
             answer = await harness.exchange(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
@@ -67,13 +67,13 @@
             client.send(raw)
             assert (await client.answer()).status == 400
             assert harness.received == []
-            assert (await harness.exchange()).status == 200  # it lives on
+            assert (await harness.exchange()).status == 200  # the sidecar still serves
 
     run_async(work)
 
 
-def test_a_body_over_the_bound_gets_413() -> None:
-    # Guards against a reset that takes the answer with it, when the client is still sending.
+def test_a_body_over_the_limit_gets_413() -> None:
+    # Guards against a reset that discards the answer while the client is still sending.
     async def work() -> None:
         async with run_harness(OK) as harness:
             client = await harness.client()
@@ -85,7 +85,7 @@
     run_async(work)
 
 
-def test_requests_on_one_connection_are_answered_in_order_also_when_sent_ahead() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def work() -> None:
         async def echo(received: ReceivedRequest) -> bytes:
             return b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + received.target[-2:].encode()
@@ -98,7 +98,7 @@
     run_async(work)
 
 
-def test_a_client_that_leaves_ends_the_attempt_and_the_sidecar_forgets_the_request() -> None:
+def test_a_client_disconnect_ends_the_attempt_and_removes_the_request() -> None:
     async def work() -> None:
         async with run_harness(None) as harness:
             client = await harness.client()
@@ -111,7 +111,7 @@
     run_async(work)
 
 
-def test_more_than_max_open_is_refused_at_once() -> None:
+def test_requests_over_max_open_are_refused_at_once() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -132,8 +132,8 @@
     run_async(work)
 
 
-def test_the_connection_longest_at_rest_makes_room_for_a_new_one() -> None:
-    # Guards against running out of descriptors: 64 leave room for a handful of clients.
+def test_the_longest_idle_connection_is_closed_for_a_new_one() -> None:
+    # Guards against running out of descriptors: a limit of 64 sockets allows 8 client connections.
     async def work() -> None:
         async with run_harness(OK, overrides={"limits": {"sockets": 64}}) as harness:
             clients = []
@@ -148,8 +148,8 @@
     run_async(work)
 
 
-def test_a_client_cannot_have_the_host_or_the_ids_taken_off() -> None:
-    # Guards against a request that can't be written to a server: its client would wait for the deadline.
+def test_a_connection_header_cannot_remove_host_or_ids() -> None:
+    # Guards against a request that can't be encoded for a server: its client would wait for the deadline.
     async def work() -> None:
         async with run_harness(OK) as harness:
             answer = await harness.exchange("amend", Connection="host, request-id, idempotency-key, tenant")
@@ -161,8 +161,8 @@
     run_async(work)
 
 
-def test_requests_that_stall_half_sent_make_room_for_new_ones() -> None:
-    # Guards against clients that begin a body and never end it: each would hold its descriptor for good.
+def test_connections_with_stalled_requests_are_closed_for_new_ones() -> None:
+    # Guards against clients that never finish a body: each would hold its descriptor forever.
     async def work() -> None:
         async with run_harness(OK, overrides={"limits": {"sockets": 64}}) as harness:
             for _ in range(12):
@@ -174,20 +174,20 @@
     run_async(work)
 
 
-def test_letting_go_of_idle_connections_spares_one_with_a_request_unread() -> None:
-    # Guards against a reset that loses a request at the end of a drain, when nobody listens for a second try.
+def test_close_idle_keeps_a_connection_with_an_unread_request() -> None:
+    # Guards against a reset that loses a request at the end of a drain, when no listener accepts a retry.
     async def work() -> None:
         async with run_harness(OK) as harness:
             client = await harness.client()
             assert (await client.exchange()).status == 200
-            client.send(request("lodge"))  # it is in the sidecar's socket now, and the event loop has not run
+            client.send(request("lodge"))  # unread in the sidecar's socket: the event loop has not run
             harness.sidecar.listener.connections.close_idle()
             assert (await client.answer()).status == 200
 
     run_async(work)
 
 
-def test_health_is_answered_here() -> None:
+def test_the_health_path_is_answered_by_the_sidecar() -> None:
     async def work() -> None:
         async with run_harness(OK) as harness:
             client = await harness.client()
@@ -218,8 +218,8 @@
         b"nonsense\r\n\r\n" + SMUGGLED,
     ],
 )
-def test_what_can_be_read_in_two_ways_is_turned_away_with_all_that_follows(raw: bytes) -> None:
-    # Guards against a request that hides in another's body, and against serving a client that sends nonsense.
+def test_ambiguous_requests_are_rejected_and_the_connection_closed(raw: bytes) -> None:
+    # Guards against request smuggling in another request's body, and against requests after malformed bytes.
     async def work() -> None:
         async with run_harness(OK) as harness:
             client = await harness.client()
@@ -246,7 +246,9 @@
         (request("lodge", body=b"x" * 70_000)[:-1], 408),
     ],
 )
-def test_a_client_that_sends_no_whole_request_in_time_is_let_go(raw: bytes, status: int | None) -> None:
+def test_a_client_that_sends_no_complete_request_in_time_is_disconnected(
+    raw: bytes, status: int | None
+) -> None:
     async def work() -> None:
         async with run_harness(OK, client_limits=SHORT) as harness:
             client = await harness.client()
@@ -254,14 +256,14 @@
             if status is not None:
                 assert (await client.answer()).status == status
             assert await soon(client.reader.read()) == b""
-            client.writer.write(b"more of it")  # a client that sends on and on is cut off all the same
+            client.writer.write(b"more of it")  # one that keeps sending is cut off too
             await until(lambda: len(harness.sidecar.listener.connections) == 0)
             assert harness.received == []
 
     run_async(work)
 
 
-def test_a_connection_at_rest_is_closed_in_the_end_and_one_that_waits_is_not() -> None:
+def test_an_idle_connection_times_out_and_one_that_waits_does_not() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -271,10 +273,10 @@
             return OK
 
         async with run_harness(hold, client_limits=SHORT) as harness:
-            resting, waiting = await harness.client(), await harness.client()
-            assert (await resting.exchange("lodge")).status == 200
+            idle, waiting = await harness.client(), await harness.client()
+            assert (await idle.exchange("lodge")).status == 200
             waiting.send(request("lodge"))
-            assert await soon(resting.reader.read()) == b""
+            assert await soon(idle.reader.read()) == b""
             await asyncio.sleep(2 * SHORT.request_timeout_s)
             release.set()
             assert (await waiting.answer()).status == 200
@@ -282,8 +284,8 @@
     run_async(work)
 
 
-def test_hundreds_that_connect_and_say_nothing_leave_room_for_those_that_ask() -> None:
-    # Guards the limit on descriptors, also while many connect at once, and clients that have a request open.
+def test_silent_connections_do_not_shut_out_clients_with_requests() -> None:
+    # Guards the limit on descriptors while many connect at once, and connections with an open request.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -295,19 +297,19 @@
             waiting = await harness.client()
             waiting.send(request("lodge"))
             await until(lambda: len(harness.received) == 1)
-            most = 0
+            peak = 0
             for _ in range(200):
                 await harness.client()
-                most = max(most, len(harness.sidecar.listener.connections))
+                peak = max(peak, len(harness.sidecar.listener.connections))
             release.set()
             assert (await harness.exchange("lodge")).status == 200
             assert (await waiting.answer()).status == 200
-            assert most <= 8
+            assert peak <= 8
 
     run_async(work)
 
 
-def test_when_every_connection_is_owed_an_answer_a_further_one_is_closed() -> None:
+def test_a_new_connection_is_closed_when_all_have_open_requests() -> None:
     async def work() -> None:
         async with run_harness(None, overrides={"limits": {"sockets": 64}}) as harness:
             clients = [await harness.client() for _ in range(8)]
@@ -321,8 +323,8 @@
     run_async(work)
 
 
-def test_what_half_sent_requests_hold_in_memory_is_bounded() -> None:
-    # Guards against many clients that each send most of a body: together they would take all memory.
+def test_memory_of_partial_requests_is_bounded() -> None:
+    # Guards against many clients that each send part of a body and together exhaust memory.
     async def work() -> None:
         async with run_harness(OK, client_limits=DownstreamLimits(max_bytes=300_000)) as harness:
             clients = [await harness.client() for _ in range(6)]
@@ -334,8 +336,8 @@
     run_async(work)
 
 
-def test_what_comes_behind_an_open_request_is_left_in_the_socket() -> None:
-    # Guards against a flood of pipelined requests: none but the first is due, so none is read into memory.
+def test_pipelined_requests_stay_in_the_socket_while_one_is_open() -> None:
+    # Guards against a flood of pipelined requests: only the first is handled, the others must not be read.
     async def work() -> None:
         async with run_harness(None) as harness:
             client = await harness.client()
@@ -348,7 +350,7 @@
     run_async(work)
 
 
-def test_the_id_of_an_open_request_is_not_taken_twice() -> None:
+def test_the_id_of_an_open_request_is_not_accepted_again() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -369,8 +371,8 @@
     run_async(work)
 
 
-def test_what_a_client_that_was_turned_away_sent_is_freed_at_once() -> None:
-    # Guards against memory that waits for a collection of cycles, while bad clients come by hundreds.
+def test_the_buffer_of_a_closed_connection_is_freed_at_once() -> None:
+    # Guards against reference cycles that keep the buffers of hundreds of bad clients until a collection.
     async def work() -> None:
         async with run_harness(OK) as harness:
             client = await harness.client()
@@ -390,7 +392,7 @@
     run_async(work)
 
 
-def test_no_client_gets_more_time_than_its_class_has() -> None:
+def test_a_request_timeout_is_capped_by_the_deadline_of_the_class() -> None:
     async def work() -> None:
         async with run_harness(OK) as harness:
             assert (await harness.exchange("amend", timeout="99999")).status == 200
--- a/tests/test_held_up_end.py
+++ b/tests/test_held_up_end.py
@@ -10,7 +10,7 @@
 
 import pytest
 from loopback import ReceivedRequest, request, run_async, soon
-from test_program import GOOD, program
+from test_program import GOOD, run_program
 
 from micadeck.operations.shutdown_budget import (
     CLIENT_FLUSH_S,
@@ -32,7 +32,7 @@
 
     async def work() -> None:
         settings = {**GOOD["settings"], "lanes": LANES}
-        async with program(hang, tmp_path, settings=settings) as running:
+        async with run_program(hang, tmp_path, settings=settings) as running:
             clients = [await running.client() for _ in range(3)]
             clients[0].send(request("lodge", timeout="0.4"))
             began = time.monotonic()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -25,7 +25,7 @@
     soon,
     until,
 )
-from test_program import program, started
+from test_program import run_program, start_process
 
 from micadeck.operations import HotRestart, RequestIdRegistry, divide_limit
 from micadeck.runtime import _MIN_DESCRIPTORS, _RESERVED_DESCRIPTORS
@@ -214,14 +214,14 @@
             await answered.wait()
             return OK
 
-        async with program(slow, tmp_path) as running:
+        async with run_program(slow, tmp_path) as running:
             given = json.loads(running.config.read_text())
             path = tmp_path / "second.json"
             path.write_text(json.dumps({**given, "listen": f"{HOST}:{running.port}"}))
             first = await running.client()
             first.send(request("lodge", Request_Id="00000000000000aa", timeout="4.0"))
             await until(lambda: len(running.server.received) == 1)
-            second = await started(path)
+            second = await start_process(path)
             assert second.stderr is not None
             assert b"serves on" in await soon(second.stderr.readline())
             for _ in range(24):  # the kernel gives some to each
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is deployed: its configuration, its end and its exit codes."""
+"""The program as a process: its configuration, shutdown and exit codes."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 class Program:
-    """The running program, with one server behind it."""
+    """A running program and its one server."""
 
     def __init__(
         self,
@@ -94,13 +94,13 @@
         port: int,
         server: ScriptedServer,
         config: Path,
-        door_port: int = 0,
+        admin_port: int = 0,
     ) -> None:
         self.process, self.port, self.server, self.config = process, port, server, config
-        self.door_port = door_port
+        self.admin_port = admin_port
 
-    async def says(self) -> str:
-        """The next line of its log."""
+    async def next_log_line(self) -> str:
+        """Return the next line of its log."""
         assert self.process.stderr is not None
         return (await soon(self.process.stderr.readline())).decode()
 
@@ -108,7 +108,7 @@
         return Client(*await asyncio.open_connection(HOST, self.port))
 
 
-async def started(config: Path, **environment: str) -> asyncio.subprocess.Process:
+async def start_process(config: Path, **environment: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -120,10 +120,10 @@
 
 
 @asynccontextmanager
-async def program(
+async def run_program(
     script: Callable[[ReceivedRequest], Any] | bytes, folder: Path, **keys: Any
 ) -> AsyncIterator[Program]:
-    """The program with one server; `keys` are further ones of its configuration."""
+    """Run the program with one server; `keys` are added to its configuration."""
     server = await ScriptedServer(script).start()
     discovery = ScriptedDiscovery()
     discovery.servers = [list_entry("s-1", server.address)]
@@ -131,13 +131,13 @@
     known = {"version": 1, "full": True, "servers": discovery.servers}
     path = folder / "config.json"
     path.write_text(json.dumps({**GOOD, "discovery": discovery.address, "known": known, **keys}))
-    process = await started(path)
+    process = await start_process(path)
     try:
         assert process.stderr is not None
         ready = (await soon(process.stderr.readline())).decode()
-        told = re.search(r"serves on .*?:(\d+)(?:, operators on .*:(\d+))?$", ready)
-        assert told is not None, ready
-        yield Program(process, int(told[1]), server, path, int(told[2] or 0))
+        match = re.search(r"serves on .*?:(\d+)(?:, operators on .*:(\d+))?$", ready)
+        assert match is not None, ready
+        yield Program(process, int(match[1]), server, path, int(match[2] or 0))
     finally:
         if process.returncode is None:
             process.kill()
@@ -146,8 +146,8 @@
         discovery.stop()
 
 
-def test_sigterm_answers_what_was_taken_and_what_still_comes_then_exits_0(tmp_path: Path) -> None:
-    # Guards against requests lost at a restart: taken before SIGTERM, on kept connections, and on new ones.
+def test_sigterm_answers_open_and_late_requests_then_exits_0(tmp_path: Path) -> None:
+    # Guards against requests lost at a restart: those accepted before SIGTERM and those on new connections.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -155,17 +155,17 @@
             await release.wait()
             return OK
 
-        async with program(hold, tmp_path) as running:
-            taken, resting = await running.client(), await running.client()
-            taken.send(request("lodge"))
+        async with run_program(hold, tmp_path) as running:
+            accepted, idle = await running.client(), await running.client()
+            accepted.send(request("lodge"))
             await until(lambda: len(running.server.received) == 1)
             running.process.send_signal(signal.SIGTERM)
             late = await running.client()
             late.send(request("lodge"))
             await until(lambda: len(running.server.received) == 2)
-            assert await soon(resting.reader.read()) == b""  # a connection at rest is let go
+            assert await soon(idle.reader.read()) == b""  # an idle connection is closed
             release.set()
-            for client in (taken, late):
+            for client in (accepted, late):
                 answer = await client.answer()
                 assert (answer.status, answer.headers["connection"]) == (200, "close")
                 assert await soon(client.reader.read()) == b""
@@ -174,43 +174,43 @@
     run_async(work)
 
 
-def test_sigterm_with_a_silent_server_still_answers_in_time(tmp_path: Path) -> None:
-    # Guards against SIGKILL finding a request unanswered that had more time left than the process has.
+def test_sigterm_with_a_silent_server_answers_in_time(tmp_path: Path) -> None:
+    # Guards against SIGKILL before the answer to a request whose deadline is later than that of the process.
     async def work() -> None:
         async def silent(received: ReceivedRequest) -> None:
             return None
 
-        async with program(silent, tmp_path) as running:
-            taken = await running.client()
-            taken.send(request("lodge", timeout="30"))
+        async with run_program(silent, tmp_path) as running:
+            accepted = await running.client()
+            accepted.send(request("lodge", timeout="30"))
             await until(lambda: len(running.server.received) == 1)
             running.process.send_signal(signal.SIGTERM)
-            answer = await taken.answer()
+            answer = await accepted.answer()
             assert (answer.status, answer.headers["connection"]) == (504, "close")
             assert await soon(running.process.wait()) == 0
 
     run_async(work)
 
 
-def test_sighup_follows_a_new_discovery_and_an_unusable_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_applies_a_new_discovery_and_ignores_an_invalid_file(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
+        async with run_program(OK, tmp_path) as running:
             assert (await (await running.client()).exchange("lodge")).status == 200
             other = await ScriptedServer(OK).start()
             discovery = ScriptedDiscovery()
-            discovery.version = 0  # it counts its own versions, and begins anew
+            discovery.version = 0  # its versions start anew
             discovery.servers = [list_entry("s-2", other.address)]
             await discovery.start()
             given = json.loads(running.config.read_text())
             running.config.write_text("{")
             running.process.send_signal(signal.SIGHUP)
-            assert "the old configuration stays in force: BALANCER_CONFIG" in await running.says()
+            assert "the old configuration stays in force: BALANCER_CONFIG" in await running.next_log_line()
             assert (await (await running.client()).exchange("lodge")).status == 200
             assert len(running.server.received) == 2
             running.config.write_text(json.dumps({**given, "discovery": discovery.address, "seed": "1"}))
             running.process.send_signal(signal.SIGHUP)
-            told = await running.says()
-            assert told == f"reloaded: discovery at {discovery.address}; a restart is needed for seed\n"
+            line = await running.next_log_line()
+            assert line == f"reloaded: discovery at {discovery.address}; a restart is needed for seed\n"
             await until(lambda: len(discovery.received) >= 2)  # the list, then the watch
             assert (await (await running.client()).exchange("lodge")).status == 200
             assert len(other.received) == 1
@@ -221,15 +221,15 @@
 
 
 @pytest.mark.parametrize("key", ["listen", "operator"])
-def test_an_address_in_use_is_exit_code_1_and_its_key_is_named(key: str, tmp_path: Path) -> None:
+def test_an_address_in_use_is_exit_code_1_and_names_its_key(key: str, tmp_path: Path) -> None:
     async def work() -> None:
-        other = await ScriptedServer(OK).start()  # it shares its address with nobody
+        other = await ScriptedServer(OK).start()  # it listens without SO_REUSEPORT
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**GOOD, key: other.address}))
-        second = await started(path)
-        _, told = await soon(second.communicate())
+        second = await start_process(path)
+        _, log = await soon(second.communicate())
         assert second.returncode == 1
-        waited, ended = told.decode().splitlines()  # it may be that of a process that is ending
+        waited, ended = log.decode().splitlines()  # the address may be that of a process that is ending
         assert waited.startswith(f"startup: can't listen yet, retrying: {key}: {other.address}")
         assert ended.startswith(f"micadeck: can't listen: {key}: {other.address}")
         other.stop()
@@ -237,9 +237,9 @@
     run_async(work)
 
 
-def test_a_second_process_takes_over_and_no_request_is_lost(tmp_path: Path) -> None:
+def test_a_second_process_takes_over_without_losing_requests(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
+        async with run_program(OK, tmp_path) as running:
             given = json.loads(running.config.read_text())
             path = tmp_path / "second.json"
             path.write_text(json.dumps({**given, "listen": f"{HOST}:{running.port}"}))
@@ -253,10 +253,10 @@
                         answers.append((await client.exchange("lodge")).status)
                         client.close()
                     except (ConnectionError, asyncio.IncompleteReadError):
-                        pass  # turned back unheard, in the moment between the last look and the close
+                        pass  # reset between the last accept and the close of the listener
 
             asking = [asyncio.ensure_future(clients()) for _ in range(8)]
-            second = await started(path)
+            second = await start_process(path)
             assert second.stderr is not None
             assert b"serves on" in await soon(second.stderr.readline())
             running.process.send_signal(signal.SIGTERM)
@@ -274,21 +274,19 @@
 
 
 @pytest.mark.parametrize("which", ["new", "old"])
-def test_either_process_may_be_killed_while_both_run_and_the_other_serves_on(
-    which: str, tmp_path: Path
-) -> None:
+def test_killing_either_process_of_two_leaves_the_other_serving(which: str, tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
+        async with run_program(OK, tmp_path) as running:
             given = json.loads(running.config.read_text())
             path = tmp_path / "second.json"
             path.write_text(json.dumps({**given, "listen": f"{HOST}:{running.port}"}))
-            second = await started(path)
+            second = await start_process(path)
             assert second.stderr is not None
             assert b"serves on" in await soon(second.stderr.readline())
             killed, left = (second, running.process) if which == "new" else (running.process, second)
             killed.kill()
             await soon(killed.wait())
-            for _ in range(20):  # nobody is sent to the dead one
+            for _ in range(20):  # no connection goes to the killed one
                 client = await running.client()
                 assert (await client.exchange("lodge")).status == 200
                 client.close()
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,4 +1,4 @@
-"""Processes that start together in the worst moment: ready in time, and they hear what leaves once told."""
+"""Processes that start together, with silent discovery and no spare descriptors, are ready in time."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 )
 from test_program import GOOD, ROOT
 
-AT_ONCE = 8
-IDLE = 120  # clients that connect and say nothing: more than there are descriptors
+PROCESSES = 8
+IDLE_CLIENTS = 120  # silent connections: more than there are descriptors
 READY_S = 10.0
-TOLD_S = 6.0
+LIST_UPDATE_S = 6.0
 
 
-class Gated(ScriptedDiscovery):
-    """Answers nothing that was asked before it was opened, then or later."""
+class GatedDiscovery(ScriptedDiscovery):
+    """Never answers a request that came before it was opened."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,7 +41,7 @@
         return await super()._answer(received)
 
 
-async def started(config: Path) -> tuple[asyncio.subprocess.Process, int]:
+async def start_process(config: Path) -> tuple[asyncio.subprocess.Process, int]:
     env = {**os.environ, "BALANCER_CONFIG": str(config)}
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "micadeck", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
@@ -52,7 +52,7 @@
 
 
 async def status(port: int, raw: bytes) -> bytes:
-    """The first line of an answer; empty if the connection was shut unread."""
+    """Return the first line of an answer; empty if the connection was closed."""
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
         writer.write(raw)
@@ -63,27 +63,28 @@
         writer.close()
 
 
-def test_processes_that_start_at_once_with_discovery_silent_and_descriptors_taken(tmp_path: Path) -> None:
-    async def one(number: int, config: dict[str, Any], opened: asyncio.Event) -> None:
+def test_processes_started_together_with_silent_discovery_and_no_descriptors(tmp_path: Path) -> None:
+    async def run_process(number: int, config: dict[str, Any], discovery_opened: asyncio.Event) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
         path = tmp_path / f"config-{number}.json"
         path.write_text(json.dumps(config))
-        process, port = await started(path)
-        idle = [await asyncio.open_connection(HOST, port) for _ in range(IDLE)]
-        path.write_text(json.dumps(config))  # the same, and to be read anew
+        process, port = await start_process(path)
+        idle = [await asyncio.open_connection(HOST, port) for _ in range(IDLE_CLIENTS)]
+        path.write_text(json.dumps(config))  # unchanged, for the reload
         process.send_signal(signal.SIGHUP)
         health = b"GET /_health HTTP/1.1\r\nHost: o\r\n\r\n"
         while not (await status(port, health)).startswith(b"HTTP/1.1 200"):
             await asyncio.sleep(0.05)
         assert loop.time() - began < READY_S
-        assert (await status(port, request())).startswith(b"HTTP/1.1 200")  # by the list it was given
+        # Served with the list of the configuration.
+        assert (await status(port, request())).startswith(b"HTTP/1.1 200")
         ready.append(number)
-        await opened.wait()
+        await discovery_opened.wait()
         since = loop.time()
         while (await status(port, request())).startswith(b"HTTP/1.1 200"):
             await asyncio.sleep(0.05)
-        assert loop.time() - since < TOLD_S
+        assert loop.time() - since < LIST_UPDATE_S
         for _, writer in idle:
             writer.close()
         process.send_signal(signal.SIGTERM)
@@ -93,7 +94,7 @@
 
     async def work() -> None:
         server = await ScriptedServer(OK).start()
-        discovery = Gated()
+        discovery = GatedDiscovery()
         await discovery.start()
         config = {
             **GOOD,
@@ -101,16 +102,16 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64},
             "known": {"version": 1, "full": True, "servers": [list_entry("s-1", server.address)]},
         }
-        opened = asyncio.Event()
+        discovery_opened = asyncio.Event()
         async with asyncio.TaskGroup() as group:
-            for number in range(AT_ONCE):
-                group.create_task(one(number, {**config, "name": f"n{number}"}, opened))
-            while len(ready) < AT_ONCE:
+            for number in range(PROCESSES):
+                group.create_task(run_process(number, {**config, "name": f"n{number}"}, discovery_opened))
+            while len(ready) < PROCESSES:
                 await asyncio.sleep(0.05)
             discovery.version += 1
             discovery.servers = [list_entry("s-1", server.address, state="leaving")]
             discovery.is_open = True
-            opened.set()
+            discovery_opened.set()
         server.stop()
         discovery.stop()
 
--- a/tests/test_room_for_clients.py
+++ b/tests/test_room_for_clients.py
@@ -1,4 +1,4 @@
-"""Where there is no room for one more client, nobody is cut off whose answer is owed or just written."""
+"""Eviction at the connection limit spares clients with an open request or an answer just written."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @pytest.mark.parametrize("ends", ["client says close", "draining"])
 @async_test
-async def test_a_last_answer_that_was_just_written_is_not_cut_off_to_make_room(ends: str) -> None:
+async def test_a_connection_with_its_last_answer_just_written_is_not_evicted(ends: str) -> None:
     real = DownstreamConnection.answer
 
-    def answer_and_make_room(self: DownstreamConnection, *given: Any) -> None:
+    def answer_and_evict(self: DownstreamConnection, *given: Any) -> None:
         real(self, *given)
-        self._table._evict_one()  # type: ignore[attr-defined]  # one more client connects in this round of the event loop
+        self._table._evict_one()  # type: ignore[attr-defined]  # as if another client connected now
 
     async with run_harness(OK) as harness:
         harness.sidecar.listener.is_draining = ends == "draining"
         close: dict[str, Any] = {"Connection": "close"} if ends == "client says close" else {}
         with (
-            mock.patch.object(DownstreamConnection, "answer", answer_and_make_room),
+            mock.patch.object(DownstreamConnection, "answer", answer_and_evict),
             raw_client(harness) as client,
         ):
             client.sendall(request("lodge", **close))
@@ -34,22 +34,22 @@
 
 
 @async_test
-async def test_a_request_that_was_read_behind_another_is_not_cut_off_to_make_room() -> None:
+async def test_a_connection_with_a_pipelined_request_is_not_evicted() -> None:
     async def answer(received: ReceivedRequest) -> bytes:
         await asyncio.sleep(0.01)
         return OK
 
     async with run_harness(answer) as harness:
         frontend = harness.sidecar.listener
-        moved = frontend.connections.move
+        real_move = frontend.connections.move
 
-        def make_room_as_it_moves(connection: DownstreamConnection, state: ConnectionState) -> None:
-            moved(connection, state)
+        def move_and_evict(connection: DownstreamConnection, state: ConnectionState) -> None:
+            real_move(connection, state)
             if state is ConnectionState.READING and connection._reader.requests:
                 frontend.connections._evict_one()
 
         with (
-            mock.patch.object(frontend.connections, "move", make_room_as_it_moves),
+            mock.patch.object(frontend.connections, "move", move_and_evict),
             raw_client(harness) as client,
         ):
             client.sendall(request("lodge") + request("lodge"))
@@ -64,20 +64,18 @@
 
 
 @async_test
-async def test_a_client_that_has_just_connected_goes_before_requests_that_never_end() -> None:
+async def test_unfinished_requests_are_evicted_before_new_connections() -> None:
     async with run_harness(OK, overrides={"limits": {"sockets": 64}}) as harness:
         frontend = harness.sidecar.listener
-        dripping = [await harness.client() for _ in range(frontend.connections.max_connections)]
-        for each in dripping:
+        unfinished = [await harness.client() for _ in range(frontend.connections.max_connections)]
+        for each in unfinished:
             each.send(request("lodge")[:-2])
         await until(lambda: frontend.connections.partial_requests == frontend.connections.max_connections)
-        asking = await harness.client()
+        new_client = await harness.client()
         await until(lambda: frontend.connections.partial_requests == frontend.connections.max_connections - 1)
-        others = [
-            await harness.client() for _ in range(frontend.connections.max_connections - 1)
-        ]  # and more of them come
+        others = [await harness.client() for _ in range(frontend.connections.max_connections - 1)]
         await until(lambda: frontend.connections.partial_requests == 0)
-        asking.send(request("lodge"))
-        assert (await asking.answer()).status == 200
+        new_client.send(request("lodge"))
+        assert (await new_client.answer()).status == 200
         for each in others:
             each.close()
--- a/tests/test_second_answers.py
+++ b/tests/test_second_answers.py
@@ -1,4 +1,4 @@
-"""Servers that send a second answer behind one: no request may be served with it, on the virtual clock."""
+"""Servers that send a response twice: no other request may be served with the duplicate, in virtual time."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from micadeck.simulation.network import VirtualNetwork
 from micadeck.simulation.wire import Wire
 
-SERVER, PLACE = "s-1", ("10.1.0.1", 80)
-WAY_US = 300
-BOUND_MS = 10.0  # docs/design/reuse.md: a second answer that comes this late at most is never served
-SEEN_MS = 25.0  # and one this late, once one was seen, however late that came
-WARNED = 5  # requests whose second answers come at rest, and tell how late such are
+SERVER, ADDRESS = "s-1", ("10.1.0.1", 80)
+NETWORK_DELAY_US = 300
+BOUND_MS = 10.0  # a duplicate at most this late is never served (docs/design/reuse.md)
+OBSERVED_BOUND_MS = 25.0  # and one this late, once a duplicate was seen, however late
+OBSERVED = 5  # requests whose duplicates come while idle, so that the pool sees their delay
 
 
 @dataclass(frozen=True)
 class Case:
-    """Times in milliseconds: a server's work, its second answer behind the first, between requests."""
+    """Times of the server's work, from a response to its duplicate, and between requests."""
 
     work_ms: float
     late_ms: float
@@ -36,7 +36,7 @@
 
 
 class Server(asyncio.Protocol):
-    """Answers with the target of the request, and once more."""
+    """Answers with the target of the request, twice."""
 
     def __init__(self, loop: VirtualLoop, case: Case, connections: list[Server]) -> None:
         self._loop, self._case = loop, case
@@ -56,21 +56,21 @@
             self._transport.write(answer)
 
 
-def play(case: Case, count: int, *, first_gap_ms: float | None = None) -> tuple[list[int], int]:
-    """Ask so many times; give which requests got another's answer, and how many connections were made."""
+def run_case(case: Case, count: int, *, first_gap_ms: float | None = None) -> tuple[list[int], int]:
+    """Send `count` requests; return those served with another's response, and the number of connections."""
     loop = VirtualLoop(1)  # type: ignore[abstract]
     wire = Wire(loop, random.Random(1))
-    wire.ways.delay_us = (WAY_US, WAY_US)
+    wire.ways.delay_us = (NETWORK_DELAY_US, NETWORK_DELAY_US)
     host = Host("sidecar")
     network = VirtualNetwork(wire.machine(host, "10.0.0.1"))
     upstream = ConnectionPool(network, settings(limits={"idle_close_us": 10 * S}))
     upstream.max_connections = 100
     connections: list[Server] = []
-    there = VirtualNetwork(wire.machine(Host(SERVER), PLACE[0]))
-    there.listen(lambda: Server(loop, case, connections), PLACE, 8)
+    there = VirtualNetwork(wire.machine(Host(SERVER), ADDRESS[0]))
+    there.listen(lambda: Server(loop, case, connections), ADDRESS, 8)
     wrong: list[int] = []
 
-    def ask(number: int) -> None:
+    def start_request(number: int) -> None:
         target = b"/%d" % number
         incoming = ValidatedRequest(
             "look", None, None, S, None, False, target, False, b"GET", target, [], b""
@@ -83,12 +83,12 @@
         upstream.start(SERVER, network.now() + S, incoming, done)
 
     async def work() -> None:
-        entry = EndpointEntry(ListedServer(SERVER, zone="east", state=ServerState.READY), PLACE)
+        entry = EndpointEntry(ListedServer(SERVER, zone="east", state=ServerState.READY), ADDRESS)
         upstream.update_endpoints(EndpointUpdate(1, True, (entry,)))
         for number in range(count):
-            ask(number)
-            warned = first_gap_ms is not None and number < WARNED
-            await asyncio.sleep((first_gap_ms if warned and first_gap_ms else case.gap_ms) / 1e3)
+            start_request(number)
+            is_observed = first_gap_ms is not None and number < OBSERVED
+            await asyncio.sleep((first_gap_ms if is_observed and first_gap_ms else case.gap_ms) / 1e3)
         await asyncio.sleep(1.0)
         upstream.close()
 
@@ -99,19 +99,17 @@
 @pytest.mark.parametrize("work_ms", [0.5, 8.0, 100.0])
 @pytest.mark.parametrize("late_ms", [0.0, 0.1, 2.0, 5.0, 8.0, BOUND_MS - 0.1])
 @pytest.mark.parametrize("gap_ms", [0.3, 2.0, 5.0, 9.0, 24.0, 40.0])
-def test_none_is_served_that_comes_within_the_bound_from_the_first_request_on(
-    work_ms: float, late_ms: float, gap_ms: float
-) -> None:
-    assert play(Case(work_ms, late_ms, gap_ms), 40)[0] == []
+def test_no_duplicate_within_the_bound_is_served(work_ms: float, late_ms: float, gap_ms: float) -> None:
+    assert run_case(Case(work_ms, late_ms, gap_ms), 40)[0] == []
 
 
-@pytest.mark.parametrize("late_ms", [15.0, SEEN_MS - 0.1, 30.0, 60.0, 150.0])
-def test_a_later_one_that_was_seen_at_rest_makes_connections_rest_longer(late_ms: float) -> None:
+@pytest.mark.parametrize("late_ms", [15.0, OBSERVED_BOUND_MS - 0.1, 30.0, 60.0, 150.0])
+def test_a_later_duplicate_seen_while_idle_lengthens_the_reuse_delay(late_ms: float) -> None:
     case = Case(work_ms=0.6 * late_ms, late_ms=late_ms, gap_ms=0.7 * late_ms)
-    assert play(case, 40, first_gap_ms=4 * late_ms)[0] == []
+    assert run_case(case, 40, first_gap_ms=4 * late_ms)[0] == []
 
 
-def test_a_connection_is_used_again_where_requests_are_apart() -> None:
-    calm = Case(work_ms=5.0, late_ms=1e6, gap_ms=60.0)  # no second answer in this time
-    assert play(calm, 40)[1] == 1
-    assert play(Case(work_ms=5.0, late_ms=1e6, gap_ms=10.0), 200)[1] <= 4  # 100 a second to one server
+def test_a_connection_is_reused_after_the_reuse_delay() -> None:
+    no_duplicate = Case(work_ms=5.0, late_ms=1e6, gap_ms=60.0)  # no duplicate in this time
+    assert run_case(no_duplicate, 40)[1] == 1
+    assert run_case(Case(work_ms=5.0, late_ms=1e6, gap_ms=10.0), 200)[1] <= 4  # 100 requests/s to one server
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""What a long life in service asks of the decisions: little kept, and no server blamed unjustly."""
+"""Long-running balancers: bounded state, and no server ejected without cause."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     return [each.text for each in stage.said(Log) if each.text.startswith("ejected")]
 
 
-def test_nothing_is_kept_of_servers_that_were_replaced() -> None:
-    # Guards against growth: every id is new, and all servers are replaced over and over.
+def test_no_state_is_kept_of_replaced_servers() -> None:
+    # Guards against unbounded state when all servers are replaced repeatedly under new ids.
     stage = Stage(settings(limits={"second_copies": False}))
     for round_ in range(200):
         stage.servers([f"{name}-{round_}" for name in names(5)])
@@ -32,7 +32,7 @@
     assert all(each.state is ServerState.READY for each in balancer._endpoints.ejected)
 
 
-def test_a_server_that_left_is_kept_until_its_last_attempt_has_ended() -> None:
+def test_a_removed_server_is_kept_until_its_last_attempt_ends() -> None:
     stage = Stage()
     stage.servers(names(1))
     request = stage.request("pay")
@@ -44,8 +44,8 @@
     assert stage.balancer._concurrency.load() == 0
 
 
-def test_spoilt_answers_eject_nobody_until_they_are_all_that_a_server_gives() -> None:
-    # Guards against ejecting half the fleet for noise on the way that meets any server alike.
+def test_malformed_responses_eject_a_server_only_without_good_ones() -> None:
+    # Guards against ejecting half the fleet for corruption on the network that affects all servers alike.
     stage = Stage()
     stage.servers(names(4))
     for number in range(60):
@@ -60,7 +60,7 @@
     assert any(each.endswith("spoilt") for each in _ejected(stage))
 
 
-def test_a_spoilt_answer_may_have_run() -> None:
+def test_a_request_with_a_malformed_response_may_have_run() -> None:
     stage = Stage()
     stage.servers(names(4))
     for kind in ("look", "pay"):
@@ -71,7 +71,7 @@
     assert len(stage.said(Fail)) == 1
 
 
-def test_a_request_that_a_server_finds_fault_with_fails_at_once_and_is_held_against_nobody() -> None:
+def test_a_rejected_request_fails_at_once_and_ejects_no_server() -> None:
     stage = Stage()
     stage.servers(names(4))
     for _ in range(20):
@@ -83,7 +83,7 @@
 
 
 def test_handshakes_are_not_taken_for_overload_or_silence() -> None:
-    # Guards the first second after a start: every connection is new, and its first answer comes late.
+    # Guards the first second after a start: every connection is new, and its first answer is slow.
     def refused(every_answer_us: int, first_answer_us: int) -> int:
         stage = Stage()
         stage.servers(names(12))
@@ -100,15 +100,15 @@
     assert refused(700 * MS, 700 * MS) > 10
 
 
-def test_a_refused_client_is_told_when_to_come_back_within_its_aim() -> None:
-    for allowed, most in ((True, 2 * S), (True, 20 * MS), (False, 2 * S)):
-        stage = Stage(settings(limits={"retry_after": allowed, "max_retry_after_us": most}))
+def test_retry_after_of_a_refusal_is_within_the_latency_objective() -> None:
+    for allowed, max_us in ((True, 2 * S), (True, 20 * MS), (False, 2 * S)):
+        stage = Stage(settings(limits={"retry_after": allowed, "max_retry_after_us": max_us}))
         stage.servers([])
         for _ in range(20):
             stage.request()
         advice = [each.retry_after_us for each in stage.said(Refuse)]
         assert len(advice) == 20
         if allowed:
-            assert all(0 < each <= min(most, 250 * MS) for each in advice)
+            assert all(0 < each <= min(max_us, 250 * MS) for each in advice)
         else:
             assert not any(advice)
--- a/tests/test_time_of_answers.py
+++ b/tests/test_time_of_answers.py
@@ -1,4 +1,4 @@
-"""A request has its final answer within half a second of its time, whatever comes between."""
+"""Each request gets its final answer at most half a second after its deadline."""
 
 from __future__ import annotations
 
@@ -22,42 +22,40 @@
     until,
 )
 
-LATE_S = 0.5
+MAX_LATE_S = 0.5
 TIMEOUT_S = 0.4
-STOOD_STILL_S = 0.35  # the event loop
+BLOCKED_S = 0.35  # the event loop is blocked
 PART = b"x" * 8_192
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-TO_THE_END = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+UNTIL_CLOSE = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 STALLED = {
     "chunked": CHUNKED + b"%x\r\n%b\r\n" % (len(PART), PART),
-    "no length": TO_THE_END + PART,
+    "no length": UNTIL_CLOSE + PART,
 }
 
 
-async def ends_in_time(client: Client, began: float) -> None:
-    """The client sees that no whole answer comes, in its time."""
+async def assert_ends_in_time(client: Client, began: float) -> None:
+    """Check that the connection ends at most `MAX_LATE_S` after the deadline."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
         while await soon(client.reader.read(65_536)):
             pass
-    assert time.monotonic() - began <= TIMEOUT_S + LATE_S
+    assert time.monotonic() - began <= TIMEOUT_S + MAX_LATE_S
 
 
 @pytest.mark.parametrize(
     ("form", "every_s"), [("chunked", 0.0), ("no length", 0.0), ("chunked", 0.05), ("chunked", 0.2)]
 )
 @async_test
-async def test_a_begun_answer_that_stalls_or_drips_ends_in_the_time_of_its_request(
-    form: str, every_s: float
-) -> None:
-    dripping: list[asyncio.Task[None]] = []
+async def test_a_begun_answer_that_stalls_or_drips_ends_by_its_deadline(form: str, every_s: float) -> None:
+    writers: list[asyncio.Task[None]] = []
 
     async def begin(received: ReceivedRequest) -> bytes:
-        async def drip() -> None:
+        async def write_slowly() -> None:
             while every_s and not received.writer.is_closing():
                 received.writer.write(b"1\r\nx\r\n")
                 await asyncio.sleep(every_s)
 
-        dripping.append(asyncio.create_task(drip()))
+        writers.append(asyncio.create_task(write_slowly()))
         return STALLED[form]
 
     async with run_harness(begin) as harness:
@@ -65,16 +63,16 @@
         began = time.monotonic()
         client.send(request("lodge", timeout=str(TIMEOUT_S)))
         first, _ = await soon(read_head(client.reader))
-        assert first.split(" ")[1] == "200"  # it was begun
-        await ends_in_time(client, began)
-        for each in dripping:
+        assert first.split(" ")[1] == "200"  # the answer has begun
+        await assert_ends_in_time(client, began)
+        for each in writers:
             each.cancel()
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
 @async_test
-async def test_a_large_answer_that_a_server_goes_on_giving_is_not_cut_for_its_time(form: str) -> None:
-    # Over 64 KiB only the first bytes are timed.
+async def test_a_large_answer_that_goes_on_is_not_cut_at_its_deadline(form: str) -> None:
+    # Of an answer over 64 KiB only the first bytes are bound by the deadline.
     pieces, piece = 12, b"y" * 16_384
 
     async def begin(received: ReceivedRequest) -> bytes:
@@ -100,12 +98,12 @@
                 await soon(client.reader.readline())
         assert body == pieces * piece
         await until(lambda: harness.sidecar.open_requests == 0)
-        assert not harness.sidecar._engine.invariants.counts  # it was in time: only its first bytes are timed
+        assert not harness.sidecar._engine.invariants.counts  # its first bytes were in time
 
 
 @contextlib.asynccontextmanager
 async def slow_first(takes_s: float) -> AsyncIterator[tuple[Harness, Callable[[], list[str]]]]:
-    """One server that takes so long for a `lodge`, and no time for others; and which of these came."""
+    """Run a server that delays each `lodge`; yield the timeouts of the other requests it received."""
 
     async def work(received: ReceivedRequest) -> bytes:
         if received.headers["request-class"] == "lodge":
@@ -117,27 +115,27 @@
 
 
 @async_test
-async def test_the_time_of_a_request_behind_another_counts_from_when_it_came() -> None:
+async def test_the_deadline_of_a_pipelined_request_counts_from_its_arrival() -> None:
     async with slow_first(0.6) as (harness, checks):
         client = await harness.client()
         behind = request("check", timeout="1.0") + request("check", timeout="0.3") + request("check")
         client.send(request("lodge", timeout="2") + behind)
-        # The time of the second but last was over before its turn: it is refused, and sent nowhere.
+        # The third request expires before its turn: it is refused and not sent.
         assert [(await client.answer()).status for _ in range(4)] == [200, 200, 503, 200]
         assert [float(each) <= 0.4 + 0.15 for each in checks()] == [True, False]
 
 
 @async_test
-async def test_the_time_of_a_request_that_lay_unread_counts_from_when_it_came() -> None:
-    # The event loop stands still while the request lies in the socket, on a connection old or new.
+async def test_the_deadline_of_an_unread_request_counts_from_its_arrival() -> None:
+    # The event loop is blocked while the request is unread in the socket, on a new or an open connection.
     async with slow_first(0.0) as (harness, checks):
         loop = asyncio.get_running_loop()
         with raw_client(harness) as client:
             client.setblocking(False)
             for timeout, status in ((0.60, b"200"), (0.25, b"503"), (2.0, b"200")):
                 client.send(request(timeout=str(timeout)))
-                time.sleep(STOOD_STILL_S)
+                time.sleep(BLOCKED_S)
                 assert (await soon(loop.sock_recv(client, 4_096))).split(b" ")[1] == status
-        told = [float(each) for each in checks()]
-        assert len(told) == 2 and told[0] < 0.35 and told[1] < 1.75
+        remaining = [float(each) for each in checks()]
+        assert len(remaining) == 2 and remaining[0] < 0.35 and remaining[1] < 1.75
         await until(lambda: harness.sidecar.open_requests == 0)
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -15,7 +15,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 from loopback import OK, async_test, read_head, request, run_async, run_harness
-from test_bodies import LARGE, beside, content, read_body
+from test_bodies import LARGE, content, read_body, sidecar_with_server
 
 from micadeck.cli import main
 from micadeck.policy import Balancer
@@ -221,7 +221,7 @@
         await read_body(reader, headers)
         await reader.read()  # until the sidecar ends the connection
 
-    async with beside(hang, overrides={"trace": str(tmp_path / "day.trace")}) as (_, harness):
+    async with sidecar_with_server(hang, overrides={"trace": str(tmp_path / "day.trace")}) as (_, harness):
         client = await harness.client()
         started = time.monotonic()
         client.send(request("lodge", timeout="0.5", body=content(LARGE)))
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts and the pool, over loopback sockets."""
+"""Attempts and the pool of connections to servers, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from micadeck.network import LoopNetwork
 
 
-def at_the_sidecar(harness: Harness) -> int:
+def open_requests_of(harness: Harness) -> int:
     return int(harness.sidecar.open_requests)
 
 
@@ -39,7 +39,7 @@
     ("answer", "status"),
     [
         (ERROR, 502),
-        (FULL, 503),  # it never ran, and nobody else is there
+        (FULL, 503),  # it never ran, and there is no other server
         (b"HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 404 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 504 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", 503),
@@ -49,18 +49,19 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200),
     ],
 )
-def test_what_an_unsafe_request_comes_to(answer: bytes, status: int) -> None:
+def test_the_status_of_a_non_idempotent_request(answer: bytes, status: int) -> None:
     async def work() -> None:
         async with run_harness(answer) as harness:
             assert (await harness.exchange("lodge")).status == status
             assert len(harness.received) == 1
-            await until(lambda: at_the_sidecar(harness) == 0)  # a library's waiter hears a moment sooner
+            # The library resolves the answer before it removes the request.
+            await until(lambda: open_requests_of(harness) == 0)
 
     run_async(work)
 
 
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
-def test_an_unsafe_request_whose_connection_breaks_is_never_sent_again(part: bytes) -> None:
+def test_a_non_idempotent_request_is_not_retried_after_a_lost_connection(part: bytes) -> None:
     async def work() -> None:
         async def hang_up(received: ReceivedRequest) -> None:
             received.writer.write(part)
@@ -77,9 +78,9 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
-        HEAD + b"\r\nserved",  # no end but the connection's: it may have broken off
+        HEAD + b"\r\nserved",  # delimited by the connection's end: it may be truncated
         HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 1_000,
         HEAD + b"Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\nserved",
         HEAD + b"Content-Length: 6\r\nContent-Length: 6\r\n\r\nserved",
@@ -93,11 +94,11 @@
         b"HTT",
     ],
 )
-def test_a_spoilt_answer_fails_soon_and_a_repeatable_request_is_sent_elsewhere(spoilt: bytes) -> None:
-    # Guards against waiting for the deadline on a connection that stays open, and against serving a guess.
+def test_a_malformed_response_fails_at_once_and_an_idempotent_request_is_retried(malformed: bytes) -> None:
+    # Guards against waiting for the deadline on an open connection, and against serving a malformed response.
     async def work() -> None:
         async def once(received: ReceivedRequest) -> bytes:
-            return spoilt if len(harness.received) == 1 else OK
+            return malformed if len(harness.received) == 1 else OK
 
         async with run_harness(once, once) as harness:
             answer = await harness.exchange("check", timeout="3.0")
@@ -105,15 +106,16 @@
             first, second = harness.received
             assert float(second.headers["request-timeout"]) > 1.5
             assert (await harness.exchange("lodge")).status == 200
-            await until(lambda: sum(len(each.closed) for each in harness.servers) == 1)  # of no further use
+            # The connection with the malformed response is closed.
+            await until(lambda: sum(len(each.closed) for each in harness.servers) == 1)
             assert first.target == second.target
 
     run_async(work)
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_connection_that_brought_more_than_its_answer_is_not_used_again(late: bool) -> None:
-    # Guards against a second copy of an answer that the next request would be served with.
+def test_a_connection_with_surplus_bytes_is_not_reused(late: bool) -> None:
+    # Guards against serving the next request with a duplicate of the previous response.
     async def work() -> None:
         async def twice(received: ReceivedRequest) -> bytes:
             body = received.target.rpartition("/")[2].encode()
@@ -135,13 +137,13 @@
     run_async(work)
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_request_s() -> None:
-    # The connection was handed on before the second answer came: nothing in it says whose it is.
+def test_a_late_duplicate_response_is_not_taken_for_the_next_request_s() -> None:
+    # The connection is reused before the duplicate arrives, and nothing in it names its request.
     async def work() -> None:
         async def answer(received: ReceivedRequest) -> bytes:
             copy, at = answers.get(received.connection, (b"", 0.0))
             if asyncio.get_running_loop().time() - at > 0.015:
-                copy = b""  # it came at rest, and closed the connection; else it comes first
+                copy = b""  # it came while idle and closed the connection; else it comes first
             own = reply(received.target.rpartition("/")[2].encode())
             answers[received.connection] = (own, asyncio.get_running_loop().time())
             return copy + own
@@ -150,7 +152,7 @@
         async with run_harness(answer) as harness:
             client = await harness.client()
             assert (await client.exchange("lodge", target="/api/first")).body == b"first"
-            harness.servers[0].received[0].writer.write(answers[0][0])  # now it is known that such come
+            harness.servers[0].received[0].writer.write(answers[0][0])  # the pool has now seen a duplicate
             await until(lambda: harness.servers[0].closed == [0])
             for number in range(10, 30):
                 assert (await client.exchange("lodge", target=f"/api/{number}")).body == b"%d" % number
@@ -158,7 +160,7 @@
     run_async(work)
 
 
-def test_a_refused_dial_never_ran_and_is_drawn_again() -> None:
+def test_a_refused_connection_never_ran_and_is_retried() -> None:
     async def work() -> None:
         async with run_harness(OK, OK, OK) as harness:
             harness.servers[0].stop()
@@ -169,18 +171,18 @@
     run_async(work)
 
 
-def test_silence_ends_at_the_deadline_and_closes_the_connection() -> None:
+def test_a_silent_server_times_out_and_its_connection_is_closed() -> None:
     async def work() -> None:
         async with run_harness(None) as harness:
             assert (await harness.exchange("lodge", timeout="0.3")).status == 504
             await until(lambda: harness.servers[0].closed == [0])
-            assert at_the_sidecar(harness) == 0
+            assert open_requests_of(harness) == 0
 
     run_async(work)
 
 
-def test_a_connection_is_used_again_and_one_that_ended_is_not() -> None:
-    # Guards against writing to a connection whose end lies unread in the socket: that may have run.
+def test_an_open_connection_is_reused_and_a_closed_one_is_not() -> None:
+    # Guards against writing to a connection whose end is still unread in the socket: that request may run.
     async def work() -> None:
         async with run_harness(OK) as harness:
             client = await harness.client()
@@ -195,7 +197,7 @@
     run_async(work)
 
 
-def test_a_connection_near_its_idle_limit_is_not_used() -> None:
+def test_a_connection_near_its_idle_timeout_is_not_reused() -> None:
     async def work() -> None:
         async with run_harness(OK, bounds={"idleCloseUs": 50_000}) as harness:
             client = await harness.client()
@@ -208,7 +210,7 @@
 
 
 @pytest.mark.parametrize("change", ["addr", "started_ms"])
-def test_connections_to_what_was_there_before_go(change: str) -> None:
+def test_connections_to_a_replaced_server_are_closed(change: str) -> None:
     async def work() -> None:
         async with run_harness(OK, OK, listed=False) as harness:
             first, second = (each.address for each in harness.servers)
@@ -227,8 +229,8 @@
     run_async(work)
 
 
-def test_idle_connections_to_a_server_that_drains_are_closed() -> None:
-    # Guards against holding places, of which a server has few, where nothing new may go.
+def test_idle_connections_to_a_draining_server_are_closed() -> None:
+    # Guards against holding connections, of which a server has few, that nothing new may use.
     async def work() -> None:
         async with run_harness(OK, bounds={"idleCloseUs": 600_000_000}) as harness:
             await until(lambda: len(harness.discovery.received) >= 2)
@@ -241,9 +243,9 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("why", ["drains", "leaves", "moves to another cell", "client gone"])
-def test_nothing_is_written_when_a_dial_comes_up_too_late(why: str, may_cancel: bool) -> None:
-    # Guards rule 3 (a drain that is told while the dial is under way) and an attempt that was called off;
-    # what is not written yet needs no leave to be called off.
+def test_nothing_is_written_when_a_connection_opens_too_late(why: str, may_cancel: bool) -> None:
+    # Guards rule 3 (a server starts draining while the connection is being opened) and a cancelled attempt:
+    # one that is not written yet may be cancelled without `may_cancel`.
     async def work() -> None:
         slow = FullBacklogServer()
         await slow.fill_backlog()
@@ -253,11 +255,11 @@
             await until(lambda: len(harness.discovery.received) >= 3)
             client = await harness.client()
             client.send(request("lodge", timeout="15"))
-            await until(lambda: at_the_sidecar(harness) == 1)
+            await until(lambda: open_requests_of(harness) == 1)
             if why == "client gone":
                 client.close()
-                async with asyncio.timeout(2.0):  # long before the request's own time would end it
-                    await until(lambda: at_the_sidecar(harness) == 0)
+                async with asyncio.timeout(2.0):  # long before the request's deadline
+                    await until(lambda: open_requests_of(harness) == 0)
             else:
                 change: dict[str, Any] = {"drains": {"state": "leaving"}, "leaves": {"state": "left"}}.get(
                     why, {"cell": 2}
@@ -266,7 +268,7 @@
                 await until(lambda: len(harness.discovery.received) >= 4)
             accepted = await slow.accept_sidecar()
             if why == "client gone":
-                harness.sidecar.close()  # the connection itself is good and was kept
+                harness.sidecar.close()  # closes the connection, which was kept
             else:
                 assert (await client.answer()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
@@ -276,8 +278,8 @@
     run_async(work)
 
 
-def test_a_repeat_whose_dial_outlasts_its_servers_memory_is_never_written() -> None:
-    # Guards rule 2: the repeat was decided on in time, and would run after its group forgot the first.
+def test_a_retry_that_connects_after_the_deduplication_window_is_never_written() -> None:
+    # Guards rule 2: the retry was decided in time, but would run after its group forgot the first attempt.
     async def work() -> None:
         slow = FullBacklogServer()
         await slow.fill_backlog()
@@ -295,9 +297,9 @@
             client.send(request("amend", timeout="8"))
             answer = asyncio.ensure_future(client.answer())
             await until(lambda: len(harness.received) == 1)
-            await asyncio.wait([answer], timeout=2.0)  # by then nobody remembers the first attempt
+            await asyncio.wait([answer], timeout=2.0)  # the deduplication window is over by then
             accepted = await slow.accept_sidecar()
-            assert (await answer).status == 503  # refused: its client may come again as a new request
+            assert (await answer).status == 503  # refused: its client may retry it as a new request
             harness.sidecar.close()
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
@@ -306,8 +308,8 @@
     run_async(work)
 
 
-def test_no_more_connections_than_there_is_room_for() -> None:
-    # Guards against running out of descriptors; what finds no room was not sent, so it is refused.
+def test_connections_to_servers_stay_within_the_descriptor_limit() -> None:
+    # Guards against running out of descriptors; a request without a connection was not sent: it is refused.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -324,8 +326,8 @@
                 await soon(clients[-1].writer.drain())
                 if number < 16:
                     await until(lambda sent=number + 1: len(harness.received) == sent)  # type: ignore[misc]
-            await until(lambda: at_the_sidecar(harness) == 16)
-            # Those that find no room are answered at once; only a library's hand-over may be later than this.
+            await until(lambda: open_requests_of(harness) == 16)
+            # Those without a connection are refused at once; the library may deliver that a moment later.
             refused = [(await client.answer()).status for client in clients[16:]]
             release.set()
             statuses = [(await client.answer()).status for client in clients[:16]] + refused
--- a/tests/test_watch_health.py
+++ b/tests/test_watch_health.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from broken_builds import waits_long
+from broken_builds import with_long_polls
 from helpers import MS, S
 
 from micadeck.engine import EndpointUpdate
@@ -320,5 +320,5 @@
 
 
 def test_a_build_that_waits_long_for_silent_watches_is_found() -> None:
-    with waits_long():
+    with with_long_polls():
         assert "lists" in play(silent_day(10, 1.0)).rules
