--- a/tests/embedding_parity.py
+++ b/tests/embedding_parity.py
@@ -50,7 +50,7 @@
     "test_memory_of_partial_requests_is_bounded": _RAW_BYTES,
     "test_pipelined_requests_stay_in_the_socket_while_one_is_open": _RAW_BYTES,
     "test_the_buffer_of_a_closed_connection_is_freed_at_once": _RAW_BYTES,
-    "test_any_bytes_from_clients_and_servers_leave_the_sidecar_alive": _RAW_BYTES,
+    "test_the_sidecar_survives_any_bytes_from_clients_and_servers": _RAW_BYTES,
     "test_a_client_that_sends_no_complete_request_in_time_is_disconnected": _TIMEOUTS,
     "test_an_idle_connection_times_out_and_one_that_waits_does_not": _TIMEOUTS,
     "test_a_bad_configuration_is_one_line_that_names_the_key": _PROCESS,
--- a/tests/test_admin_under_pressure.py
+++ b/tests/test_admin_under_pressure.py
@@ -1,4 +1,4 @@
-"""The operators' door while the sidecar is short of its processor: the real program, mostly stopped."""
+"""The admin server while the program gets little processor time."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from loopback import HOST, OK, Client, request, run_async, soon
 from test_program import Program, run_program
 
-PART = 0.12  # of a core
+CPU_SHARE = 0.12  # of a core
 SLICE_S = 0.1
 CLIENTS = 300
-WITHIN_S = 1.0  # a caller waits no longer
+MAX_REPLY_S = 1.0  # timeout of a caller
 
 
 @asynccontextmanager
 async def throttled(running: Program) -> AsyncIterator[None]:
-    """The process runs for a part of each slice only, as under a limit on its processor time."""
+    """Let the process run for a part of each time slice, as under a CPU quota."""
 
     async def stop_and_go() -> None:
         while True:
-            await asyncio.sleep(SLICE_S * PART)
+            await asyncio.sleep(SLICE_S * CPU_SHARE)
             running.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(SLICE_S * (1 - PART))
+            await asyncio.sleep(SLICE_S * (1 - CPU_SHARE))
             running.process.send_signal(signal.SIGCONT)
 
-    at_it = asyncio.ensure_future(stop_and_go())
+    task = asyncio.ensure_future(stop_and_go())
     try:
         yield
     finally:
-        at_it.cancel()
+        task.cancel()
         running.process.send_signal(signal.SIGCONT)
 
 
-async def asking(running: Program) -> None:
-    """A client that asks again as soon as it is answered, whatever the answer."""
+async def send_requests(running: Program) -> None:
+    """Send a new request after each answer, whatever the answer."""
     while True:
         try:
             client = await running.client()
@@ -52,27 +52,27 @@
 async def call(port: int, line: bytes) -> bytes:
     client = Client(*await asyncio.open_connection(HOST, port))
     client.send(line)
-    told = await soon(client.reader.read())
+    reply = await soon(client.reader.read())
     client.close()
-    return told
+    return reply
 
 
-def test_calls_are_answered_in_time_while_hundreds_of_clients_take_all_the_processor(tmp_path: Path) -> None:
+def test_commands_are_answered_in_time_under_cpu_pressure(tmp_path: Path) -> None:
     async def work() -> None:
         async with run_program(OK, tmp_path, operator=f"{HOST}:0") as running:
             port = running.admin_port
-            clients = [asyncio.ensure_future(asking(running)) for _ in range(CLIENTS)]
+            clients = [asyncio.ensure_future(send_requests(running)) for _ in range(CLIENTS)]
             async with throttled(running):
-                await asyncio.sleep(1.0)  # until all are connected, and it is behind with them
+                await asyncio.sleep(1.0)  # until all are connected and the process lags behind
                 for line, begin in [
                     (b"READY\n", b"200 "),
                     (b"STATS\n", b"edge_balancer."),
                     (b"X\n", b"400 "),
                 ] * 3:
                     began = time.monotonic()
-                    told = await call(port, line)
-                    assert time.monotonic() - began < WITHIN_S
-                    assert told.startswith(begin)
+                    reply = await call(port, line)
+                    assert time.monotonic() - began < MAX_REPLY_S
+                    assert reply.startswith(begin)
                 assert (await call(port, b"DRAIN\n")).startswith(b"200 ")
             for each in clients:
                 each.cancel()
@@ -81,7 +81,7 @@
     run_async(work)
 
 
-def test_a_caller_of_a_byte_a_second_is_cut_off_and_holds_back_nobody(tmp_path: Path) -> None:
+def test_a_slow_caller_is_disconnected_and_delays_no_other(tmp_path: Path) -> None:
     async def work() -> None:
         async with run_program(OK, tmp_path, operator=f"{HOST}:0") as running:
             slow = Client(*await asyncio.open_connection(HOST, running.admin_port))
--- a/tests/test_exit_codes.py
+++ b/tests/test_exit_codes.py
@@ -1,4 +1,4 @@
-"""Each end of the process has its exit code and its line: an end without one is a kill."""
+"""Exit codes and last log lines: a process that ends without such a line was killed."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from micadeck.sidecar import ListenError
 
 MAIN = "from micadeck.__main__ import main; raise SystemExit(main())"
-FAULTS = [signal.SIGSEGV, signal.SIGABRT, signal.SIGBUS, signal.SIGFPE, signal.SIGILL]
+FATAL_SIGNALS = [signal.SIGSEGV, signal.SIGABRT, signal.SIGBUS, signal.SIGFPE, signal.SIGILL]
 
 
-async def serving(folder: Path) -> asyncio.subprocess.Process:
+async def start_serving(folder: Path) -> asyncio.subprocess.Process:
     path = folder / "config.json"
     path.write_text(json.dumps(GOOD))
     process = await start_process(path)
@@ -31,31 +31,31 @@
     return process
 
 
-@pytest.mark.parametrize("what", FAULTS)
-def test_an_end_by_a_fault_of_the_c_level_says_where(what: signal.Signals, tmp_path: Path) -> None:
+@pytest.mark.parametrize("what", FATAL_SIGNALS)
+def test_a_fatal_signal_logs_a_stack_trace(what: signal.Signals, tmp_path: Path) -> None:
     async def work() -> None:
-        process = await serving(tmp_path)
+        process = await start_serving(tmp_path)
         process.send_signal(what)
-        _, told = await soon(process.communicate())
+        _, log = await soon(process.communicate())
         assert process.returncode == -what
-        assert b"Fatal Python error" in told and b"daemon.py" in told
+        assert b"Fatal Python error" in log and b"daemon.py" in log
 
     run_async(work)
 
 
 @pytest.mark.parametrize("what", [signal.SIGTERM, signal.SIGINT])
-def test_an_end_that_was_asked_for_says_so_with_its_code(what: signal.Signals, tmp_path: Path) -> None:
+def test_a_requested_shutdown_logs_its_signal_and_exit_code(what: signal.Signals, tmp_path: Path) -> None:
     async def work() -> None:
-        process = await serving(tmp_path)
+        process = await start_serving(tmp_path)
         process.send_signal(what)
-        _, told = await soon(process.communicate())
+        _, log = await soon(process.communicate())
         assert process.returncode == 0
-        assert told.decode().splitlines()[-1] == f"ended: code 0, received {what.name}"
+        assert log.decode().splitlines()[-1] == f"ended: code 0, received {what.name}"
 
     run_async(work)
 
 
-def test_an_end_by_a_defect_is_one_line_and_code_3(tmp_path: Path) -> None:
+def test_an_unexpected_exception_is_one_line_and_exit_code_3(tmp_path: Path) -> None:
     async def work() -> None:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(GOOD))
@@ -64,14 +64,14 @@
             sys.executable, "-c", broken, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": str(tmp_path)},
         )  # fmt: skip
-        _, told = await soon(process.communicate())
+        _, log = await soon(process.communicate())
         assert process.returncode == 3
-        assert told.decode().splitlines()[-1].startswith("ended: code 3, TypeError")
+        assert log.decode().splitlines()[-1].startswith("ended: code 3, TypeError")
 
     run_async(work)
 
 
-def test_a_limit_of_memory_that_the_idle_process_passes_is_a_fault_of_the_configuration(
+def test_a_memory_limit_below_the_idle_process_is_a_configuration_error(
     tmp_path: Path,
 ) -> None:
     async def work() -> None:
@@ -82,14 +82,14 @@
             sys.executable, "-c", hungry, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": str(tmp_path)},
         )  # fmt: skip
-        _, told = await soon(process.communicate())
+        _, log = await soon(process.communicate())
         assert process.returncode == 2
-        assert told.startswith(b"micadeck: config: limits.memory_mb: 16")
+        assert log.startswith(b"micadeck: config: limits.memory_mb: 16")
 
     run_async(work)
 
 
-def test_each_error_has_advice_of_its_own_and_keeps_its_text() -> None:
+def test_each_error_has_its_own_advice_and_keeps_its_text() -> None:
     kinds: list[type[OperatorError]] = [ConfigError, ConfigUnreadableError, RequestIdInUseError, ListenError]
     assert all(issubclass(kind, OperatorError) and kind.advice.endswith(".") for kind in kinds)
     assert len({OperatorError.advice, *(kind.advice for kind in kinds)}) == len(kinds) + 1
--- a/tests/test_held_up_end.py
+++ b/tests/test_held_up_end.py
@@ -1,4 +1,4 @@
-"""A process that is held up for 0.15 s near its end: SIGKILL, at its earliest, finds nothing unanswered."""
+"""A process paused for 0.15 s during shutdown answers all requests before the earliest SIGKILL."""
 
 from __future__ import annotations
 
@@ -26,7 +26,9 @@
 
 
 @pytest.mark.parametrize("held_up_at_s", [0.6, 0.7, 0.8, 0.84, 0.9, 0.95, 0.98])
-def test_what_hangs_at_servers_is_answered_before_sigkill(held_up_at_s: float, tmp_path: Path) -> None:
+def test_requests_that_hang_at_servers_are_answered_before_sigkill(
+    held_up_at_s: float, tmp_path: Path
+) -> None:
     async def hang(received: ReceivedRequest) -> None:
         return None
 
@@ -46,7 +48,7 @@
 
             running.process.send_signal(signal.SIGTERM)
             asyncio.get_running_loop().call_later(KILL_S, kill)
-            await at(0.35)  # before those at rest are let go
+            await at(0.35)  # before idle connections are closed
             clients[1].send(request("lodge", timeout="0.4"))
             crowd = []
             while time.monotonic() < began + 0.6:  # the listener stays open while clients come
@@ -66,7 +68,7 @@
     run_async(work)
 
 
-def test_the_margins_cover_a_hold_up_and_the_last_answers() -> None:
+def test_the_margins_cover_a_pause_and_the_last_answers() -> None:
     assert STALL_S + CLIENT_FLUSH_S < RESERVED_S < KILL_GRACE_S
     assert answer_deadline(10.0, [0.1, 0.4]) == pytest.approx(10.0 + 0.4 + KILL_GRACE_S - RESERVED_S)
     assert answer_deadline(10.0, [0.1, 60.0]) == pytest.approx(10.0 + 3.0 + KILL_GRACE_S - RESERVED_S)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Two processes of one sidecar: they see each other, share the limits, and survive each other's end."""
+"""Hot restart: two processes detect each other, share limits and survive each other's end."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 from micadeck.runtime import _MIN_DESCRIPTORS, _RESERVED_DESCRIPTORS
 
 ROOT = Path(__file__).parent.parent
-_OTHER = """
+_OTHER_PROCESS = """
 import sys
 from micadeck.operations import HotRestart
-beside = HotRestart(sys.argv[1], sys.argv[2])
-beside.register()
+hot_restart = HotRestart(sys.argv[1], sys.argv[2])
+hot_restart.register()
 print("there", flush=True)
 sys.stdin.read()
-beside.unregister()
+hot_restart.unregister()
 """
 
 
 @contextmanager
-def other(folder: Path, name: str = "n0") -> Iterator[subprocess.Popen[str]]:
+def other_process(folder: Path, name: str = "n0") -> Iterator[subprocess.Popen[str]]:
     process = subprocess.Popen(
-        [sys.executable, "-c", _OTHER, str(folder), name],
+        [sys.executable, "-c", _OTHER_PROCESS, str(folder), name],
         cwd=ROOT,
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
@@ -60,68 +60,68 @@
         process.communicate()
 
 
-def test_a_process_sees_another_of_its_name_and_its_end_however_it_ended(tmp_path: Path) -> None:
-    beside = HotRestart(str(tmp_path), "n0")
-    beside.register()
-    assert beside.sibling_count == 0 and not beside.refresh()
-    with other(tmp_path) as second, other(tmp_path, "n1"):
-        assert beside.refresh() and beside.sibling_count == 1
-        assert not beside.refresh()
+def test_a_process_detects_another_of_its_name_and_its_end(tmp_path: Path) -> None:
+    hot_restart = HotRestart(str(tmp_path), "n0")
+    hot_restart.register()
+    assert hot_restart.sibling_count == 0 and not hot_restart.refresh()
+    with other_process(tmp_path) as second, other_process(tmp_path, "n1"):
+        assert hot_restart.refresh() and hot_restart.sibling_count == 1
+        assert not hot_restart.refresh()
         second.kill()
         second.wait()
-        assert beside.refresh() and beside.sibling_count == 0
-    with other(tmp_path) as third:
-        assert beside.refresh() and beside.sibling_count == 1
-        third.communicate()  # it ends in order
-        assert beside.refresh() and beside.sibling_count == 0
-    beside.unregister()
+        assert hot_restart.refresh() and hot_restart.sibling_count == 0
+    with other_process(tmp_path) as third:
+        assert hot_restart.refresh() and hot_restart.sibling_count == 1
+        third.communicate()  # closes its input, so that it unregisters and exits
+        assert hot_restart.refresh() and hot_restart.sibling_count == 0
+    hot_restart.unregister()
     assert [each.name for each in tmp_path.glob("micadeck-n0-*")] == []
 
 
-def test_a_dead_processs_file_and_nonsense_count_for_nothing(tmp_path: Path) -> None:
+def test_stale_and_malformed_files_are_ignored(tmp_path: Path) -> None:
     (tmp_path / "micadeck-n0-1").write_bytes(b"cut o")
     (tmp_path / "micadeck-n0-2").mkdir()
-    beside = HotRestart(str(tmp_path), "n0")
-    beside.register()
-    assert beside.sibling_count == 0
-    beside.unregister()
+    hot_restart = HotRestart(str(tmp_path), "n0")
+    hot_restart.register()
+    assert hot_restart.sibling_count == 0
+    hot_restart.unregister()
 
 
-def test_without_a_folder_nothing_is_said_and_nobody_is_seen(tmp_path: Path) -> None:
+def test_without_a_folder_no_sibling_is_seen(tmp_path: Path) -> None:
     for folder in (None, "", str(tmp_path / "not there")):
-        beside = HotRestart(folder, "n0")
-        beside.register()
-        assert beside.sibling_count == 0 and not beside.refresh()
-        beside.unregister()
+        hot_restart = HotRestart(folder, "n0")
+        hot_restart.register()
+        assert hot_restart.sibling_count == 0 and not hot_restart.refresh()
+        hot_restart.unregister()
 
 
-def test_a_folder_that_vanishes_ends_nothing(tmp_path: Path) -> None:
+def test_a_removed_folder_is_not_an_error(tmp_path: Path) -> None:
     folder = tmp_path / "common"
     folder.mkdir()
-    beside = HotRestart(str(folder), "n0")
-    beside.register()
+    hot_restart = HotRestart(str(folder), "n0")
+    hot_restart.register()
     for each in folder.iterdir():
         each.unlink()
     folder.rmdir()
-    assert not beside.refresh()
-    beside.unregister()
+    assert not hot_restart.refresh()
+    hot_restart.unregister()
 
 
 @async_test
-async def test_the_limits_hold_over_both_and_come_back_with_the_end_of_one(tmp_path: Path) -> None:
+async def test_limits_are_shared_and_restored_when_the_other_process_ends(tmp_path: Path) -> None:
     limits = {"memory_mb": 64, "sockets": 256}
     async with run_harness(OK, overrides={"operator": f"{HOST}:0", "limits": limits}) as harness:
         sidecar = harness.sidecar
         runtime = sidecar._runtime
         whole = runtime.max_client_connections + runtime.upstream.max_connections
         assert whole == 256 - _RESERVED_DESCRIPTORS
-        resting = [await harness.client() for _ in range(60)]
-        for each in resting:
+        idle = [await harness.client() for _ in range(60)]
+        for each in idle:
             assert (await each.exchange()).status == 200
-        beside = sidecar._hot_restart = HotRestart(str(tmp_path), "n0")
-        beside.register()
-        with other(tmp_path):
-            assert beside.refresh()
+        hot_restart = sidecar._hot_restart = HotRestart(str(tmp_path), "n0")
+        hot_restart.register()
+        with other_process(tmp_path):
+            assert hot_restart.refresh()
             sidecar._share_limits()
             assert (
                 runtime.max_client_connections + runtime.upstream.max_connections
@@ -129,24 +129,22 @@
             )
             assert runtime.buffer_budget.max_bytes == 32 * (1 << 20) // 8
             await until(lambda: len(sidecar.listener.connections) <= runtime.max_client_connections)
-        assert beside.refresh()
+        assert hot_restart.refresh()
         sidecar._share_limits()
         assert runtime.max_client_connections + runtime.upstream.max_connections == whole
 
 
-def test_a_limit_is_shared_in_whole_numbers() -> None:
+def test_a_limit_is_divided_into_integers() -> None:
     assert [divide_limit(385, siblings) for siblings in (0, 1, 2)] == [385, 192, 128]
     assert _MIN_DESCRIPTORS > 0
 
 
 @async_test
-async def test_what_waits_in_the_kernel_is_taken_before_a_listener_closes() -> None:
-    # Guards against requests turned back unheard: a close resets what has connected and was not accepted.
+async def test_queued_connections_are_accepted_before_a_listener_closes() -> None:
+    # Guards against lost requests: closing a listener resets connections that were not accepted yet.
     async with run_harness(OK) as harness:
         frontend = harness.sidecar.listener
-        waiting = [
-            socket.create_connection((HOST, frontend.port)) for _ in range(50)
-        ]  # the loop stands still
+        waiting = [socket.create_connection((HOST, frontend.port)) for _ in range(50)]  # not accepted yet
         frontend.stop_listening()
         for each in waiting:
             each.setblocking(False)
@@ -156,18 +154,18 @@
             client.close()
 
 
-# Which requests are open
+# Ids of open requests
 
 
-def tables(folder: Path) -> tuple[RequestIdRegistry, RequestIdRegistry, Path]:
-    """Two processes' tables, and the second's file."""
+def registries(folder: Path) -> tuple[RequestIdRegistry, RequestIdRegistry, Path]:
+    """Return the registries of two processes, and the file of the second."""
     paths = [folder / "one", folder / "two"]
     fds = [os.open(each, os.O_RDWR | os.O_CREAT) for each in paths]
     return RequestIdRegistry(fds[0], paths[1:]), RequestIdRegistry(fds[1], paths[:1]), paths[1]
 
 
-def test_an_id_is_in_use_for_both_processes_until_it_is_over(tmp_path: Path) -> None:
-    one, two, _ = tables(tmp_path)
+def test_an_id_is_in_use_in_both_processes_until_it_is_discarded(tmp_path: Path) -> None:
+    one, two, _ = registries(tmp_path)
     drawn = random.Random(7)
     open_ids: set[bytes] = set()
     for _ in range(3_000):
@@ -187,10 +185,10 @@
     assert all((ident in one) == (ident in set(one)) for ident in open_ids)
 
 
-def test_a_table_that_is_cut_off_or_of_another_form_holds_nothing_and_a_full_one_is_no_error(
+def test_a_truncated_or_foreign_registry_is_empty_and_a_full_one_is_no_error(
     tmp_path: Path,
 ) -> None:
-    one, two, path = tables(tmp_path)
+    one, two, path = registries(tmp_path)
     many = [b"%016x" % each for each in range(20_000)]
     for ident in many:
         two.add(ident)
@@ -206,7 +204,7 @@
     assert many[0] not in one
 
 
-def test_an_id_that_is_open_in_the_old_process_is_in_use_in_the_new_one(tmp_path: Path) -> None:
+def test_an_id_open_in_the_old_process_is_in_use_in_the_new_one(tmp_path: Path) -> None:
     async def work() -> None:
         answered = asyncio.Event()
 
@@ -224,7 +222,7 @@
             second = await start_process(path)
             assert second.stderr is not None
             assert b"serves on" in await soon(second.stderr.readline())
-            for _ in range(24):  # the kernel gives some to each
+            for _ in range(24):  # the kernel distributes them to both processes
                 again = await running.client()
                 assert (await again.exchange("lodge", Request_Id="00000000000000aa")).status == 409
                 again.close()
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -1,4 +1,4 @@
-"""The account of memory: stages that do not flap, what is done in each, and nothing taken that is lost."""
+"""The memory budget: pressure levels without flapping, their effects, and no accepted request lost."""
 
 from __future__ import annotations
 
@@ -28,88 +28,88 @@
 
 @pytest.mark.parametrize("stage_", [each for each in PressureLevel if each is not PressureLevel.NORMAL])
 @pytest.mark.parametrize("kind", [MemoryUse.REQUESTS, MemoryUse.ANSWERS])
-def test_a_stage_is_entered_at_its_share_and_left_at_a_lower_one(
+def test_a_level_is_entered_at_its_share_and_left_at_a_lower_one(
     kind: MemoryUse, stage_: PressureLevel
 ) -> None:
-    told: list[PressureLevel] = []
-    account = MemoryBudget(LIMIT, told.append)
+    entered: list[PressureLevel] = []
+    budget = MemoryBudget(LIMIT, entered.append)
     enters = at(ENTER_AT_CHARGED[stage_])
-    account.charge(kind, enters - 1)
-    assert account.level is PressureLevel(stage_ - 1)
-    account.charge(kind, 1)
-    assert account.level is stage_
-    account.set_charge(kind, int(LEAVE_FACTOR * enters))
-    assert account.level is stage_
-    account.charge(kind, -1)
-    assert account.level < stage_
-    account.set_charge(kind, 0)
-    assert account.level is PressureLevel.NORMAL and told[-1] is PressureLevel.NORMAL
+    budget.charge(kind, enters - 1)
+    assert budget.level is PressureLevel(stage_ - 1)
+    budget.charge(kind, 1)
+    assert budget.level is stage_
+    budget.set_charge(kind, int(LEAVE_FACTOR * enters))
+    assert budget.level is stage_
+    budget.charge(kind, -1)
+    assert budget.level < stage_
+    budget.set_charge(kind, 0)
+    assert budget.level is PressureLevel.NORMAL and entered[-1] is PressureLevel.NORMAL
 
 
 @pytest.mark.parametrize("kind", [MemoryUse.BODIES, MemoryUse.UNSENT])
-def test_what_has_a_bound_of_its_own_refuses_nobody(kind: MemoryUse) -> None:
-    account = MemoryBudget(LIMIT)
-    account.charge(kind, LIMIT)
-    assert account.level is PressureLevel.NORMAL and account.charged_bytes[kind] == LIMIT
+def test_uses_with_their_own_limit_do_not_raise_the_level(kind: MemoryUse) -> None:
+    budget = MemoryBudget(LIMIT)
+    budget.charge(kind, LIMIT)
+    assert budget.level is PressureLevel.NORMAL and budget.charged_bytes[kind] == LIMIT
 
 
-def test_resident_memory_that_nobody_booked_leads_to_a_stage_as_well() -> None:
-    account = MemoryBudget(LIMIT)
-    account.set_idle_baseline(at(0.2))
-    stages = []
+def test_resident_memory_that_is_not_charged_raises_the_level() -> None:
+    budget = MemoryBudget(LIMIT)
+    budget.set_idle_baseline(at(0.2))
+    levels = []
     for resident in (0.2, 0.5, 0.57, 0.69, 0.77, 0.85, 0.6, 0.45, 0.2):
-        account.update_resident(at(resident))
-        stages.append(account.level.value)
-    assert stages == [0, 0, 1, 2, 3, 4, 2, 0, 0]
+        budget.update_resident(at(resident))
+        levels.append(budget.level.value)
+    assert levels == [0, 0, 1, 2, 3, 4, 2, 0, 0]
 
 
-def test_a_limit_that_the_idle_process_nearly_takes_still_lets_a_trickle_through() -> None:
-    account = MemoryBudget(16 * MB)
-    account.set_idle_baseline(15 * MB)
-    stages = []
+def test_a_limit_barely_above_the_idle_process_admits_some_requests() -> None:
+    budget = MemoryBudget(16 * MB)
+    budget.set_idle_baseline(15 * MB)
+    levels = []
     for resident_mb in (15.0, 15.2, 15.9):
-        account.charge(MemoryUse.REQUESTS, 20_000)
-        account.update_resident(int(resident_mb * MB))
-        stages.append(account.level)
-    assert stages == [PressureLevel.NORMAL, PressureLevel.NORMAL, PressureLevel.CLOSE_IDLE]
+        budget.charge(MemoryUse.REQUESTS, 20_000)
+        budget.update_resident(int(resident_mb * MB))
+        levels.append(budget.level)
+    assert levels == [PressureLevel.NORMAL, PressureLevel.NORMAL, PressureLevel.CLOSE_IDLE]
 
 
 def test_two_processes_that_share_a_limit_shed_at_half_of_it() -> None:
-    account = MemoryBudget(LIMIT)
-    account.charge(MemoryUse.REQUESTS, at(0.07))
-    stages = [account.level]
+    budget = MemoryBudget(LIMIT)
+    budget.charge(MemoryUse.REQUESTS, at(0.07))
+    levels = [budget.level]
     for limit in (LIMIT // 2, LIMIT):
-        account.set_limit(limit)
-        stages.append(account.level)
-    account.charge(MemoryUse.REQUESTS, -at(0.01))
-    stages.append(account.level)
-    # Passing on is entered at 0.08 of the limit and left at 0.064.
-    assert stages == [PressureLevel.NORMAL, PressureLevel.SHED, PressureLevel.PASS_ON, PressureLevel.NORMAL]
+        budget.set_limit(limit)
+        levels.append(budget.level)
+    budget.charge(MemoryUse.REQUESTS, -at(0.01))
+    levels.append(budget.level)
+    # PASS_ON is entered at 0.08 of the limit and left at 0.064.
+    assert levels == [PressureLevel.NORMAL, PressureLevel.SHED, PressureLevel.PASS_ON, PressureLevel.NORMAL]
 
 
 @given(st.lists(st.tuples(st.sampled_from(MemoryUse), st.integers(-(20 * MB), 20 * MB)), max_size=40))
-def test_the_stage_is_that_of_the_amounts_however_they_came(steps: list[tuple[MemoryUse, int]]) -> None:
-    account = MemoryBudget(LIMIT)
+def test_the_level_depends_only_on_amounts_and_the_previous_level(steps: list[tuple[MemoryUse, int]]) -> None:
+    budget = MemoryBudget(LIMIT)
     for kind, more in steps:
-        before = account.level
-        account.charge(kind, more)
-        booked = account.charged_bytes[MemoryUse.REQUESTS] + account.charged_bytes[MemoryUse.ANSWERS]
-        assert account.pressure_bytes == booked
+        before = budget.level
+        budget.charge(kind, more)
+        charged = budget.charged_bytes[MemoryUse.REQUESTS] + budget.charged_bytes[MemoryUse.ANSWERS]
+        assert budget.pressure_bytes == charged
         enters = max(
             each
             for each in PressureLevel
-            if booked >= at(ENTER_AT_CHARGED[each]) or each is PressureLevel.NORMAL
+            if charged >= at(ENTER_AT_CHARGED[each]) or each is PressureLevel.NORMAL
         )
         stays = max(
             each
             for each in PressureLevel
             if each is PressureLevel.NORMAL
-            or (each <= before and booked >= LEAVE_FACTOR * at(ENTER_AT_CHARGED[each]))
+            or (each <= before and charged >= LEAVE_FACTOR * at(ENTER_AT_CHARGED[each]))
         )
-        assert account.level is max(enters, stays)
+        assert budget.level is max(enters, stays)
 
 
-def test_new_requests_are_refused_and_taken_ones_answered_while_memory_is_short() -> None:
+def test_new_requests_are_refused_and_open_ones_answered_under_pressure() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -130,40 +130,40 @@
             assert (await taken.answer()).status == 200
             memory.set_charge(MemoryUse.ANSWERS, 0)
             assert (await harness.exchange("lodge")).status == 200
-            assert len(harness.received) == 2  # the refused one was sent on to nobody
+            assert len(harness.received) == 2  # the refused one was not forwarded
             assert harness.sidecar._engine.shed_requests == 1
 
     run_async(work)
 
 
-def test_half_sent_requests_are_given_up_and_no_whole_one_is() -> None:
+def test_only_partial_requests_are_dropped_under_pressure() -> None:
     async def work() -> None:
         async with run_harness(None) as harness:
             memory = harness.sidecar.memory
-            half, whole = await harness.client(), await harness.client()
-            whole.send(request("lodge", timeout="10"))
+            partial, complete = await harness.client(), await harness.client()
+            complete.send(request("lodge", timeout="10"))
             await until(lambda: len(harness.received) == 1)
-            half.send(request("lodge", body=b"x" * 1_000)[:-1])
+            partial.send(request("lodge", body=b"x" * 1_000)[:-1])
             await until(lambda: harness.sidecar.listener.connections.partial_requests == 1)
             memory.charge(
                 MemoryUse.ANSWERS, int(memory.limit_bytes * ENTER_AT_CHARGED[PressureLevel.CLOSE_IDLE])
             )
-            assert (await half.answer()).status == 503
+            assert (await partial.answer()).status == 503
             await asyncio.sleep(0.3)
-            assert harness.sidecar.open_requests == 1  # it is owed its answer
+            assert harness.sidecar.open_requests == 1  # the complete request stays open
             memory.set_charge(MemoryUse.ANSWERS, 0)
 
     run_async(work)
 
 
-def test_bodies_are_passed_on_from_a_smaller_size_while_memory_is_short() -> None:
+def test_smaller_bodies_are_streamed_under_pressure() -> None:
     async def work() -> None:
         body = b"y" * 30_000
 
-        async def half(received: object) -> bytes:
+        async def partial(received: object) -> bytes:
             return reply(body)[:20_000]
 
-        async with run_harness(half) as harness:
+        async with run_harness(partial) as harness:
             memory = harness.sidecar.memory
             client = await harness.client()
             memory.charge(
@@ -176,7 +176,7 @@
     run_async(work)
 
 
-def test_all_that_was_booked_is_free_once_all_is_answered() -> None:
+def test_all_charges_are_released_once_all_is_answered() -> None:
     async def work() -> None:
         async with run_harness(reply(b"z" * 40_000)) as harness:
             clients = [await harness.client() for _ in range(4)]
@@ -185,17 +185,17 @@
             for client in clients:
                 for _ in range(3):
                     assert (await client.answer()).status == 200
-            half = await harness.client()
-            half.send(request("lodge", body=b"x" * 30_000)[:-1])
+            partial = await harness.client()
+            partial.send(request("lodge", body=b"x" * 30_000)[:-1])
             await until(lambda: harness.sidecar.memory.charged_bytes[MemoryUse.REQUESTS] > 30_000)
-            half.close()
+            partial.close()
             await until(lambda: not any(harness.sidecar.memory.charged_bytes.values()))
 
     run_async(work)
 
 
 class _Clock:
-    """A network that only tells the time and keeps the one timer."""
+    """A network of which only the clock and timers are used; a timer advances the clock."""
 
     def __init__(self) -> None:
         self.at = 0.0
@@ -207,28 +207,28 @@
         self.at += delay_s
 
 
-def test_each_new_tenth_of_the_limit_is_one_line_with_what_holds_most(
+def test_each_new_tenth_of_the_limit_is_one_log_line(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     lines: list[str] = []
     resident = [at(0.12)]
     monkeypatch.setattr("micadeck.memory.monitor.anonymous_bytes", lambda: resident[0])
     monkeypatch.setattr("micadeck.memory.monitor.trim_heap", lambda: None)
-    account = MemoryBudget(LIMIT)
-    keeper = MemoryMonitor(_Clock(), account, lines.append)  # type: ignore[arg-type]
-    keeper.start()
+    budget = MemoryBudget(LIMIT)
+    monitor = MemoryMonitor(_Clock(), budget, lines.append)  # type: ignore[arg-type]
+    monitor.start()
     for share in (0.15, 0.21, 0.25, 0.33, 0.22, 0.35, 0.41):
         resident[0] = at(share)
-        account.set_charge(MemoryUse.REQUESTS, at(0.05))
-        keeper._sample()
+        budget.set_charge(MemoryUse.REQUESTS, at(0.05))
+        monitor._sample()
     assert len(lines) == 3
     assert lines[0] == (
         "memory: 21.0 of 100 MB resident; requests 5.0, answers 0.0, unsent 0.0, bodies 0.0, unaccounted 4.0"
     )
-    assert json.dumps(account.charged_bytes)  # kinds are words, as figures name them
+    assert json.dumps(budget.charged_bytes)  # keys are strings, as in the statistics
 
 
-def test_free_memory_is_given_back_also_where_an_earlier_trim_found_it_in_use(
+def test_free_memory_is_trimmed_after_an_earlier_trim_without_effect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     used, trims = [at(0.1)], [0]
@@ -240,40 +240,40 @@
 
     monkeypatch.setattr("micadeck.memory.monitor.anonymous_bytes", lambda: resident[0])
     monkeypatch.setattr("micadeck.memory.monitor.trim_heap", trim)
-    account = MemoryBudget(LIMIT)
+    budget = MemoryBudget(LIMIT)
     clock = _Clock()
-    keeper = MemoryMonitor(clock, account, lambda _: None)  # type: ignore[arg-type]
-    keeper.start()
-    used[0] = resident[0] = at(0.4)  # in use, and nobody books it
+    monitor = MemoryMonitor(clock, budget, lambda _: None)  # type: ignore[arg-type]
+    monitor.start()
+    used[0] = resident[0] = at(0.4)  # in use, and not charged
     while clock.time() < 60.0:
-        keeper._sample()
-    assert trims[0] <= 12  # ever rarer
+        monitor._sample()
+    assert trims[0] <= 12  # at growing intervals
     used[0] = at(0.1)
     freed_at = clock.time()
     while resident[0] > at(0.1) and clock.time() - freed_at <= 8.5:
-        keeper._sample()
+        monitor._sample()
     assert resident[0] == at(0.1)
 
 
-def test_a_probe_that_is_answered_with_34_mb_is_cut_off_at_its_head() -> None:
+def test_a_probe_answered_with_34_mb_is_aborted_at_the_head() -> None:
     async def work() -> None:
         ended: list[object] = []
         async with run_harness(
             b"HTTP/1.1 200 OK\r\nContent-Length: 34000000\r\n\r\n" + b"x" * 100_000
         ) as harness:
-            carrier = harness.sidecar._runtime.upstream
-            began = carrier._network.time()
-            until_us = carrier._network.now() + 5_000_000
-            carrier.probe("s-0", until_us, lambda outcome, *_: ended.append(outcome))
+            upstream = harness.sidecar._runtime.upstream
+            began = upstream._network.time()
+            until_us = upstream._network.now() + 5_000_000
+            upstream.probe("s-0", until_us, lambda outcome, *_: ended.append(outcome))
             await until(lambda: bool(ended))
             assert ended == [Outcome.MALFORMED]
-            assert carrier._network.time() - began < 0.2  # by its head, not by its stall of 0.25 s
+            assert upstream._network.time() - began < 0.2  # by its head, not by the 0.25 s stall timeout
             assert harness.sidecar.memory.charged_bytes[MemoryUse.ANSWERS] == 0
 
     run_async(work)
 
 
-def test_the_library_refuses_nobody_for_its_hosts_memory() -> None:
+def test_the_library_does_not_refuse_requests_for_memory() -> None:
     async def work() -> None:
         runtime = Runtime(parse(GOOD), LoopNetwork(), lambda _: None)
         assert runtime.engine.memory is None
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""What a reload takes over, what only a restart does, and what it rejects."""
+"""Which changes a reload applies, which need a restart, and which it rejects."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
     assert getattr(plan.config, key) == getattr(running, key)
 
 
-def test_peers_and_discovery_are_taken_over() -> None:
+def test_peers_and_discovery_are_applied() -> None:
     loaded = config(peers=["127.0.0.1:7"], discovery="127.0.0.1:8")
     plan = plan_reload(config(), loaded)
     assert plan.restart_keys == () and plan.config.peers == loaded.peers
     assert plan.config.discovery == loaded.discovery
 
 
-def test_settings_are_announced_with_their_restart_only_values_as_they_were() -> None:
+def test_reloaded_settings_keep_their_restart_only_values() -> None:
     running = config()
     loaded = replace(running, settings=replace(running.settings, zone="elsewhere", me=7))
     plan = plan_reload(running, loaded)
@@ -51,15 +51,15 @@
     assert plan.settings == running.settings and plan.config.settings == running.settings
 
 
-def test_a_configuration_that_lost_a_key_is_rejected() -> None:
+def test_a_configuration_that_lacks_an_earlier_key_is_rejected() -> None:
     running = config()
     with pytest.raises(ConfigError, match=r"^settings\.extra: it is missing"):
         plan_reload(replace(running, keys=running.keys | {"settings.extra"}), config())
 
 
 @async_test
-async def test_settings_that_a_host_puts_back_are_in_force_again() -> None:
-    """Without a listener, as in the library, settings are in force at once: the engine follows each."""
+async def test_settings_that_a_host_restores_are_applied_again() -> None:
+    # Without a listener, as in the library, each reload applies its settings to the engine at once.
     first = config()
     classes = tuple(replace(each, deadline_us=each.deadline_us + 1) for each in first.settings.classes)
     second = replace(first, settings=replace(first.settings, classes=classes))
--- a/tests/test_scheduling_delay.py
+++ b/tests/test_scheduling_delay.py
@@ -18,37 +18,37 @@
 
 
 @contextlib.asynccontextmanager
-async def late_by(seconds: float) -> AsyncIterator[None]:
-    """Each round of the event loop takes so much longer."""
+async def blocked_loop(seconds: float) -> AsyncIterator[None]:
+    """Make each iteration of the event loop take this much longer."""
 
-    async def hold_up() -> None:
+    async def block() -> None:
         while True:
             time.sleep(seconds)
             await asyncio.sleep(0)
 
-    task = asyncio.create_task(hold_up())
+    task = asyncio.create_task(block())
     try:
         yield
     finally:
         task.cancel()
 
 
-async def rounds(count: int) -> int:
+async def iterations(count: int) -> int:
     for _ in range(count):
         await asyncio.sleep(0)
     return count
 
 
 @async_test
-async def test_work_of_a_few_rounds_is_given_them_however_long_each_takes() -> None:
-    async with late_by(0.05):
-        assert await wait_excluding_lag(LoopNetwork(), 0.2, rounds(8)) == 8
+async def test_work_gets_its_loop_iterations_however_long_each_takes() -> None:
+    async with blocked_loop(0.05):
+        assert await wait_excluding_lag(LoopNetwork(), 0.2, iterations(8)) == 8
         with pytest.raises(TimeoutError):
-            await wait_excluding_lag(LoopNetwork(), 0.2, rounds(200))
+            await wait_excluding_lag(LoopNetwork(), 0.2, iterations(200))
 
 
 @async_test
-async def test_silence_is_seen_in_its_time_by_a_loop_that_is_in_time() -> None:
+async def test_a_timeout_without_scheduling_delay_is_on_time() -> None:
     began = time.monotonic()
     with pytest.raises(TimeoutError):
         await wait_excluding_lag(LoopNetwork(), 0.2, asyncio.sleep(5.0))
@@ -56,7 +56,7 @@
 
 
 @async_test
-async def test_what_work_raises_is_passed_on_and_a_cancel_ends_it() -> None:
+async def test_exceptions_propagate_and_cancellation_ends_the_work() -> None:
     ended = asyncio.Event()
 
     async def refused() -> None:
@@ -79,10 +79,10 @@
 
 
 @async_test
-async def test_a_late_process_logs_in_at_servers_that_are_well() -> None:
+async def test_a_delayed_process_logs_in_at_healthy_servers() -> None:
     async with scene() as stage:
         client = await stage.connect()
-        async with late_by(0.07):
+        async with blocked_loop(0.07):
             answer = await ask(client, READ)
         assert answer == ROWS
         assert not [each for each in stage.log if "failed" in each]
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""Events and actions: what the decisions see and what becomes of their word, over loopback sockets."""
+"""Events to the balancer and the effects of its actions, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 FAR = 2**52
 
 
-class Scripted:
-    """Decisions by a script, in place of the module; it keeps what it heard."""
+class ScriptedBalancer:
+    """A balancer that decides by a script and keeps the events it received."""
 
     def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
@@ -50,7 +50,7 @@
         self.times: list[int] = []
         self._inside = False
 
-    def __call__(self, settings: Settings, seed: int) -> Scripted:
+    def __call__(self, settings: Settings, seed: int) -> ScriptedBalancer:
         return self
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -68,16 +68,18 @@
 
 
 @pytest.fixture
-def scripted(monkeypatch: pytest.MonkeyPatch) -> Callable[[Callable[[Event], list[Action]]], Scripted]:
-    def use(decide: Callable[[Event], list[Action]]) -> Scripted:
-        balancer = Scripted(decide)
+def scripted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> Callable[[Callable[[Event], list[Action]]], ScriptedBalancer]:
+    def use(decide: Callable[[Event], list[Action]]) -> ScriptedBalancer:
+        balancer = ScriptedBalancer(decide)
         monkeypatch.setattr("micadeck.engine.engine.Balancer", balancer)
         return balancer
 
     return use
 
 
-Use = Callable[[Callable[[Event], list[Action]]], Scripted]
+Use = Callable[[Callable[[Event], list[Action]]], ScriptedBalancer]
 
 
 def on_arrival(*actions: Callable[[int], Action]) -> Callable[[Event], list[Action]]:
@@ -87,7 +89,7 @@
     return decide
 
 
-def test_final_answers_leave_at_once_and_advice_is_decimal(scripted: Use) -> None:
+def test_final_answers_are_sent_at_once_and_retry_after_is_decimal(scripted: Use) -> None:
     def decide(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
             return []
@@ -153,7 +155,7 @@
     run_async(work)
 
 
-def test_a_client_that_leaves_is_told_to_the_decisions(scripted: Use) -> None:
+def test_a_client_disconnect_is_an_event(scripted: Use) -> None:
     async def work() -> None:
         balancer = scripted(on_arrival(lambda number: Send(number, "s-0", FAR)))
         release = asyncio.Event()
@@ -176,7 +178,7 @@
 
 
 @pytest.mark.parametrize("how", ["header", "body"])
-def test_a_probe_brings_its_report(scripted: Use, how: str) -> None:
+def test_a_probe_returns_a_load_report(scripted: Use, how: str) -> None:
     async def report(received: ReceivedRequest) -> bytes:
         text = b"TEXT qps=7, util=0.5"
         if how == "header":
@@ -258,8 +260,8 @@
     run_async(work)
 
 
-def test_a_defect_of_the_decisions_fails_its_request_and_no_other(scripted: Use) -> None:
-    # Guards against a request that nobody owns any more, after an exception on its way.
+def test_an_exception_in_a_decision_fails_only_its_request(scripted: Use) -> None:
+    # Guards against a request that stays open without an answer after an exception.
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             if event.service_class == "lodge":
@@ -277,7 +279,7 @@
     run_async(work)
 
 
-def test_any_bytes_from_clients_and_servers_leave_the_sidecar_alive() -> None:
+def test_the_sidecar_survives_any_bytes_from_clients_and_servers() -> None:
     chance = random.Random(20)
 
     def mangled(text: bytes) -> bytes:
@@ -291,8 +293,8 @@
         return mangled(OK + OK) if chance.random() < 0.7 else OK
 
     async def work() -> None:
-        faults: list[dict[str, Any]] = []
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
+        errors: list[dict[str, Any]] = []
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
         async with run_harness(odd, odd, odd) as harness:
             for number in range(150):
                 client = await harness.client()
@@ -308,6 +310,6 @@
             client = await harness.client()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await client.answer()).status == 200
-        assert [each for each in faults if "micadeck" in repr(each) or "protocol." in each["message"]] == []
+        assert [each for each in errors if "micadeck" in repr(each) or "protocol." in each["message"]] == []
 
     run_async(work)
--- a/tests/test_startup_retry.py
+++ b/tests/test_startup_retry.py
@@ -1,4 +1,4 @@
-"""A start waits out what fails for a moment, says so once, and ends only for what can't pass."""
+"""A start retries transient errors, logs them once, and ends only at permanent ones."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from test_program import GOOD, ROOT
 
 FAILS_S = 1.5
-READY_WITHIN_S = 10.0  # of the fault's end
+READY_WITHIN_S = 10.0  # after the error's end
 SCRIPT = Path(__file__).parent / "failing_start.py"
 
-PASSING = [
+TRANSIENT = [
     ("socket", errno.ENFILE),
     ("socket", errno.EMFILE),
     ("socket", errno.ENOBUFS),
@@ -41,7 +41,7 @@
 ]
 
 
-async def begun(folder: Path, call: str, number: int, seconds: float) -> asyncio.subprocess.Process:
+async def start_failing(folder: Path, call: str, number: int, seconds: float) -> asyncio.subprocess.Process:
     path = folder / "config.json"
     path.write_text(json.dumps(GOOD))
     return await asyncio.create_subprocess_exec(
@@ -56,11 +56,11 @@
     )
 
 
-@pytest.mark.parametrize(("call", "number"), PASSING, ids=lambda each: errno.errorcode.get(each, each))
-def test_a_start_waits_out_a_call_that_fails_for_a_moment(call: str, number: int, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("call", "number"), TRANSIENT, ids=lambda each: errno.errorcode.get(each, each))
+def test_a_start_retries_a_call_that_fails_transiently(call: str, number: int, tmp_path: Path) -> None:
     async def work() -> None:
         began = time.monotonic()
-        process = await begun(tmp_path, call, number, FAILS_S)
+        process = await start_failing(tmp_path, call, number, FAILS_S)
         assert process.stderr is not None
         lines: list[bytes] = []
         while not lines or b"serves on" not in lines[-1]:
@@ -77,11 +77,11 @@
 
 @pytest.mark.parametrize("what", [signal.SIGTERM, signal.SIGINT])
 @pytest.mark.parametrize(("call", "number"), [("bind", errno.ENOBUFS), ("loop", errno.EMFILE)])
-def test_a_start_that_waits_hears_its_end(
+def test_a_start_that_retries_ends_at_a_signal(
     call: str, number: int, what: signal.Signals, tmp_path: Path
 ) -> None:
     async def work() -> None:
-        process = await begun(tmp_path, call, number, 60.0)
+        process = await start_failing(tmp_path, call, number, 60.0)
         assert process.stderr is not None
         assert os.strerror(number).encode() in await soon(process.stderr.readline())
         began = time.monotonic()
@@ -92,12 +92,12 @@
     run_async(work)
 
 
-def test_a_start_ends_at_once_where_there_is_no_such_address(tmp_path: Path) -> None:
+def test_a_start_ends_at_once_if_the_address_does_not_exist(tmp_path: Path) -> None:
     async def work() -> None:
         began = time.monotonic()
-        process = await begun(tmp_path, "bind", errno.EADDRNOTAVAIL, 60.0)
-        _, told = await soon(process.communicate())
+        process = await start_failing(tmp_path, "bind", errno.EADDRNOTAVAIL, 60.0)
+        _, log = await soon(process.communicate())
         assert process.returncode == 1 and time.monotonic() - began <= 5.0
-        assert told.startswith(b"micadeck: can't listen: listen: ") and told.count(b"\n") == 1
+        assert log.startswith(b"micadeck: can't listen: listen: ") and log.count(b"\n") == 1
 
     run_async(work)
