--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -116,17 +116,17 @@
     for at in range(0, len(raw), size):
         reader.feed(raw[at : at + size])
     assert reader.error_status is None
-    told = []
+    parsed_bodies = []
     for each in reader.requests:
         if each.stream is None:
-            told.append((each.body, False))
+            parsed_bodies.append((each.body, False))
         else:
             out: list[bytes] = []
             ended: list[bool] = []
             each.stream.open(out.append, partial(ended.append, True))
             assert ended == [True]
-            told.append((b"".join(out), True))
-    return told
+            parsed_bodies.append((b"".join(out), True))
+    return parsed_bodies
 
 
 @pytest.mark.parametrize("size", [1 << 20, 65_536, 4_096, 997, 64])
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -113,8 +113,8 @@
     async with run_harness(OK, overrides={"operator": f"{HOST}:0", "limits": limits}) as harness:
         sidecar = harness.sidecar
         runtime = sidecar._runtime
-        whole = runtime.max_client_connections + runtime.upstream.max_connections
-        assert whole == 256 - _RESERVED_DESCRIPTORS
+        full_limit = runtime.max_client_connections + runtime.upstream.max_connections
+        assert full_limit == 256 - _RESERVED_DESCRIPTORS
         idle = [await harness.client() for _ in range(60)]
         for each in idle:
             assert (await each.exchange()).status == 200
@@ -131,7 +131,7 @@
             await until(lambda: len(sidecar.listener.connections) <= runtime.max_client_connections)
         assert hot_restart.refresh()
         sidecar._share_limits()
-        assert runtime.max_client_connections + runtime.upstream.max_connections == whole
+        assert runtime.max_client_connections + runtime.upstream.max_connections == full_limit
 
 
 def test_a_limit_is_divided_into_integers() -> None:
@@ -194,11 +194,11 @@
         two.add(ident)
     shown = sum(ident in one for ident in many)
     assert 8_000 < shown <= 8 * 1024 and all(ident in two for ident in many)
-    whole = path.read_bytes()
-    for length in (0, 3, 17, len(whole) // 2):
-        path.write_bytes(whole[:length])
+    content = path.read_bytes()
+    for length in (0, 3, 17, len(content) // 2):
+        path.write_bytes(content[:length])
         assert sum(ident in one for ident in many) <= length / 8
-    path.write_bytes(b"micadeck ids 2\n\0" + whole[16:])
+    path.write_bytes(b"micadeck ids 2\n\0" + content[16:])
     assert not any(ident in one for ident in many)
     path.unlink()
     assert many[0] not in one
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -120,14 +120,14 @@
         bounds = {"maxRetryAfterUs": 300_000}
         async with run_harness(answer, bounds=bounds) as harness:
             memory = harness.sidecar.memory
-            taken = await harness.client()
-            taken.send(request("lodge"))
+            accepted = await harness.client()
+            accepted.send(request("lodge"))
             await until(lambda: len(harness.received) == 1)
             memory.charge(MemoryUse.ANSWERS, int(memory.limit_bytes * ENTER_AT_CHARGED[PressureLevel.SHED]))
             refused = await harness.exchange("lodge")
             assert refused.status == 503 and refused.headers["retry-after"] == "0.300"
             release.set()
-            assert (await taken.answer()).status == 200
+            assert (await accepted.answer()).status == 200
             memory.set_charge(MemoryUse.ANSWERS, 0)
             assert (await harness.exchange("lodge")).status == 200
             assert len(harness.received) == 2  # the refused one was not forwarded
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -336,7 +336,7 @@
     run_async(work)
 
 
-def test_load_reports_reach_the_decisions_and_nonsense_does_not() -> None:
+def test_load_reports_are_parsed_and_malformed_ones_ignored() -> None:
     from micadeck.http.h1 import Response
     from micadeck.http.upstream import load_report
 
@@ -350,16 +350,17 @@
     assert load_report(Response(200, [], b""), ("qps",)) is None
 
 
-@pytest.mark.parametrize(("gives_up", "comes_whole"), [(True, False), (False, True)])
-def test_what_was_held_up_when_an_attempt_is_given_up_never_comes_whole(
-    gives_up: bool, comes_whole: bool
+@pytest.mark.parametrize(("cancels", "arrives_complete"), [(True, False), (False, True)])
+def test_a_request_cancelled_while_partly_buffered_never_arrives_complete(
+    cancels: bool, arrives_complete: bool
 ) -> None:
-    """Guards rule 2: a server begins with the last byte, however late that comes."""
+    # Guards rule 2: a server starts work at the last byte, however late it arrives.
     request = Request(b"POST", b"/slow", [(b"host", b"x"), (b"content-length", b"60000")], b"x" * 60_000)
 
     async def run() -> bytes:
         with socket.socket() as listener:
-            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)  # it takes in a part of it
+            # Buffers only a part of the request.
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             listener.bind((HOST, 0))
             listener.listen()
             network, written = LoopNetwork(), asyncio.Event()
@@ -369,17 +370,17 @@
             )
             server, _ = listener.accept()
             connection.exchange(request, lambda _: None, written.set)
-            await soon(written.wait())  # to the last byte, as far as can be told here
-            if gives_up:
+            await soon(written.wait())  # to the last byte, as far as this side can see
+            if cancels:
                 connection.close()
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)  # the event loop closes the socket in a later round
             server.settimeout(0.2)
-            came = b""
+            received_bytes = b""
             with server, contextlib.suppress(ConnectionResetError, TimeoutError):
                 while data := server.recv(65_536):
-                    came += data
+                    received_bytes += data
             connection.close()
-            return came
+            return received_bytes
 
-    assert (len(run_async(run)) >= 60_000) is comes_whole
+    assert (len(run_async(run)) >= 60_000) is arrives_complete
