--- a/tests/child_process_peers.py
+++ b/tests/child_process_peers.py
@@ -1,4 +1,4 @@
-"""Runs servers and a roster in a child process, for tests in which this process stalls or ends."""
+"""Servers and a roster in a child process, for tests that stall or end this one."""
 
 from __future__ import annotations
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -48,7 +48,7 @@
 
 
 def run_async(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
-    """Run a test's coroutine; fail if it takes longer than twice `WAIT_TIMEOUT_S`."""
+    """Run a test's coroutine; fail if it hangs."""
 
     async def bounded() -> T:
         async with asyncio.timeout(2 * WAIT_TIMEOUT_S):
@@ -162,7 +162,7 @@
 
 
 class FullBacklogServer:
-    """A server that completes no connection: its listen backlog is full until `accept_sidecar`."""
+    """A server whose listen backlog is full until `accept_sidecar`."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -286,7 +286,7 @@
 
 
 def consul_config(*agents: str, **service: Any) -> str:
-    """Write a Consul configuration of these agents and one service; return its path."""
+    """Write a Consul configuration; return its path."""
     settings = {"agents": agents, "services": [{"name": "tariff", **service}], "wait_s": 10, "spread_s": 0}
     with tempfile.NamedTemporaryFile("w", suffix=".json", prefix="consul-", delete=False) as file:
         json.dump(settings, file)
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -1,4 +1,4 @@
-"""Series of signals to the program from the start of its process to the end of its shutdown."""
+"""Series of signals to the program from its start to the end of its shutdown."""
 
 from __future__ import annotations
 
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -1,4 +1,4 @@
-"""Client connections: validation, limits, timeouts and order of answers, over loopback sockets."""
+"""Client connections over loopback sockets."""
 
 from __future__ import annotations
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: two processes detect each other, share limits and survive each other's end."""
+"""Hot restart: two processes detect each other and share limits."""
 
 from __future__ import annotations
 
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Which idle client connections are kept: the policy alone, and over loopback sockets."""
+"""Which idle connections are kept: the policy alone, and over loopback sockets."""
 
 from __future__ import annotations
 
--- a/tests/test_memory_budget.py
+++ b/tests/test_memory_budget.py
@@ -195,7 +195,7 @@
 
 
 class _Clock:
-    """A network of which only the clock and timers are used; a timer advances the clock."""
+    """A network whose timers advance its clock."""
 
     def __init__(self) -> None:
         self.at = 0.0
--- a/tests/test_scheduling_delay.py
+++ b/tests/test_scheduling_delay.py
@@ -19,7 +19,7 @@
 
 @contextlib.asynccontextmanager
 async def blocked_loop(seconds: float) -> AsyncIterator[None]:
-    """Make each iteration of the event loop take this much longer."""
+    """Delay each iteration of the event loop."""
 
     async def block() -> None:
         while True:
--- a/tests/test_time_of_answers.py
+++ b/tests/test_time_of_answers.py
@@ -35,7 +35,7 @@
 
 
 async def assert_ends_in_time(client: Client, began: float) -> None:
-    """Check that the connection ends at most `MAX_LATE_S` after the deadline."""
+    """Check that the connection ends within `MAX_LATE_S` of the deadline."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
         while await soon(client.reader.read(65_536)):
             pass
