--- a/tests/child_process_peers.py
+++ b/tests/child_process_peers.py
@@ -17,7 +17,7 @@
 
 
 class StandInProcess:
-    """Stand-in servers and a roster; any thread may send commands."""
+    """Stand-in servers; any thread may send commands."""
 
     def __init__(self, child: subprocess.Popen[str]) -> None:
         self._child = child
