--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -60,7 +60,7 @@
 @pytest.fixture(autouse=True)  # autouse, as a fixture name added to a test at collection is not set up
 def way(request: pytest.FixtureRequest) -> Iterator[str]:
     selected: str = getattr(request, "param", "daemon")
-    loopback.way, _, members = selected.partition(" by ")
-    loopback.members = members or "roster"
+    loopback.way, _, discovery_source = selected.partition(" by ")
+    loopback.discovery_source = discovery_source or "roster"
     yield selected
-    loopback.way, loopback.members = "daemon", "roster"
+    loopback.way, loopback.discovery_source = "daemon", "roster"
--- a/tests/embedding_parity.py
+++ b/tests/embedding_parity.py
@@ -37,29 +37,29 @@
 _PROCESS = "the daemon's process: its signals, exit codes and log lines"
 
 HTTP_ONLY = {
-    "test_the_connection_longest_at_rest_makes_room_for_a_new_one": _CONNECTIONS,
-    "test_requests_that_stall_half_sent_make_room_for_new_ones": _CONNECTIONS,
-    "test_letting_go_of_idle_connections_spares_one_with_a_request_unread": _CONNECTIONS,
-    "test_hundreds_that_connect_and_say_nothing_leave_room_for_those_that_ask": _CONNECTIONS,
-    "test_when_every_connection_is_owed_an_answer_a_further_one_is_closed": _CONNECTIONS,
-    "test_clients_that_ask_once_and_keep_leave_room_for_others": _CONNECTIONS,
-    "test_clients_that_reuse_keep_their_connections_beside_those_that_ask_once": _CONNECTIONS,
-    "test_a_connection_with_a_request_unread_is_not_closed_for_room": _CONNECTIONS,
-    "test_health_is_answered_here": "a path that only the daemon serves",
-    "test_what_can_be_read_in_two_ways_is_turned_away_with_all_that_follows": _RAW_BYTES,
-    "test_what_half_sent_requests_hold_in_memory_is_bounded": _RAW_BYTES,
-    "test_what_comes_behind_an_open_request_is_left_in_the_socket": _RAW_BYTES,
-    "test_what_a_client_that_was_turned_away_sent_is_freed_at_once": _RAW_BYTES,
-    "test_any_bytes_from_clients_and_servers_leave_the_sidecar_alive": _RAW_BYTES,
-    "test_a_client_that_sends_no_whole_request_in_time_is_let_go": _TIMEOUTS,
-    "test_a_connection_at_rest_is_closed_in_the_end_and_one_that_waits_is_not": _TIMEOUTS,
+    "test_the_longest_idle_connection_is_closed_for_a_new_one": _CONNECTIONS,
+    "test_connections_with_stalled_requests_are_closed_for_new_ones": _CONNECTIONS,
+    "test_close_idle_keeps_a_connection_with_an_unread_request": _CONNECTIONS,
+    "test_silent_connections_do_not_shut_out_clients_with_requests": _CONNECTIONS,
+    "test_a_new_connection_is_closed_when_all_have_open_requests": _CONNECTIONS,
+    "test_single_use_connections_do_not_shut_out_other_clients": _CONNECTIONS,
+    "test_reused_connections_are_kept_among_single_use_ones": _CONNECTIONS,
+    "test_an_excess_connection_with_an_unread_request_is_kept": _CONNECTIONS,
+    "test_the_health_path_is_answered_by_the_sidecar": "a path that only the daemon serves",
+    "test_ambiguous_requests_are_rejected_and_the_connection_closed": _RAW_BYTES,
+    "test_memory_of_partial_requests_is_bounded": _RAW_BYTES,
+    "test_pipelined_requests_stay_in_the_socket_while_one_is_open": _RAW_BYTES,
+    "test_the_buffer_of_a_closed_connection_is_freed_at_once": _RAW_BYTES,
+    "test_the_sidecar_survives_any_bytes_from_clients_and_servers": _RAW_BYTES,
+    "test_a_client_that_sends_no_complete_request_in_time_is_disconnected": _TIMEOUTS,
+    "test_an_idle_connection_times_out_and_one_that_waits_does_not": _TIMEOUTS,
     "test_a_bad_configuration_is_one_line_that_names_the_key": _PROCESS,
-    "test_sigterm_answers_what_was_taken_and_what_still_comes_then_exits_0": _PROCESS,
-    "test_sigterm_with_a_silent_server_still_answers_in_time": _PROCESS,
-    "test_sighup_follows_a_new_discovery_and_an_unusable_file_changes_nothing": _PROCESS,
-    "test_an_address_in_use_is_exit_code_1_and_its_key_is_named": _PROCESS,
-    "test_a_second_process_takes_over_and_no_request_is_lost": _PROCESS,
-    "test_either_process_may_be_killed_while_both_run_and_the_other_serves_on": _PROCESS,
+    "test_sigterm_answers_open_and_late_requests_then_exits_0": _PROCESS,
+    "test_sigterm_with_a_silent_server_answers_in_time": _PROCESS,
+    "test_sighup_applies_a_new_discovery_and_ignores_an_invalid_file": _PROCESS,
+    "test_an_address_in_use_is_exit_code_1_and_names_its_key": _PROCESS,
+    "test_a_second_process_takes_over_without_losing_requests": _PROCESS,
+    "test_killing_either_process_of_two_leaves_the_other_serving": _PROCESS,
 }
 # Tests whose parameter `raw` is in some cases not an HTTP request: only the daemon runs those cases.
 RAW_INPUT_TESTS = ("test_bad_input_gets_400_and_reaches_no_server",)
@@ -180,7 +180,7 @@
             self._worker.result()  # raises the error that ended it
         return next_answer.result()
 
-    ask = Client.ask
+    exchange = Client.exchange
 
     def close(self) -> None:
         self._worker.cancel()
--- a/tests/test_held_up_end.py
+++ b/tests/test_held_up_end.py
@@ -1,4 +1,4 @@
-"""A process that is held up for 0.15 s near its end: SIGKILL, at its earliest, finds nothing unanswered."""
+"""A process paused for 0.15 s during shutdown answers all requests before the earliest SIGKILL."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 import pytest
-from loopback import Heard, play, request, soon
-from test_program import GOOD, program
+from loopback import ReceivedRequest, request, run_async, soon
+from test_program import GOOD, run_program
 
 from micadeck.operations.shutdown_budget import (
     CLIENT_FLUSH_S,
@@ -26,13 +26,15 @@
 
 
 @pytest.mark.parametrize("held_up_at_s", [0.6, 0.7, 0.8, 0.84, 0.9, 0.95, 0.98])
-def test_what_hangs_at_servers_is_answered_before_sigkill(held_up_at_s: float, tmp_path: Path) -> None:
-    async def hang(heard: Heard) -> None:
+def test_requests_that_hang_at_servers_are_answered_before_sigkill(
+    held_up_at_s: float, tmp_path: Path
+) -> None:
+    async def hang(received: ReceivedRequest) -> None:
         return None
 
     async def work() -> None:
         settings = {**GOOD["settings"], "lanes": LANES}
-        async with program(hang, tmp_path, settings=settings) as running:
+        async with run_program(hang, tmp_path, settings=settings) as running:
             clients = [await running.client() for _ in range(3)]
             clients[0].send(request("lodge", timeout="0.4"))
             began = time.monotonic()
@@ -46,7 +48,7 @@
 
             running.process.send_signal(signal.SIGTERM)
             asyncio.get_running_loop().call_later(KILL_S, kill)
-            await at(0.35)  # before those at rest are let go
+            await at(0.35)  # before idle connections are closed
             clients[1].send(request("lodge", timeout="0.4"))
             crowd = []
             while time.monotonic() < began + 0.6:  # the listener stays open while clients come
@@ -63,10 +65,10 @@
                 assert (await client.answer()).status in (502, 503, 504)
             assert await soon(clients[2].reader.read()) == b""
 
-    play(work)
+    run_async(work)
 
 
-def test_the_margins_cover_a_hold_up_and_the_last_answers() -> None:
+def test_the_margins_cover_a_pause_and_the_last_answers() -> None:
     assert STALL_S + CLIENT_FLUSH_S < RESERVED_S < KILL_GRACE_S
     assert answer_deadline(10.0, [0.1, 0.4]) == pytest.approx(10.0 + 0.4 + KILL_GRACE_S - RESERVED_S)
     assert answer_deadline(10.0, [0.1, 60.0]) == pytest.approx(10.0 + 3.0 + KILL_GRACE_S - RESERVED_S)
--- a/tests/test_mysql_error_mapping.py
+++ b/tests/test_mysql_error_mapping.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from loopback import play, soon, until
+from loopback import run_async, soon, until
 from mysql_stage import ROWS, MysqlEnvironment, execute, mysql_environment
 
 from micadeck.mysql.error_mapping import TABLE, StatementContext, StatementFailure, Transaction
@@ -71,7 +71,7 @@
                 assert answer == ALL_ROWS
             assert len(env.statements("FROM tariff")) <= 2
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
             assert len(env.statements(INSERT)) == effects
             assert await execute(client, READ) == ALL_ROWS  # the session continues
 
-    play(work)
+    run_async(work)
 
 
 def test_a_write_that_cannot_have_run_is_retried_at_another_server() -> None:
@@ -104,7 +104,7 @@
             assert [env.count_lodged(f"W{number}") for number in range(6)] == [1] * 6
             assert len(env.servers[2].texts("INSERT")) == 6
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("what", [FaultAction.KILL_SERVER, FaultAction.RESET, FaultAction.SHUT_DOWN])
@@ -119,7 +119,7 @@
             assert await execute(client, INSERT) == 1
             assert env.count_lodged("L1") == 1
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("text", [READ, INSERT])
@@ -136,7 +136,7 @@
             assert await soon(query) == (ALL_ROWS if text == READ else 1)
             assert not first.texts(text)
 
-    play(work)
+    run_async(work)
 
 
 def test_the_transport_starts_no_statement_at_a_draining_server() -> None:
@@ -161,7 +161,7 @@
             await until(lambda: bool(outcomes))
             assert outcomes == [Outcome.NOT_SENT] and len(env.statements("FROM tariff")) == 1
 
-    play(work)
+    run_async(work)
 
 
 IN_TRANSACTION = [
@@ -199,7 +199,7 @@
             assert await execute(client, READ) == ALL_ROWS
             assert env.service.transport.pool.in_use_count(env.servers[0].name) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_after_an_error_in_a_transaction_a_possible_commit_is_reported_as_unknown() -> None:
@@ -227,7 +227,7 @@
             )
             assert env.count_lodged("L2") == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(("text", "is_error"), [(INSERT, True), ("COMMIT", True), ("ROLLBACK", False)])
@@ -249,7 +249,7 @@
             assert await execute(client, "COMMIT") == 0
             assert env.count_lodged("L1") == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_a_transaction_may_commit_within_the_session_drain_grace() -> None:
@@ -267,7 +267,7 @@
             assert await execute(client, READ) == ALL_ROWS
             assert len(server.ran) == before  # a read outside a transaction went to another server
 
-    play(work)
+    run_async(work)
 
 
 def test_after_the_session_drain_grace_a_transaction_is_rolled_back_and_nothing_is_sent() -> None:
@@ -284,7 +284,7 @@
             assert env.count_lodged("L1") == 0
             assert len(server.ran) == before
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("text", ["COMMIT", "INSERT INTO lodged VALUES ('L2', 'x')"])
@@ -306,7 +306,7 @@
                 assert is_error_answer(await execute(client, "COMMIT"), ROLLED_BACK)
                 assert env.count_lodged("L1") == env.count_lodged("L2") == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_session_whose_server_state_is_lost_gets_an_error_and_is_closed() -> None:
@@ -324,7 +324,7 @@
             )
             await until(lambda: not env.service.listener.clients)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(("text", "code"), [(READ, 3024), (INSERT, 1105)])
@@ -338,7 +338,7 @@
             await until(lambda: env.service.engine.open_requests == 0)
             assert env.service.transport.pool.in_use_count("m-0") == 0  # its connection is closed
 
-    play(work)
+    run_async(work)
 
 
 def test_a_statement_past_its_deadline_is_killed_if_kill_is_enabled() -> None:
@@ -353,7 +353,7 @@
             assert [each.text for each in server.ran][-1].endswith("SLEEP(20)")
             await until(lambda: server.commands["QUERY"] >= before + 2)  # KILL QUERY arrived
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_that_disconnects_during_a_statement_leaks_nothing() -> None:
@@ -372,7 +372,7 @@
             assert env.service.listener.clients == set()
             assert env.service.transport.held_bytes == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("what", [FaultAction.KILL_SERVER, FaultAction.RESET])
@@ -390,7 +390,7 @@
             assert len(rows) == 64 and all(len(row[0]) == 16 << 10 for row in rows)
             assert env.service.transport.held_bytes == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_without_any_server_a_statement_is_refused_as_harmless() -> None:
@@ -403,4 +403,4 @@
                 assert is_error_answer(await execute(client, text), (1213, "running it again is harmless"))
             assert env.count_lodged("L1") == 0
 
-    play(work)
+    run_async(work)
--- a/tests/test_mysql_program.py
+++ b/tests/test_mysql_program.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from loopback import ConsulDiscovery, consul_config, line, play, soon, until
+from loopback import ConsulDiscovery, consul_config, list_entry, run_async, soon, until
 from mysql_stage import (
     PASSWORD,
     ROWS,
@@ -129,7 +129,7 @@
             assert not env.service.listener.clients
             env.service = original
 
-    play(work)
+    run_async(work)
 
 
 def test_the_daemon_names_the_invalid_key_of_the_mysql_file(tmp_path: Path) -> None:
@@ -167,7 +167,7 @@
             assert env.service.listener.unfinished_bytes == 0
             assert make_config("127.0.0.1:1").name == "mysql"
 
-    play(work)
+    run_async(work)
 
 
 def test_every_command_is_answered_or_closes_its_connection() -> None:
@@ -195,7 +195,7 @@
             assert (await connection.request(bytes((Command.PING,))))[0][:1] == b"\x00"
             assert not [line for line in env.log if "internal error" in line]
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_that_keeps_sending_does_not_use_up_the_shared_limit() -> None:
@@ -218,7 +218,7 @@
             for _ in range(1_000):
                 assert (await greedy.packet())[:1] == b"\x00"  # then the answers to the pings, in order
 
-    play(work)
+    run_async(work)
 
 
 def test_servers_are_discovered_from_consul() -> None:
@@ -228,7 +228,7 @@
         for server in servers:
             create_tables(server)
             await server.start()
-            discovery.servers.append(line(server.name, server.address))
+            discovery.servers.append(list_entry(server.name, server.address))
         await discovery.start()
         consul = consul_config(discovery.address, doubt_s=0)
         changes = {**config_document()["servers"], "consul": consul}
@@ -240,7 +240,7 @@
         for _ in range(20):
             assert await execute(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
         assert all(server.ran for server in servers)
-        discovery.tell(line("m-0", servers[0].address, state="leaving"))
+        discovery.publish(list_entry("m-0", servers[0].address, state="leaving"))
         await until(lambda: any(each.is_leaving for each in service.transport._servers.values()))
         before = len(servers[0].ran)
         for _ in range(20):
@@ -252,4 +252,4 @@
         for server in servers:
             server.die()
 
-    play(work)
+    run_async(work)
--- a/tests/test_mysql_reload.py
+++ b/tests/test_mysql_reload.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from loopback import played
+from loopback import async_test
 from mysql_stage import PASSWORD_FILE, make_config
 
 from micadeck.mysql.config import MysqlConfig
@@ -29,7 +29,7 @@
         service.close()
 
 
-@played
+@async_test
 async def test_a_reload_to_an_earlier_static_list_restores_it() -> None:
     """A reload must compare with the current list, not with the one at the start."""
     first, second = _static_config("m-0"), _static_config("m-0", "m-1", "m-2")
@@ -41,7 +41,7 @@
     assert counts == [3, 1, 1, 3]
 
 
-@played
+@async_test
 async def test_a_static_list_stays_if_the_reload_changes_to_a_roster() -> None:
     """The roster needs a restart, so the reload must not drop the servers."""
     with _running(_static_config("m-0", "m-1")) as service:
--- a/tests/test_mysql_server_connection.py
+++ b/tests/test_mysql_server_connection.py
@@ -4,13 +4,13 @@
 
 from unittest import mock
 
-from loopback import played
+from loopback import async_test
 
 from micadeck.mysql.protocol.packets import frame
 from micadeck.mysql.server_connection import Credentials, ServerConnection
 
 
-@played
+@async_test
 async def test_a_response_after_the_log_in_was_cancelled_closes_the_connection() -> None:
     """An exception in the event loop's callback would keep `on_closed` from being called."""
     closed: list[ServerConnection] = []
--- a/tests/test_mysql_sessions.py
+++ b/tests/test_mysql_sessions.py
@@ -9,7 +9,7 @@
 import mysql.connector
 import pymysql
 import pytest
-from loopback import play, soon, until
+from loopback import run_async, soon, until
 from mysql_stage import (
     PASSWORD,
     ROWS,
@@ -134,7 +134,7 @@
             assert through == direct
             assert len(direct) >= 3
 
-    play(work)
+    run_async(work)
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -150,7 +150,7 @@
                 client = await env.connect(auth_plugin=plugin)
                 assert await execute(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -178,7 +178,7 @@
             assert denied[0][:3] == b"\xff" + (1044).to_bytes(2, "little")
             assert await execute(clerk, "SELECT DATABASE()") == [("tariff",)]
 
-    play(work)
+    run_async(work)
 
 
 def test_a_failed_log_in_at_a_server_counts_against_that_server() -> None:
@@ -191,7 +191,7 @@
             assert len(servers[1].texts("INSERT")) == 8
             assert not any("server-secret" in line or "another" in line for line in env.log)
 
-    play(work)
+    run_async(work)
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -236,7 +236,7 @@
                 assert list(seen) == expected
             assert env.servers[0].logins <= 2  # one connection, or another that has a schema
 
-    play(work)
+    run_async(work)
 
 
 def test_locks_and_transactions_are_released_when_their_client_disconnects() -> None:
@@ -254,7 +254,7 @@
             await until(lambda: not any(each.sql.in_transaction for each in sessions))
             assert env.count_lodged("held") == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_client_without_a_schema_gets_no_connection_that_has_one() -> None:
@@ -269,7 +269,7 @@
             third = await env.connect(db=None)
             assert await execute(third, "SELECT DATABASE()") == [(None,)]
 
-    play(work)
+    run_async(work)
 
 
 def test_random_sessions_on_few_connections_stay_isolated() -> None:
@@ -307,7 +307,7 @@
             assert not wrong_answers
             assert sum(each is None for each in results) >= 4
 
-    play(work)
+    run_async(work)
 
 
 def test_a_session_keeps_its_settings_when_its_server_is_lost() -> None:
@@ -325,7 +325,7 @@
                     assert await execute(client, query) == expected
                 break
 
-    play(work)
+    run_async(work)
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -363,7 +363,7 @@
             assert all(each.texts("rate = ?") for each in env.servers)
             held["client"].close()
 
-    play(work)
+    run_async(work)
 
 
 class RawConnection:
@@ -422,7 +422,7 @@
             unknown = await connection.request(bytes((Command.STMT_EXECUTE,)) + struct.pack("<IBI", 99, 0, 1))
             assert unknown[0][:3] == b"\xff" + (1243).to_bytes(2, "little")
 
-    play(work)
+    run_async(work)
 
 
 def test_repeated_prepares_do_not_accumulate_statements_at_servers() -> None:
@@ -438,7 +438,7 @@
             assert server.commands["STMT_PREPARE"] == 300
             await until(lambda: sum(len(each._prepared) for each in server.sessions.values()) <= 64)
 
-    play(work)
+    run_async(work)
 
 
 _REFUSED = [
@@ -473,7 +473,7 @@
             assert b"Clients: 1 " in statistics and b"Held for: nothing" in statistics
             assert not env.servers[0].ran
 
-    play(work)
+    run_async(work)
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -500,7 +500,7 @@
             answer = await execute(env.clients[1], "SELECT '" + "x" * (1 << 20) + "'")
             assert answer[0] in (1153, 2006, 2013)
 
-    play(work)
+    run_async(work)
 
 
 def test_a_transaction_idle_for_too_long_is_rolled_back_and_its_client_gets_an_error() -> None:
@@ -513,7 +513,7 @@
             assert (await execute(client, "COMMIT"))[0] == 1213
             assert env.count_lodged("idle") == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_draining_service_lets_transactions_end_and_refuses_other_statements() -> None:
@@ -529,7 +529,7 @@
             await soon(ending)
             assert (env.count_lodged("late"), env.count_lodged("other")) == (1, 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_a_reload_applies_users_and_rules_and_logs_keys_that_need_a_restart() -> None:
@@ -544,7 +544,7 @@
             assert await execute(client, "SELECT COUNT(*) FROM tariff") == [(len(ROWS),)]
             assert "mysql: reloaded: 1 users; a restart is needed for listener" in env.log
 
-    play(work)
+    run_async(work)
 
 
 _INVALID: list[tuple[dict[str, Any], str]] = [
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -14,8 +14,8 @@
 from helpers import MS, PolicyHarness, S, settings
 from hypothesis import example, given
 from hypothesis import strategies as st
-from loopback import OK, play, played, read_head, request, stage
-from test_bodies import LARGE, beside, content, read_body
+from loopback import OK, async_test, read_head, request, run_async, run_harness
+from test_bodies import LARGE, content, read_body, sidecar_with_server
 
 from micadeck.cli import main
 from micadeck.policy import Balancer
@@ -165,13 +165,13 @@
     path = tmp_path / "day.trace"
 
     async def work() -> None:
-        async with stage(OK, OK, OK, given={"trace": str(path)}) as scene:
-            client = await scene.client()
+        async with run_harness(OK, OK, OK, overrides={"trace": str(path)}) as harness:
+            client = await harness.client()
             for _ in range(30):
-                assert (await client.ask("check")).status == 200
-            assert scene.log == [f"trace: recording to {path}"]
+                assert (await client.exchange("check")).status == 200
+            assert harness.log == [f"trace: recording to {path}"]
 
-    play(work)
+    run_async(work)
     trace = decode(path.read_bytes())
     assert trace.is_complete and totals(list(spans(trace, 1.0))).delivered == 30
     shown = CliRunner().invoke(main, ["trace", "show", str(path)])
@@ -218,7 +218,7 @@
     assert encoder.add(1, RequestCompleted(7, 2)) > 0
 
 
-@played
+@async_test
 async def test_a_large_request_is_answered_in_its_time_while_a_trace_is_recorded(tmp_path: Path) -> None:
     """Guards against a recorder that fails on an event and so keeps it from the policy."""
 
@@ -227,13 +227,16 @@
         await read_body(reader, headers)
         await reader.read()  # until the sidecar ends the connection
 
-    async with beside(never_answer, given={"trace": str(tmp_path / "day.trace")}) as (_, scene):
-        client = await scene.client()
+    async with sidecar_with_server(never_answer, overrides={"trace": str(tmp_path / "day.trace")}) as (
+        _,
+        harness,
+    ):
+        client = await harness.client()
         started = time.monotonic()
         client.send(request("lodge", timeout="0.5", body=content(LARGE)))
         assert (await client.answer()).status == 504
         assert time.monotonic() - started < 2.0
-        assert not [line for line in scene.log if "internal error" in line]
+        assert not [line for line in harness.log if "internal error" in line]
 
 
 def test_each_kind_of_event_has_its_place_in_a_trace() -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts and the pool, over loopback sockets."""
+"""Attempts and the pool of connections to servers, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     FULL,
     HOST,
     OK,
-    Heard,
-    SlowToAccept,
-    Stage,
-    line,
-    play,
+    FullBacklogServer,
+    Harness,
+    ReceivedRequest,
+    list_entry,
     reply,
     request,
-    rested,
+    reuse_delay_passed,
+    run_async,
+    run_harness,
     soon,
-    stage,
     until,
 )
 
@@ -31,15 +31,15 @@
 from micadeck.network import LoopNetwork
 
 
-def at_the_sidecar(scene: Stage) -> int:
-    return int(scene.sidecar.open_requests)
+def open_requests_of(harness: Harness) -> int:
+    return int(harness.sidecar.open_requests)
 
 
 @pytest.mark.parametrize(
     ("answer", "status"),
     [
         (ERROR, 502),
-        (FULL, 503),  # it never ran, and nobody else is there
+        (FULL, 503),  # it never ran, and there is no other server
         (b"HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 404 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 504 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", 503),
@@ -49,37 +49,38 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200),
     ],
 )
-def test_what_an_unsafe_request_comes_to(answer: bytes, status: int) -> None:
+def test_the_status_of_a_non_idempotent_request(answer: bytes, status: int) -> None:
     async def work() -> None:
-        async with stage(answer) as scene:
-            assert (await scene.ask("lodge")).status == status
-            assert len(scene.heard) == 1
-            await until(lambda: at_the_sidecar(scene) == 0)  # a library's waiter hears a moment sooner
+        async with run_harness(answer) as harness:
+            assert (await harness.exchange("lodge")).status == status
+            assert len(harness.received) == 1
+            # The library resolves the answer before it removes the request.
+            await until(lambda: open_requests_of(harness) == 0)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
-def test_an_unsafe_request_whose_connection_breaks_is_never_sent_again(part: bytes) -> None:
+def test_a_non_idempotent_request_is_not_retried_after_a_lost_connection(part: bytes) -> None:
     async def work() -> None:
-        async def hang_up(heard: Heard) -> None:
-            heard.writer.write(part)
-            heard.writer.close()
+        async def hang_up(received: ReceivedRequest) -> None:
+            received.writer.write(part)
+            received.writer.close()
 
-        async with stage(hang_up, hang_up) as scene:
-            assert (await scene.ask("lodge")).status == 502
-            assert len(scene.heard) == 1
+        async with run_harness(hang_up, hang_up) as harness:
+            assert (await harness.exchange("lodge")).status == 502
+            assert len(harness.received) == 1
 
-    play(work)
+    run_async(work)
 
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
-        HEAD + b"\r\nserved",  # no end but the connection's: it may have broken off
+        HEAD + b"\r\nserved",  # delimited by the connection's end: it may be truncated
         HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 1_000,
         HEAD + b"Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\nserved",
         HEAD + b"Content-Length: 6\r\nContent-Length: 6\r\n\r\nserved",
@@ -93,248 +94,249 @@
         b"HTT",
     ],
 )
-def test_a_spoilt_answer_fails_soon_and_a_repeatable_request_is_sent_elsewhere(spoilt: bytes) -> None:
-    # Guards against waiting for the deadline on a connection that stays open, and against serving a guess.
+def test_a_malformed_response_fails_at_once_and_an_idempotent_request_is_retried(malformed: bytes) -> None:
+    # Guards against waiting for the deadline on an open connection, and against serving a malformed response.
     async def work() -> None:
-        async def once(heard: Heard) -> bytes:
-            return spoilt if len(scene.heard) == 1 else OK
+        async def once(received: ReceivedRequest) -> bytes:
+            return malformed if len(harness.received) == 1 else OK
 
-        async with stage(once, once) as scene:
-            answer = await scene.ask("check", timeout="3.0")
+        async with run_harness(once, once) as harness:
+            answer = await harness.exchange("check", timeout="3.0")
             assert (answer.status, answer.body) == (200, b"served")
-            first, second = scene.heard
+            first, second = harness.received
             assert float(second.headers["request-timeout"]) > 1.5
-            assert (await scene.ask("lodge")).status == 200
-            await until(lambda: sum(len(each.closed) for each in scene.servers) == 1)  # of no further use
+            assert (await harness.exchange("lodge")).status == 200
+            # The connection with the malformed response is closed.
+            await until(lambda: sum(len(each.closed) for each in harness.servers) == 1)
             assert first.target == second.target
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_connection_that_brought_more_than_its_answer_is_not_used_again(late: bool) -> None:
-    # Guards against a second copy of an answer that the next request would be served with.
+def test_a_connection_with_surplus_bytes_is_not_reused(late: bool) -> None:
+    # Guards against serving the next request with a duplicate of the previous response.
     async def work() -> None:
-        async def twice(heard: Heard) -> bytes:
-            body = heard.target.rpartition("/")[2].encode()
+        async def twice(received: ReceivedRequest) -> bytes:
+            body = received.target.rpartition("/")[2].encode()
             answer = HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
             if late:
-                heard.writer.write(answer)
-                await heard.writer.drain()
+                received.writer.write(answer)
+                await received.writer.drain()
                 await asyncio.sleep(0.02)
                 return answer
             return answer + answer
 
-        async with stage(twice) as scene:
-            client = await scene.client()
+        async with run_harness(twice) as harness:
+            client = await harness.client()
             for number in range(10, 15):
-                assert (await client.ask("lodge", target=f"/api/{number}")).body == b"%d" % number
-                await until(lambda count=number - 9: len(scene.servers[0].closed) == count)  # type: ignore[misc]
-            assert scene.servers[0].connections == 5
+                assert (await client.exchange("lodge", target=f"/api/{number}")).body == b"%d" % number
+                await until(lambda count=number - 9: len(harness.servers[0].closed) == count)  # type: ignore[misc]
+            assert harness.servers[0].connections == 5
 
-    play(work)
+    run_async(work)
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_request_s() -> None:
-    # The connection was handed on before the second answer came: nothing in it says whose it is.
+def test_a_late_duplicate_response_is_not_taken_for_the_next_request_s() -> None:
+    # The connection is reused before the duplicate arrives, and nothing in it names its request.
     async def work() -> None:
-        async def answer(heard: Heard) -> bytes:
-            copy, at = answers.get(heard.connection, (b"", 0.0))
+        async def answer(received: ReceivedRequest) -> bytes:
+            copy, at = answers.get(received.connection, (b"", 0.0))
             if asyncio.get_running_loop().time() - at > 0.015:
-                copy = b""  # it came at rest, and closed the connection; else it comes first
-            own = reply(heard.target.rpartition("/")[2].encode())
-            answers[heard.connection] = (own, asyncio.get_running_loop().time())
+                copy = b""  # it came while idle and closed the connection; else it comes first
+            own = reply(received.target.rpartition("/")[2].encode())
+            answers[received.connection] = (own, asyncio.get_running_loop().time())
             return copy + own
 
         answers: dict[int, tuple[bytes, float]] = {}
-        async with stage(answer) as scene:
-            client = await scene.client()
-            assert (await client.ask("lodge", target="/api/first")).body == b"first"
-            scene.servers[0].heard[0].writer.write(answers[0][0])  # now it is known that such come
-            await until(lambda: scene.servers[0].closed == [0])
+        async with run_harness(answer) as harness:
+            client = await harness.client()
+            assert (await client.exchange("lodge", target="/api/first")).body == b"first"
+            harness.servers[0].received[0].writer.write(answers[0][0])  # the pool has now seen a duplicate
+            await until(lambda: harness.servers[0].closed == [0])
             for number in range(10, 30):
-                assert (await client.ask("lodge", target=f"/api/{number}")).body == b"%d" % number
+                assert (await client.exchange("lodge", target=f"/api/{number}")).body == b"%d" % number
 
-    play(work)
+    run_async(work)
 
 
-def test_a_refused_dial_never_ran_and_is_drawn_again() -> None:
+def test_a_refused_connection_never_ran_and_is_retried() -> None:
     async def work() -> None:
-        async with stage(OK, OK, OK) as scene:
-            scene.servers[0].stop()
-            scene.servers[1].stop()
-            answers = [await scene.ask("lodge") for _ in range(4)]
+        async with run_harness(OK, OK, OK) as harness:
+            harness.servers[0].stop()
+            harness.servers[1].stop()
+            answers = [await harness.exchange("lodge") for _ in range(4)]
             assert [each.status for each in answers] == [200] * 4
 
-    play(work)
+    run_async(work)
 
 
-def test_silence_ends_at_the_deadline_and_closes_the_connection() -> None:
+def test_a_silent_server_times_out_and_its_connection_is_closed() -> None:
     async def work() -> None:
-        async with stage(None) as scene:
-            assert (await scene.ask("lodge", timeout="0.3")).status == 504
-            await until(lambda: scene.servers[0].closed == [0])
-            assert at_the_sidecar(scene) == 0
+        async with run_harness(None) as harness:
+            assert (await harness.exchange("lodge", timeout="0.3")).status == 504
+            await until(lambda: harness.servers[0].closed == [0])
+            assert open_requests_of(harness) == 0
 
-    play(work)
+    run_async(work)
 
 
-def test_a_connection_is_used_again_and_one_that_ended_is_not() -> None:
-    # Guards against writing to a connection whose end lies unread in the socket: that may have run.
+def test_an_open_connection_is_reused_and_a_closed_one_is_not() -> None:
+    # Guards against writing to a connection whose end is still unread in the socket: that request may run.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with run_harness(OK) as harness:
+            client = await harness.client()
             for _ in range(3):
-                assert (await client.ask("lodge")).status == 200
-                await rested()
-            assert scene.servers[0].connections == 1
+                assert (await client.exchange("lodge")).status == 200
+                await reuse_delay_passed()
+            assert harness.servers[0].connections == 1
             for _ in range(20):
-                scene.servers[0].hang_up()
-                assert (await client.ask("lodge")).status == 200
+                harness.servers[0].hang_up()
+                assert (await client.exchange("lodge")).status == 200
 
-    play(work)
+    run_async(work)
 
 
-def test_a_connection_near_its_idle_limit_is_not_used() -> None:
+def test_a_connection_near_its_idle_timeout_is_not_reused() -> None:
     async def work() -> None:
-        async with stage(OK, bounds={"idleCloseUs": 50_000}) as scene:
-            client = await scene.client()
-            assert (await client.ask("lodge")).status == 200
-            await until(lambda: scene.servers[0].closed == [0])
-            assert (await client.ask("lodge")).status == 200
-            assert scene.servers[0].connections == 2
+        async with run_harness(OK, bounds={"idleCloseUs": 50_000}) as harness:
+            client = await harness.client()
+            assert (await client.exchange("lodge")).status == 200
+            await until(lambda: harness.servers[0].closed == [0])
+            assert (await client.exchange("lodge")).status == 200
+            assert harness.servers[0].connections == 2
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("change", ["addr", "started_ms"])
-def test_connections_to_what_was_there_before_go(change: str) -> None:
+def test_connections_to_a_replaced_server_are_closed(change: str) -> None:
     async def work() -> None:
-        async with stage(OK, OK, listed=False) as scene:
-            first, second = (each.address for each in scene.servers)
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", first))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            assert (await scene.ask()).status == 200
+        async with run_harness(OK, OK, listed=False) as harness:
+            first, second = (each.address for each in harness.servers)
+            await until(lambda: len(harness.discovery.received) >= 2)
+            harness.discovery.publish(list_entry("s", first))
+            await until(lambda: len(harness.discovery.received) >= 3)
+            assert (await harness.exchange()).status == 200
             if change == "addr":
-                scene.discovery.tell(line("s", second))
+                harness.discovery.publish(list_entry("s", second))
             else:
-                scene.discovery.tell(line("s", first, started_ms=1))
-            await until(lambda: scene.servers[0].closed == [0])
-            assert (await scene.ask()).status == 200
-            assert len(scene.servers[1].heard) == (1 if change == "addr" else 0)
+                harness.discovery.publish(list_entry("s", first, started_ms=1))
+            await until(lambda: harness.servers[0].closed == [0])
+            assert (await harness.exchange()).status == 200
+            assert len(harness.servers[1].received) == (1 if change == "addr" else 0)
 
-    play(work)
+    run_async(work)
 
 
-def test_idle_connections_to_a_server_that_drains_are_closed() -> None:
-    # Guards against holding places, of which a server has few, where nothing new may go.
+def test_idle_connections_to_a_draining_server_are_closed() -> None:
+    # Guards against holding connections, of which a server has few, that nothing new may use.
     async def work() -> None:
-        async with stage(OK, bounds={"idleCloseUs": 600_000_000}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            assert (await scene.ask()).status == 200
-            scene.discovery.tell(line("s-0", scene.servers[0].address, state="leaving"))
-            await until(lambda: scene.servers[0].closed == [0])
+        async with run_harness(OK, bounds={"idleCloseUs": 600_000_000}) as harness:
+            await until(lambda: len(harness.discovery.received) >= 2)
+            assert (await harness.exchange()).status == 200
+            harness.discovery.publish(list_entry("s-0", harness.servers[0].address, state="leaving"))
+            await until(lambda: harness.servers[0].closed == [0])
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("why", ["drains", "leaves", "moves to another cell", "client gone"])
-def test_nothing_is_written_when_a_dial_comes_up_too_late(why: str, may_cancel: bool) -> None:
-    # Guards rule 3 (a drain that is told while the dial is under way) and an attempt that was called off;
-    # what is not written yet needs no leave to be called off.
+def test_nothing_is_written_when_a_connection_opens_too_late(why: str, may_cancel: bool) -> None:
+    # Guards rule 3 (a server starts draining while the connection is being opened) and a cancelled attempt:
+    # one that is not written yet may be cancelled without `may_cancel`.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds={"dialTimeoutUs": 15_000_000, "mayCancel": may_cancel}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
+        slow = FullBacklogServer()
+        await slow.fill_backlog()
+        async with run_harness(bounds={"dialTimeoutUs": 15_000_000, "mayCancel": may_cancel}) as harness:
+            await until(lambda: len(harness.discovery.received) >= 2)
+            harness.discovery.publish(list_entry("s", slow.address))
+            await until(lambda: len(harness.discovery.received) >= 3)
+            client = await harness.client()
             client.send(request("lodge", timeout="15"))
-            await until(lambda: at_the_sidecar(scene) == 1)
+            await until(lambda: open_requests_of(harness) == 1)
             if why == "client gone":
                 client.close()
-                async with asyncio.timeout(2.0):  # long before the request's own time would end it
-                    await until(lambda: at_the_sidecar(scene) == 0)
+                async with asyncio.timeout(2.0):  # long before the request's deadline
+                    await until(lambda: open_requests_of(harness) == 0)
             else:
                 change: dict[str, Any] = {"drains": {"state": "leaving"}, "leaves": {"state": "left"}}.get(
                     why, {"cell": 2}
                 )
-                scene.discovery.tell(line("s", slow.address, **change))
-                await until(lambda: len(scene.discovery.heard) >= 4)
-            accepted = await slow.let_go()
+                harness.discovery.publish(list_entry("s", slow.address, **change))
+                await until(lambda: len(harness.discovery.received) >= 4)
+            accepted = await slow.accept_sidecar()
             if why == "client gone":
-                scene.sidecar.close()  # the connection itself is good and was kept
+                harness.sidecar.close()  # closes the connection, which was kept
             else:
                 assert (await client.answer()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
-def test_a_repeat_whose_dial_outlasts_its_servers_memory_is_never_written() -> None:
-    # Guards rule 2: the repeat was decided on in time, and would run after its group forgot the first.
+def test_a_retry_that_connects_after_the_deduplication_window_is_never_written() -> None:
+    # Guards rule 2: the retry was decided in time, but would run after its group forgot the first attempt.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
+        slow = FullBacklogServer()
+        await slow.fill_backlog()
 
-        async def drop(heard: Heard) -> None:
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            heard.writer.close()
+        async def drop(received: ReceivedRequest) -> None:
+            harness.discovery.publish(list_entry("s", slow.address))
+            await until(lambda: len(harness.discovery.received) >= 3)
+            received.writer.close()
 
         kind = {"name": "amend", "giveUpUs": 8_000_000, "promiseUs": 600_000, "repeat": "idempotency_key"}
         lanes = [{**kind, "group": "all", "memorySpanUs": 900_000}]
-        async with stage(drop, lanes=lanes, bounds={"dialTimeoutUs": 15_000_000}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            client = await scene.client()
+        async with run_harness(drop, lanes=lanes, bounds={"dialTimeoutUs": 15_000_000}) as harness:
+            await until(lambda: len(harness.discovery.received) >= 2)
+            client = await harness.client()
             client.send(request("amend", timeout="8"))
             answer = asyncio.ensure_future(client.answer())
-            await until(lambda: len(scene.heard) == 1)
-            await asyncio.wait([answer], timeout=2.0)  # by then nobody remembers the first attempt
-            accepted = await slow.let_go()
-            assert (await answer).status == 503  # refused: its client may come again as a new request
-            scene.sidecar.close()
+            await until(lambda: len(harness.received) == 1)
+            await asyncio.wait([answer], timeout=2.0)  # the deduplication window is over by then
+            accepted = await slow.accept_sidecar()
+            assert (await answer).status == 503  # refused: its client may retry it as a new request
+            harness.sidecar.close()
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
-def test_no_more_connections_than_there_is_room_for() -> None:
-    # Guards against running out of descriptors; what finds no room was not sent, so it is refused.
+def test_connections_to_servers_stay_within_the_descriptor_limit() -> None:
+    # Guards against running out of descriptors; a request without a connection was not sent: it is refused.
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(received: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with stage(hold, given={"limits": {"sockets": 80}}) as scene:
-            scene.sidecar.listener.connections.max_connections = 32
+        async with run_harness(hold, overrides={"limits": {"sockets": 80}}) as harness:
+            harness.sidecar.listener.connections.max_connections = 32
             clients = []
             for number in range(20):
-                clients.append(await scene.client())
+                clients.append(await harness.client())
                 clients[-1].send(request("lodge", timeout="10"))
                 await soon(clients[-1].writer.drain())
                 if number < 16:
-                    await until(lambda sent=number + 1: len(scene.heard) == sent)  # type: ignore[misc]
-            await until(lambda: at_the_sidecar(scene) == 16)
-            # Those that find no room are answered at once; only a library's hand-over may be later than this.
+                    await until(lambda sent=number + 1: len(harness.received) == sent)  # type: ignore[misc]
+            await until(lambda: open_requests_of(harness) == 16)
+            # Those without a connection are refused at once; the library may deliver that a moment later.
             refused = [(await client.answer()).status for client in clients[16:]]
             release.set()
             statuses = [(await client.answer()).status for client in clients[:16]] + refused
             assert statuses == [200] * 16 + [503] * 4
 
-    play(work)
+    run_async(work)
 
 
-def test_load_reports_reach_the_decisions_and_nonsense_does_not() -> None:
+def test_load_reports_are_parsed_and_malformed_ones_ignored() -> None:
     from micadeck.http.h1 import Response
     from micadeck.http.upstream import load_report
 
@@ -348,16 +350,17 @@
     assert load_report(Response(200, [], b""), ("qps",)) is None
 
 
-@pytest.mark.parametrize(("gives_up", "comes_whole"), [(True, False), (False, True)])
-def test_what_was_held_up_when_an_attempt_is_given_up_never_comes_whole(
-    gives_up: bool, comes_whole: bool
+@pytest.mark.parametrize(("cancels", "arrives_complete"), [(True, False), (False, True)])
+def test_a_request_cancelled_while_partly_buffered_never_arrives_complete(
+    cancels: bool, arrives_complete: bool
 ) -> None:
-    """Guards rule 2: a server begins with the last byte, however late that comes."""
+    # Guards rule 2: a server starts work at the last byte, however late it arrives.
     request = Request(b"POST", b"/slow", [(b"host", b"x"), (b"content-length", b"60000")], b"x" * 60_000)
 
     async def run() -> bytes:
         with socket.socket() as listener:
-            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)  # it takes in a part of it
+            # Buffers only a part of the request.
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             listener.bind((HOST, 0))
             listener.listen()
             network, written = LoopNetwork(), asyncio.Event()
@@ -367,17 +370,17 @@
             )
             server, _ = listener.accept()
             connection.exchange(request, lambda _: None, written.set)
-            await soon(written.wait())  # to the last byte, as far as can be told here
-            if gives_up:
+            await soon(written.wait())  # to the last byte, as far as this side can see
+            if cancels:
                 connection.close()
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)  # the event loop closes the socket in a later round
             server.settimeout(0.2)
-            came = b""
+            received_bytes = b""
             with server, contextlib.suppress(ConnectionResetError, TimeoutError):
                 while data := server.recv(65_536):
-                    came += data
+                    received_bytes += data
             connection.close()
-            return came
+            return received_bytes
 
-    assert (len(play(run)) >= 60_000) is comes_whole
+    assert (len(run_async(run)) >= 60_000) is arrives_complete
