--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Watching and fetching the list, over loopback sockets."""
+"""Watching and fetching the endpoint list over loopback sockets."""
 
 from __future__ import annotations
 
@@ -14,50 +14,50 @@
 from micadeck.network import LoopNetwork, parse_address
 
 
-class Ears:
-    """What discovery reported."""
+class WatcherEvents:
+    """Records what a `DiscoveryWatcher` reports; `None` stands for a failure."""
 
     def __init__(self, server: ScriptedServer, version: int = 41, pushed: bool = False) -> None:
         self.events: asyncio.Queue[EndpointUpdate | None] = asyncio.Queue()
         self.log: list[str] = []
-        self.discovery = DiscoveryWatcher(
+        self.watcher = DiscoveryWatcher(
             LoopNetwork(),
             parse_address(server.address),
             version,
             WatchOptions(is_pushed=pushed),
             self.log.append,
         )
-        self.discovery.start(self.events.put_nowait, lambda: self.events.put_nowait(None))
+        self.watcher.start(self.events.put_nowait, lambda: self.events.put_nowait(None))
 
     async def next(self) -> EndpointUpdate | None:
         return await soon(self.events.get())
 
 
-def test_a_watch_is_answered_at_once_then_waits_for_news() -> None:
+def test_a_watch_is_answered_at_once_then_waits_for_changes() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
-        ears = Ears(server)
-        ears.discovery.watch(True)
-        first = await ears.next()
+        watched = WatcherEvents(server)
+        watched.watcher.watch(True)
+        first = await watched.next()
         assert first is not None and first.full and first.version == 1
         await until(lambda: len(server.heard) == 2)
         assert server.heard[0].target == "/catalog/members?after=41&wait_ms=0"
         assert server.heard[1].target == "/catalog/members?after=1&wait_ms=2000"
         server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
-        news = await ears.next()
-        assert news is not None and not news.full and news.version == 2
+        changes = await watched.next()
+        assert changes is not None and not changes.full and changes.version == 2
         await until(lambda: len(server.heard) == 3)
-        ears.discovery.watch(False)
+        watched.watcher.watch(False)
         await until(lambda: len(server.closed) == 0 or server.closed == [0])
-        ears.discovery.close()
+        watched.watcher.close()
         server.stop()
 
     play(work)
 
 
-GOOD = {"version": 7, "full": True, "servers": []}
+VALID_LIST = {"version": 7, "full": True, "servers": []}
 
 
 @pytest.mark.parametrize(
@@ -66,10 +66,14 @@
         reply(b"", "503 Busy"),
         reply(b"not json"),
         reply(b"[" * 100_000),
-        reply(json.dumps({**GOOD, "version": "x"}).encode()),
-        reply(json.dumps({**GOOD, "full": 1}).encode()),
-        reply(json.dumps({**GOOD, "servers": [{"id": "a", "state": "odd"}]}).encode()),
-        reply(json.dumps({**GOOD, "servers": [{"id": "a", "state": "active", "addr": "name:80"}]}).encode()),
+        reply(json.dumps({**VALID_LIST, "version": "x"}).encode()),
+        reply(json.dumps({**VALID_LIST, "full": 1}).encode()),
+        reply(json.dumps({**VALID_LIST, "servers": [{"id": "a", "state": "odd"}]}).encode()),
+        reply(
+            json.dumps(
+                {**VALID_LIST, "servers": [{"id": "a", "state": "active", "addr": "name:80"}]}
+            ).encode()
+        ),
         b"garbage\r\n\r\n",
         None,
     ],
@@ -79,28 +83,28 @@
 def test_a_call_that_fails_is_one_failure_and_the_next_is_answered(answer: bytes | None, how: str) -> None:
     async def work() -> None:
         async def once(heard: Heard) -> bytes:
-            server.script = reply(json.dumps(GOOD).encode())
+            server.script = reply(json.dumps(VALID_LIST).encode())
             if answer is None:
                 heard.writer.transport.abort()
                 return b""
             return answer
 
         server = await ScriptedServer(once).start()
-        ears = Ears(server)
+        watched = WatcherEvents(server)
 
         def call() -> None:
             if how == "follow":
-                ears.discovery.watch(True)
+                watched.watcher.watch(True)
             else:
-                ears.discovery.fetch()
+                watched.watcher.fetch()
 
         call()
-        assert await ears.next() is None
-        assert ears.events.empty()
+        assert await watched.next() is None
+        assert watched.events.empty()
         call()
-        heard = await ears.next()
-        assert heard is not None and heard.version == 7
-        ears.discovery.close()
+        update = await watched.next()
+        assert update is not None and update.version == 7
+        watched.watcher.close()
         server.stop()
 
     play(work)
@@ -112,21 +116,21 @@
         new.version = 5
         await old.start()
         await new.start()
-        ears = Ears(old)
-        ears.discovery.watch(True)
-        assert await ears.next() is not None
+        watched = WatcherEvents(old)
+        watched.watcher.watch(True)
+        assert await watched.next() is not None
         await until(lambda: len(old.heard) == 2)
-        ears.discovery.change_address(parse_address(new.address))
-        old.tell(line("s-9", "127.0.0.2:80"))  # nobody hears it any more
-        heard = await ears.next()
-        assert heard is not None and heard.version == 5
+        watched.watcher.change_address(parse_address(new.address))
+        old.tell(line("s-9", "127.0.0.2:80"))  # no sidecar watches the old discovery any more
+        update = await watched.next()
+        assert update is not None and update.version == 5
         await until(lambda: old.closed == [0])
         await until(lambda: len(new.heard) == 2)
         assert new.heard[0].target == "/catalog/members"
-        assert ears.events.empty()
-        ears.discovery.close()
-        for each in (old, new):
-            each.stop()
+        assert watched.events.empty()
+        watched.watcher.close()
+        for stopped in (old, new):
+            stopped.stop()
 
     play(work)
 
@@ -145,122 +149,122 @@
         (b'{"version": 2, "full": true, "servers": [' + b"{}," * 90_000 + b"{}]}", "values are more than"),
     ],
 )
-def test_nonsense_for_a_list_is_logged_once_by_its_field_and_changes_nothing(body: bytes, names: str) -> None:
+def test_a_malformed_list_is_logged_once_with_its_field_and_changes_nothing(body: bytes, names: str) -> None:
     async def work() -> None:
-        answers = [body, body, reply(json.dumps(GOOD).encode()), body]
+        answers = [body, body, reply(json.dumps(VALID_LIST).encode()), body]
 
         async def answer(heard: Heard) -> bytes:
-            given = answers.pop(0)
-            return given if given.startswith(b"HTTP") else reply(given)
+            body_or_response = answers.pop(0)
+            return body_or_response if body_or_response.startswith(b"HTTP") else reply(body_or_response)
 
         server = await ScriptedServer(answer).start()
-        ears = Ears(server)
-        for told in ("failed", "failed", "listed", "failed"):
-            ears.discovery.fetch()
-            heard = await ears.next()
-            assert (heard is None) == (told == "failed")
-        assert len(ears.log) == 2  # the first of a row, and the first after a list that could be read
-        assert all(each.startswith("discovery: ") and names in each for each in ears.log)
-        assert all(each.endswith("; its last list stays in use") for each in ears.log)
-        ears.discovery.close()
+        watched = WatcherEvents(server)
+        for expected in ("failed", "failed", "listed", "failed"):
+            watched.watcher.fetch()
+            update = await watched.next()
+            assert (update is None) == (expected == "failed")
+        assert len(watched.log) == 2  # the first of consecutive failures, and the first after a valid list
+        assert all(text.startswith("discovery: ") and names in text for text in watched.log)
+        assert all(text.endswith("; its last list stays in use") for text in watched.log)
+        watched.watcher.close()
         server.stop()
 
     play(work)
 
 
-def test_a_fetch_that_was_overtaken_by_news_changes_nothing() -> None:
-    # Guards against an old list that ends after newer changes: a draining server would be ready again.
+def test_a_fetch_overtaken_by_newer_changes_changes_nothing() -> None:
+    # An old list that arrives after newer changes would make a draining server ready again.
     async def work() -> None:
         release = asyncio.Event()
 
         async def answer(heard: Heard) -> bytes | None:
             if "wait_ms=0" in heard.target:
-                return reply(json.dumps({**GOOD, "version": 42}).encode())
+                return reply(json.dumps({**VALID_LIST, "version": 42}).encode())
             if "wait_ms" in heard.target:
                 return None
             await release.wait()
-            return reply(json.dumps({**GOOD, "version": 40}).encode())
+            return reply(json.dumps({**VALID_LIST, "version": 40}).encode())
 
         server = await ScriptedServer(answer).start()
-        ears = Ears(server)
-        ears.discovery.fetch()
+        watched = WatcherEvents(server)
+        watched.watcher.fetch()
         await until(lambda: len(server.heard) == 1)
-        ears.discovery.watch(True)
-        news = await ears.next()
-        assert news is not None and news.version == 42
+        watched.watcher.watch(True)
+        changes = await watched.next()
+        assert changes is not None and changes.version == 42
         release.set()
-        late = await ears.next()
+        late = await watched.next()
         assert late == EndpointUpdate(42, False, ())
-        ears.discovery.close()
+        watched.watcher.close()
         server.stop()
 
     play(work)
 
 
-def test_discovery_that_is_down_fails_a_call() -> None:
+def test_a_call_fails_while_discovery_is_down() -> None:
     async def work() -> None:
         server = await ScriptedServer(None).start()
-        ears = Ears(server)
+        watched = WatcherEvents(server)
         server.stop()
-        ears.discovery.watch(True)
-        assert await ears.next() is None
-        ears.discovery.fetch()
-        assert await ears.next() is None
+        watched.watcher.watch(True)
+        assert await watched.next() is None
+        watched.watcher.fetch()
+        assert await watched.next() is None
 
     play(work)
 
 
-def test_a_watch_wanted_again_before_its_answer_keeps_its_place() -> None:
-    # Guards against calls that are restarted over and over while discovery is slow, and never answered.
+def test_a_watch_requested_again_before_its_answer_keeps_its_call() -> None:
+    # While discovery is slow, calls that are restarted over and over would never be answered.
     async def work() -> None:
         release = asyncio.Event()
 
         async def slow(heard: Heard) -> bytes:
             await release.wait()
-            return reply(json.dumps(GOOD).encode())
+            return reply(json.dumps(VALID_LIST).encode())
 
         server = await ScriptedServer(slow).start()
-        ears = Ears(server)
+        watched = WatcherEvents(server)
         for _ in range(3):
-            ears.discovery.watch(True)
+            watched.watcher.watch(True)
         await until(lambda: len(server.heard) == 1)
-        ears.discovery.watch(True)
+        watched.watcher.watch(True)
         release.set()
-        assert await ears.next() is not None
+        assert await watched.next() is not None
         assert server.connections == 1
-        ears.discovery.close()
+        watched.watcher.close()
         server.stop()
 
     play(work)
 
 
-def test_pushed_lists_are_received_unrequested_also_after_the_agent_was_away() -> None:
+def test_pushed_lists_are_received_unrequested_also_after_an_agent_restart() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         await server.start()
         port = int(server.address.rpartition(":")[2])
-        ears = Ears(server, pushed=True)
-        assert await ears.next() is not None
+        watched = WatcherEvents(server, pushed=True)
+        assert await watched.next() is not None
         server.stop()
-        again = ScriptedDiscovery()
-        again.version = 9
-        again.servers = [line("s-1", f"{HOST}:80")]
-        await again.start(port)
-        again.tell(line("s-2", f"{HOST}:80"))
-        heard = await ears.next()
-        assert heard is not None and heard.version == 10
-        assert ears.events.empty()
-        ears.discovery.close()
-        again.stop()
+        restarted = ScriptedDiscovery()
+        restarted.version = 9
+        restarted.servers = [line("s-1", f"{HOST}:80")]
+        await restarted.start(port)
+        restarted.tell(line("s-2", f"{HOST}:80"))
+        update = await watched.next()
+        assert update is not None and update.version == 10
+        assert watched.events.empty()
+        watched.watcher.close()
+        restarted.stop()
 
     play(work)
 
 
-def test_a_listing_is_read_as_the_decisions_need_it() -> None:
-    listing = parse_endpoint_update(
+def test_a_list_is_parsed_into_endpoint_updates() -> None:
+    update = parse_endpoint_update(
         {"version": 3, "full": False, "servers": [line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)]}
     )
-    listed = listing.entries[0].endpoint
+    listed = update.entries[0].endpoint
     assert listed.started_at == 1_700_000_000_123_000
     left = parse_endpoint_update({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
     assert left.entries[0].address is None
--- a/tests/test_stale_list_refresh.py
+++ b/tests/test_stale_list_refresh.py
@@ -1,4 +1,4 @@
-"""What makes the list suspect: an end that Consul reports, a fetch that is ahead of the watch."""
+"""A draining report from Consul or a fetch ahead of the watch shows that the watched list is stale."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from micadeck.membership.sources import DiscoveryState, EndpointSources
 from micadeck.network import LoopNetwork, parse_address
 
-HERE = ("127.0.0.2", 80)
+SERVER_ADDRESS = ("127.0.0.2", 80)
 
 
 class CountingWatcher(DiscoveryWatcher):
-    """Counts suspicions in place of a renewal."""
+    """Counts suspicions instead of renewing the list."""
 
     suspicions = 0
 
@@ -32,40 +32,40 @@
     ("observations", "removed", "suspicions"),
     [
         ([], [], 0),
-        ([Observation(HERE, Precedence.READY)], [], 0),
-        ([Observation(HERE, Precedence.DRAINING)], [], 1),
-        ([], [HERE], 1),
+        ([Observation(SERVER_ADDRESS, Precedence.READY)], [], 0),
+        ([Observation(SERVER_ADDRESS, Precedence.DRAINING)], [], 1),
+        ([], [SERVER_ADDRESS], 1),
     ],
 )
-def test_an_end_that_consul_reports_makes_the_list_suspect(
+def test_a_draining_or_removed_server_in_consul_makes_the_list_suspect(
     observations: list[Observation], removed: list[Any], suspicions: int
 ) -> None:
     async def work() -> None:
-        network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
-        roster = CountingWatcher(network, nobody, 1)
+        network, unused_address = LoopNetwork(), parse_address("127.0.0.1:9")
+        watcher = CountingWatcher(network, unused_address, 1)
         services = (Service("tariff", RequestOptions(), InstanceMapping(), SourceTrust()),)
-        config = ConsulConfig((nobody,), services, 1.0, 0.0)
+        config = ConsulConfig((unused_address,), services, 1.0, 0.0)
         known = EndpointUpdate(1, True, ())
-        sources = EndpointSources(network, DiscoveryState(roster, known), config, "1 n", lambda text: None)
-        addresses = {each.address for each in observations}
+        sources = EndpointSources(network, DiscoveryState(watcher, known), config, "1 n", lambda text: None)
+        addresses = {observation.address for observation in observations}
         change = EntriesChange(False, len(observations), iter(observations), removed, addresses, ())
         await sources._service_updated("tariff", ServiceUpdate(change, 0.0, "agent"))
-        assert roster.suspicions == suspicions
+        assert watcher.suspicions == suspicions
         sources.close()
 
     play(work)
 
 
-def test_a_watch_that_the_decisions_began_is_not_given_up_for_the_sources_own_retry() -> None:
+def test_a_watch_started_by_the_policy_is_not_replaced_by_the_sources_own_retry() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
-        network, nobody = LoopNetwork(), parse_address("127.0.0.1:9")
-        roster = DiscoveryWatcher(network, nobody, 1)
+        network, unused_address = LoopNetwork(), parse_address("127.0.0.1:9")
+        watcher = DiscoveryWatcher(network, unused_address, 1)
         services = (Service("tariff", RequestOptions(), InstanceMapping(), SourceTrust()),)
-        config = ConsulConfig((nobody,), services, 1.0, 0.0)
-        discovery = DiscoveryState(roster, EndpointUpdate(1, True, ()))
+        config = ConsulConfig((unused_address,), services, 1.0, 0.0)
+        discovery = DiscoveryState(watcher, EndpointUpdate(1, True, ()))
         sources = EndpointSources(network, discovery, config, "1 n", lambda text: None)
         sources.logs_agent = False
         updates: list[EndpointUpdate] = []
@@ -74,10 +74,10 @@
         sources.watch(True)
         await until(
             lambda: len(failed) == 1
-        )  # nobody is there: from here on the sources' own retry is planned
-        roster._address = parse_address(server.address)
-        sources.watch(True)  # and the decisions were first
-        await until(lambda: len(server.heard) == 2)  # the first call, and the watch that waits
+        )  # the address refuses connections, so the sources plan a retry of their own
+        watcher._address = parse_address(server.address)
+        sources.watch(True)  # the policy starts a watch before that retry
+        await until(lambda: len(server.heard) == 2)  # the first call, and the blocking call
         retry = sources._retry
         assert retry is not None
         await until(lambda: sources._retry is None)
@@ -94,19 +94,19 @@
         server = ScriptedDiscovery()
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
-        roster = CountingWatcher(LoopNetwork(), parse_address(server.address), 0)
+        watcher = CountingWatcher(LoopNetwork(), parse_address(server.address), 0)
         updates: list[EndpointUpdate] = []
-        roster.start(updates.append, lambda: None)
-        roster.watch(True)
+        watcher.start(updates.append, lambda: None)
+        watcher.watch(True)
         await until(lambda: len(server.heard) == 2)  # the watch waits for changes, and gets none
-        roster.fetch()
+        watcher.fetch()
         await until(lambda: len(updates) == 2)
-        assert roster.suspicions == 0  # both have the same version
+        assert watcher.suspicions == 0  # both have the same version
         server.version += 3
-        roster.fetch()
+        watcher.fetch()
         await until(lambda: len(updates) == 3)
-        assert roster.suspicions == 1
-        roster.close()
+        assert watcher.suspicions == 1
+        watcher.close()
         server.stop()
         await asyncio.sleep(0)
 
--- a/tests/test_watch_health.py
+++ b/tests/test_watch_health.py
@@ -1,4 +1,8 @@
-"""Watches that fall silent, and lists that servers speak against: both are noticed in time."""
+"""Silent watches and stale lists are detected within the notification deadline.
+
+A watch can lose its connection without an error, and servers can contradict a list that is out of date.
+Either would keep a sidecar sending to servers that have left.
+"""
 
 from __future__ import annotations
 
@@ -34,43 +38,44 @@
 
 
 class Agent(Discovery):
-    """A roster whose open connections fall silent once, at one moment of a watch."""
+    """A roster whose open connections fall silent once, at a given moment of a watch."""
 
-    def __init__(self, wire: Wire, moment: str, at_s: float, lost: int = 0) -> None:
+    def __init__(self, wire: Wire, moment: str, at_s: float, unanswered_connections: int = 0) -> None:
         super().__init__(wire, 0)
         self._moment, self._at_s = moment, at_s
-        self._lost = lost  # connections made after that which get no answer either
-        self.deaf_until_s = 0.0  # nor do those made up to here
+        # The number of later connections that get no answer either.
+        self._unanswered_connections = unanswered_connections
+        self.silent_until_s = 0.0  # connections made before this time get no answer
         self.calls: list[tuple[float, str]] = []
         self.silent_at: float | None = None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        deaf = self._lost > 0 or self._wire.loop.time() < self.deaf_until_s
-        loses = self.silent_at is not None and deaf
-        self._lost -= loses
+        is_silent = self._unanswered_connections > 0 or self._wire.loop.time() < self.silent_until_s
+        is_unanswered = self.silent_at is not None and is_silent
+        self._unanswered_connections -= is_unanswered
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 target = head.split(b" ")[1].decode()
                 self.calls.append((self._wire.loop.time(), target))
-                if loses:
+                if is_unanswered:
                     continue
                 if self._silences("before its first answer" if len(self.calls) == 1 else "between two calls"):
                     continue
-                waits = asyncio.ensure_future(self._answer(target))
+                pending = asyncio.ensure_future(self._answer(target))
                 left_s = self._at_s - self._wire.loop.time()
                 if self._moment == "while a call waits" and self.silent_at is None and left_s > 0:
-                    done, _ = await asyncio.wait([waits], timeout=left_s)
+                    done, _ = await asyncio.wait([pending], timeout=left_s)
                     if not done and self._silences(self._moment):
-                        waits.cancel()
+                        pending.cancel()
                         continue
-                body = json.dumps(await waits, indent=2).encode()  # lists may come indented
+                body = json.dumps(await pending, indent=2).encode()  # lists may come indented
                 answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
                 for moment, size in (("amid a head", 20), ("amid a body", len(answer) - len(body) // 2)):
                     if self._silences(moment):
                         writer.write(answer[:size])
                         answer = b""
-                        await reader.read()  # to its end
+                        await reader.read()  # until the client closes the connection
                 writer.write(answer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             pass
@@ -90,15 +95,15 @@
     moment: str,
     at_s: float,
     pushed: bool,
-    then: Callable[[Agent, DiscoveryWatcher], None],
+    schedule_events: Callable[[Agent, DiscoveryWatcher], None],
     length_s: float = 14.0,
-    allowed_s: float = 10.0,
-    lost: int = 0,
+    max_poll_interval_s: float = 10.0,
+    unanswered_connections: int = 0,
 ) -> tuple[Agent, list[tuple[float, EndpointUpdate]]]:
-    """A roster's client on the virtual clock; a call that failed is repeated 0.5 s later."""
+    """Run a discovery watch on the virtual clock, repeating a failed call after 0.5 s."""
     loop = VirtualLoop(1)  # type: ignore[abstract]
     wire = Wire(loop, random.Random(2))
-    agent = Agent(wire, moment, at_s, lost)
+    agent = Agent(wire, moment, at_s, unanswered_connections)
     agent.put("s-1", "10.1.0.1:80")
     host = Host("sidecar")
     network = VirtualNetwork(wire.machine(host, "10.0.0.1"))
@@ -106,19 +111,19 @@
 
     async def work() -> None:
         agent.start_listening()
-        roster = DiscoveryWatcher(
-            network, agent.listen_address, 0, WatchOptions(pushed, int(allowed_s * S), seed=4)
+        watcher = DiscoveryWatcher(
+            network, agent.listen_address, 0, WatchOptions(pushed, int(max_poll_interval_s * S), seed=4)
         )
 
         def failed() -> None:
-            loop.call_later(0.5, roster.watch, True)
+            loop.call_later(0.5, watcher.watch, True)
 
-        roster.start(lambda listing: updates.append((loop.time(), listing)), failed)
+        watcher.start(lambda update: updates.append((loop.time(), update)), failed)
         if not pushed:
-            roster.watch(True)
-        then(agent, roster)
+            watcher.watch(True)
+        schedule_events(agent, watcher)
         await asyncio.sleep(length_s)
-        roster.close()
+        watcher.close()
 
     loop.run_until_complete(loop.create_task(work(), context=host.context.copy()))
     return agent, updates
@@ -127,172 +132,184 @@
 @pytest.mark.parametrize("pushed", [False, True], ids=["polled", "pushed"])
 @pytest.mark.parametrize("moment", MOMENTS)
 @pytest.mark.parametrize("at_s", [0.5, 1.9, 2.02, 3.3])
-@pytest.mark.parametrize("allowed_s", [1.0, 10.0, 60.0])
-@pytest.mark.parametrize(("lost", "late_s"), [(0, 0.0), (1, 0.0), (1, 1.5)])
+@pytest.mark.parametrize("max_poll_interval_s", [1.0, 10.0, 60.0])
+@pytest.mark.parametrize(("unanswered_connections", "answer_delay_s"), [(0, 0.0), (1, 0.0), (1, 1.5)])
 def test_a_silent_watch_is_restarted_before_the_notification_deadline(
-    moment: str, at_s: float, pushed: bool, allowed_s: float, lost: int, late_s: float
+    moment: str,
+    at_s: float,
+    pushed: bool,
+    max_poll_interval_s: float,
+    unanswered_connections: int,
+    answer_delay_s: float,
 ) -> None:
-    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
-        def look() -> None:
-            # What the silence hides: a server leaves right after it began, and discovery is slow from there.
+    def schedule_events(agent: Agent, watcher: DiscoveryWatcher) -> None:
+        def check_silence() -> None:
+            # A server leaves right after the watch fell silent, and discovery answers slowly from then on.
             if agent.silent_at is None:
-                agent._wire.loop.call_later(0.01, look)
+                agent._wire.loop.call_later(0.01, check_silence)
             else:
                 agent.put("s-1", "10.1.0.1:80", "leaving")
-                agent.delays_s.append(late_s)
+                agent.delays_s.append(answer_delay_s)
 
-        agent._wire.loop.call_later(0.01, look)
+        agent._wire.loop.call_later(0.01, check_silence)
 
-    agent, updates = watch(moment, at_s, pushed, then, allowed_s=allowed_s, lost=lost)
+    agent, updates = watch(
+        moment,
+        at_s,
+        pushed,
+        schedule_events,
+        max_poll_interval_s=max_poll_interval_s,
+        unanswered_connections=unanswered_connections,
+    )
     assert agent.silent_at is not None
     drained_at = [
-        at for at, listing in updates for each in listing.entries if each.endpoint.state.value == "draining"
+        at for at, update in updates for entry in update.entries if entry.endpoint.state.value == "draining"
     ]
     assert drained_at and drained_at[0] - agent.silent_at < NOTIFICATION_DEADLINE_S
-    # And it polls little more often than its calls wait.
-    max_calls = 6 + 14.0 / (0.5 if allowed_s < 2 else 1.0 if pushed else 2.0)
-    assert len(agent.calls) < max_calls or late_s
+    # It polls hardly more often than once per blocking call.
+    max_calls = 6 + 14.0 / (0.5 if max_poll_interval_s < 2 else 1.0 if pushed else 2.0)
+    assert len(agent.calls) < max_calls or answer_delay_s
 
 
-def test_a_silent_agent_is_polled_on_and_answers_soon_after_it_is_back() -> None:
-    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
-        agent.deaf_until_s = 8.0  # no earlier call is ever answered
+def test_a_silent_agent_is_polled_until_it_answers_again() -> None:
+    def schedule_events(agent: Agent, watcher: DiscoveryWatcher) -> None:
+        agent.silent_until_s = 8.0  # no earlier call is ever answered
         agent._wire.loop.call_later(7.9, agent.put, "s-1", "10.1.0.1:80", "leaving")
 
-    agent, updates = watch("while a call waits", 1.0, True, then)
+    agent, updates = watch("while a call waits", 1.0, True, schedule_events)
     drained_at = [
-        at for at, listing in updates for each in listing.entries if each.endpoint.state.value == "draining"
+        at for at, update in updates for entry in update.entries if entry.endpoint.state.value == "draining"
     ]
     assert 8.0 < drained_at[0] < 8.3
     assert agent.silent_at is not None and len(agent.calls) < 45
 
 
-def test_a_discovery_that_is_silent_for_good_fails_after_a_limited_number_of_calls() -> None:
-    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
-        agent.deaf_until_s = 1e9
+def test_a_permanently_silent_discovery_fails_after_a_limited_number_of_calls() -> None:
+    def schedule_events(agent: Agent, watcher: DiscoveryWatcher) -> None:
+        agent.silent_until_s = 1e9
         agent._wire.loop.call_later(
-            0.1, setattr, roster, "_on_failed", lambda: failed.append(loop_time(agent))
+            0.1, setattr, watcher, "_on_failed", lambda: failed.append(loop_time(agent))
         )
 
     def loop_time(agent: Agent) -> float:
         return agent._wire.loop.time()
 
     failed: list[float] = []
-    agent, _ = watch("while a call waits", 1.0, False, then, length_s=30.0)
+    agent, _ = watch("while a call waits", 1.0, False, schedule_events, length_s=30.0)
     assert agent.silent_at is not None and len(failed) == 1  # the balancer decides when to retry
     assert len([at for at, _ in agent.calls if at > agent.silent_at]) == 3
 
 
 def test_many_suspicions_request_the_complete_list_once() -> None:
-    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
+    def schedule_events(agent: Agent, watcher: DiscoveryWatcher) -> None:
         for number in range(300):
-            agent._wire.loop.call_later(0.3 + number / 1e3, roster.suspect_stale)
+            agent._wire.loop.call_later(0.3 + number / 1e3, watcher.suspect_stale)
 
-    agent, _ = watch("never", 0.0, True, then, length_s=1.2)
+    agent, _ = watch("never", 0.0, True, schedule_events, length_s=1.2)
     assert [target for _, target in agent.calls if "after" not in target] == ["/catalog/members"]
-    assert len(agent.calls) == 4  # the first, the watch, the complete list, the watch again
+    assert len(agent.calls) == 4  # first call, watch, complete list, watch again
 
 
 def test_where_discovery_is_shared_a_suspicion_requests_nothing() -> None:
-    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
+    def schedule_events(agent: Agent, watcher: DiscoveryWatcher) -> None:
         for number in range(1_000):
-            agent._wire.loop.call_later(0.3 + number / 1e2, roster.suspect_stale)
+            agent._wire.loop.call_later(0.3 + number / 1e2, watcher.suspect_stale)
         agent._wire.loop.call_later(5.0, agent.put, "s-1", "10.1.0.1:80", "leaving")
 
-    agent, updates = watch("never", 0.0, False, then, length_s=11.0)
-    calm, _ = watch("never", 0.0, False, lambda agent, roster: None, length_s=11.0)
+    agent, updates = watch("never", 0.0, False, schedule_events, length_s=11.0)
+    baseline, _ = watch("never", 0.0, False, lambda agent, watcher: None, length_s=11.0)
     assert [target for _, target in agent.calls if "after" not in target] == []
-    assert len(agent.calls) <= len(calm.calls) + 1  # one more follows the news
-    assert updates[-1][0] == pytest.approx(5.0, abs=0.01)  # by the watch that was up all along
+    assert len(agent.calls) <= len(baseline.calls) + 1  # one more call follows the change
+    assert updates[-1][0] == pytest.approx(5.0, abs=0.01)  # through the watch, which stayed open
 
 
 def test_futile_renewals_back_off() -> None:
-    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
+    def schedule_events(agent: Agent, watcher: DiscoveryWatcher) -> None:
         for number in range(1_000):
-            agent._wire.loop.call_later(0.3 + number / 1e2, roster.suspect_stale)
+            agent._wire.loop.call_later(0.3 + number / 1e2, watcher.suspect_stale)
 
-    agent, _ = watch("never", 0.0, True, then, length_s=5.5)
+    agent, _ = watch("never", 0.0, True, schedule_events, length_s=5.5)
     complete = [at for at, target in agent.calls if "after" not in target]
     assert 3 <= len(complete) <= 8
     intervals = [later - at for at, later in pairwise(complete)]
-    assert intervals[0] < 0.6 and intervals[-1] >= 0.95  # at last no sooner than the watch's own calls
+    assert intervals[0] < 0.6 and intervals[-1] >= 0.95  # finally no more frequent than the watch's own calls
 
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["polled", "pushed"])
-def test_a_suspicion_starts_nothing_while_discovery_is_down_or_slow(pushed: bool) -> None:
+def test_a_suspicion_starts_no_call_while_discovery_is_down_or_slow(pushed: bool) -> None:
     def calls(suspicions: int) -> list[tuple[float, str]]:
-        def then(agent: Agent, roster: DiscoveryWatcher) -> None:
+        def schedule_events(agent: Agent, watcher: DiscoveryWatcher) -> None:
             agent.delays_s.append(3.0)
             for number in range(suspicions):
-                agent._wire.loop.call_later(0.1 + number / 1e2, roster.suspect_stale)
+                agent._wire.loop.call_later(0.1 + number / 1e2, watcher.suspect_stale)
 
-        agent, updates = watch("never", 0.0, pushed, then, length_s=3.2)
-        assert updates[0][0] == pytest.approx(3.0, abs=0.1)  # the first call kept its place, and was answered
+        agent, updates = watch("never", 0.0, pushed, schedule_events, length_s=3.2)
+        assert updates[0][0] == pytest.approx(3.0, abs=0.1)  # the first call was kept, and answered
         return agent.calls
 
     assert [target for _, target in calls(100)] == [target for _, target in calls(0)]
-    assert pushed or len(calls(0)) <= 3  # the first, its hedge, and the watch
+    assert pushed or len(calls(0)) <= 3  # first call, its hedge, watch
 
 
 def test_a_suspicion_while_discovery_was_slow_does_not_hide_later_ones() -> None:
-    def then(agent: Agent, roster: DiscoveryWatcher) -> None:
+    def schedule_events(agent: Agent, watcher: DiscoveryWatcher) -> None:
         agent.delays_s.append(1.5)  # its first answer is due after the renewal
-        agent._wire.loop.call_later(0.1, roster.suspect_stale)
-        agent._wire.loop.call_later(4.4, roster.suspect_stale)
+        agent._wire.loop.call_later(0.1, watcher.suspect_stale)
+        agent._wire.loop.call_later(4.4, watcher.suspect_stale)
 
-    agent, _ = watch("never", 0.0, True, then, length_s=7.0)
+    agent, _ = watch("never", 0.0, True, schedule_events, length_s=7.0)
     assert [at for at, target in agent.calls if "after" not in target and at > 4.4]
 
 
-def test_a_list_that_was_confirmed_since_is_not_renewed() -> None:
+def test_a_list_confirmed_after_the_suspicion_is_not_renewed() -> None:
     health = WatchHealth(10 * S, random.Random(1), is_pushed=True)
     assert health.suspect(100) is not None
-    assert health.suspect(200) is None  # one look is planned
+    assert health.suspect(200) is None  # a renewal is already planned
     health.confirm(300, has_changes=False)
     assert not health.take_due_renewal(400)
     due = health.suspect(500)
     assert due is not None and health.take_due_renewal(due)
-    again = health.suspect(due + 1)
-    assert again is not None and again >= due + 250 * MS
+    next_due = health.suspect(due + 1)
+    assert next_due is not None and next_due >= due + 250 * MS
     health.reset()
-    assert not health.take_due_renewal(again)
+    assert not health.take_due_renewal(next_due)
 
 
 @pytest.mark.parametrize(
-    ("allowed_s", "pushed", "wait_ms", "late_s"),
+    ("max_poll_interval_s", "pushed", "wait_ms", "hedge_after_s"),
     [(10, False, 2_000, 2.5), (10, True, 1_000, 1.3), (60, False, 2_000, 2.5), (0.1, False, 500, 1.0)],
 )
 def test_how_long_a_watch_may_be_silent_follows_from_the_settings(
-    allowed_s: float, pushed: bool, wait_ms: int, late_s: float
+    max_poll_interval_s: float, pushed: bool, wait_ms: int, hedge_after_s: float
 ) -> None:
-    health = WatchHealth(int(allowed_s * S), random.Random(1), is_pushed=pushed)
-    waiting, first = health.blocking_call, health.first_call
-    assert (waiting.wait_ms, waiting.hedge_after_s) == (wait_ms, late_s)
-    # Silent for good, then a renewal that is lost, then one more: 1.5 s are left for its answer.
-    assert RESPONSE_TIME_S >= 1.5 and max(waiting.hedge_after_s, first.hedge_after_s) <= MAX_CALL_GAP_S
-    assert waiting.hedge_after_s + waiting.hedge_interval_s <= NOTIFICATION_DEADLINE_S - RESPONSE_TIME_S
+    health = WatchHealth(int(max_poll_interval_s * S), random.Random(1), is_pushed=pushed)
+    blocking, first = health.blocking_call, health.first_call
+    assert (blocking.wait_ms, blocking.hedge_after_s) == (wait_ms, hedge_after_s)
+    # A permanently silent watch, a lost renewal, then a second one: 1.5 s are left for its answer.
+    assert RESPONSE_TIME_S >= 1.5 and max(blocking.hedge_after_s, first.hedge_after_s) <= MAX_CALL_GAP_S
+    assert blocking.hedge_after_s + blocking.hedge_interval_s <= NOTIFICATION_DEADLINE_S - RESPONSE_TIME_S
     assert (
         first.wait_ms == 0
         and first.hedge_after_s + first.hedge_interval_s <= NOTIFICATION_DEADLINE_S - RESPONSE_TIME_S
     )
     assert (
         MAX_RETRY_WAIT_S + DIAL_TIMEOUT_S + RESPONSE_TIME_S <= NOTIFICATION_DEADLINE_S - RESPONSE_TIME_S
-    )  # a host that is not there, then one more dial
-    for each in (waiting, first, health.second_call):  # all out and silent, then the decisions' wait
-        last_s = max(each.hedge_after_s + n * each.hedge_interval_s for n in range(3))
+    )  # an unreachable host, then one more dial
+    for call in (blocking, first, health.second_call):  # all calls unanswered, then the policy's retry delay
+        last_s = max(call.hedge_after_s + n * call.hedge_interval_s for n in range(3))
         assert (
             pushed
-            or min(each.give_up_s, last_s + each.hedge_interval_s)
+            or min(call.give_up_s, last_s + call.hedge_interval_s)
             + MAX_RETRY_WAIT_S
-            - min(last_s, each.give_up_s)
+            - min(last_s, call.give_up_s)
             <= MAX_CALL_GAP_S
         )
     health.update_limits(10 * S, S)
     assert health.blocking_call.wait_ms == (1_000 if pushed else 2_000)
 
 
-def silent_day(sidecars: int, amount: float, **more: Any) -> Scenario:
-    """Watches fall silent, and a third of the servers leave for good, one after another."""
+def silent_watch_scenario(sidecars: int, amount: float, **fields: Any) -> Scenario:
+    """Watches fall silent, and a third of the servers leave permanently, one after another."""
     silent = [Fault(at_s=2.0, kind=Kind.SILENT, amount=amount)]
     leave = [Fault(at_s=2.5 + 0.3 * n, kind=Kind.DRAIN, for_s=8.5, target=n) for n in range(10)]
     return Scenario(
@@ -303,7 +320,7 @@
         rate=1.0,
         length_s=7.0,
         faults=(*silent, *leave),
-        **more,
+        **fields,
     )
 
 
@@ -312,15 +329,15 @@
     [(0.0, False), (1.0, False), (1.0, True)],
     ids=["one watch", "all watches", "pushed"],
 )
-def test_two_hundred_sidecars_send_nothing_to_who_left_while_watches_were_silent(
+def test_two_hundred_sidecars_send_nothing_to_servers_that_left_while_watches_were_silent(
     amount: float, pushed: bool
 ) -> None:
-    result = play(silent_day(200, amount, pushed=pushed))
-    assert [str(each) for each in result.violations] == []
+    result = play(silent_watch_scenario(200, amount, pushed=pushed))
+    assert [str(violation) for violation in result.violations] == []
     assert result.counts["watch fell silent"] == (200 if amount else 1)
     assert result.counts["answer 200"] == result.counts["requests"] > 2_000
 
 
-def test_a_build_that_waits_long_for_silent_watches_is_found() -> None:
+def test_a_build_that_waits_too_long_for_silent_watches_is_detected() -> None:
     with waits_long():
-        assert "lists" in play(silent_day(10, 1.0)).rules
+        assert "lists" in play(silent_watch_scenario(10, 1.0)).rules
