--- a/tests/test_consul_choices.py
+++ b/tests/test_consul_choices.py
@@ -1,4 +1,4 @@
-"""Consul without sockets: requests, their schedule, how answers are read and what they mean: row by row."""
+"""The Consul client's logic without sockets: requests, poll schedule, response parsing and health states."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 # Requests and responses
 
 
-def test_a_request_has_all_that_was_configured_and_its_token_in_a_header_alone() -> None:
+def test_a_request_has_all_configured_options_and_its_token_only_in_a_header() -> None:
     options = RequestOptions(
         "s3cret", "dc2", "team", "part", "stale", ("blue", "v 2"), 'Service.Meta.zone == "a"'
     )
@@ -52,49 +52,51 @@
     )
 
 
-def _answer(body: bytes = b"[]", status: int = 200, **headers: str) -> Response:
-    named: Headers = [(k.replace("_", "-").encode(), v.encode()) for k, v in headers.items()]
-    return Response(status, named, body)
+def _response(body: bytes = b"[]", status: int = 200, **headers: str) -> Response:
+    header_fields: Headers = [(k.replace("_", "-").encode(), v.encode()) for k, v in headers.items()]
+    return Response(status, header_fields, body)
 
 
 @pytest.mark.parametrize(
     ("response", "text"),
     [
-        (_answer(b"[", 200), "not JSON"),
-        (_answer(b"No cluster leader", 500), "500: No cluster leader"),
-        (_answer(b"", 403), "token"),
-        (_answer(b"", 429), "429"),
-        (_answer(b"x", 200, content_encoding="br"), "'br'"),
-        (_answer(b"x" * 40, 200, content_encoding="gzip"), "cannot be decompressed"),
-        (_answer(gzip.compress(b"[1, 2, 3]")[:-6], 200, content_encoding="gzip"), "truncated"),
-        (_answer(gzip.compress(b" " * (5 << 20)), 200, content_encoding="gzip"), "4 MiB"),
+        (_response(b"[", 200), "not JSON"),
+        (_response(b"No cluster leader", 500), "500: No cluster leader"),
+        (_response(b"", 403), "token"),
+        (_response(b"", 429), "429"),
+        (_response(b"x", 200, content_encoding="br"), "'br'"),
+        (_response(b"x" * 40, 200, content_encoding="gzip"), "cannot be decompressed"),
+        (_response(gzip.compress(b"[1, 2, 3]")[:-6], 200, content_encoding="gzip"), "truncated"),
+        (_response(gzip.compress(b" " * (5 << 20)), 200, content_encoding="gzip"), "4 MiB"),
     ],
 )
-def test_a_malformed_answer_names_what_is_wrong(response: Response, text: str) -> None:
+def test_a_malformed_response_raises_a_specific_error(response: Response, text: str) -> None:
     with pytest.raises(ConsulError, match=text):
         read_body(response)
 
 
-def test_a_good_answer_is_read_packed_or_not() -> None:
-    packed = _answer(gzip.compress(b'[{"a": 1}]'), content_encoding="gzip")
-    assert read_body(packed) == read_body(_answer(b'[{"a": 1}]')) == [{"a": 1}]
-    meta = read_meta(_answer(x_consul_index="42", x_consul_lastcontact="1500", x_consul_knownleader="false"))
+def test_a_valid_response_is_read_compressed_or_not() -> None:
+    compressed = _response(gzip.compress(b'[{"a": 1}]'), content_encoding="gzip")
+    assert read_body(compressed) == read_body(_response(b'[{"a": 1}]')) == [{"a": 1}]
+    meta = read_meta(
+        _response(x_consul_index="42", x_consul_lastcontact="1500", x_consul_knownleader="false")
+    )
     assert meta == ResponseMeta(42, 1.5, False)
     with pytest.raises(ConsulError, match="x-consul-index"):
-        read_meta(_answer(x_consul_index="-1"))
+        read_meta(_response(x_consul_index="-1"))
 
 
-def test_where_an_answer_sends_to_must_be_a_place_that_can_be_called() -> None:
-    sent = redirect_target(_answer(status=307, location="http://10.0.0.2:8500/v1/x?index=3"))
-    assert sent == (("10.0.0.2", 8500), b"/v1/x?index=3")
-    assert redirect_target(_answer()) is None
-    for place in ("https://10.0.0.2:8501/", "http://consul.local:8500/", "", "http://10.0.0.2/"):
+def test_a_redirect_location_must_be_an_address_that_can_be_called() -> None:
+    target = redirect_target(_response(status=307, location="http://10.0.0.2:8500/v1/x?index=3"))
+    assert target == (("10.0.0.2", 8500), b"/v1/x?index=3")
+    assert redirect_target(_response()) is None
+    for location in ("https://10.0.0.2:8501/", "http://consul.local:8500/", "", "http://10.0.0.2/"):
         with pytest.raises(ConsulError, match="redirect to a location that cannot be called"):
-            redirect_target(_answer(status=307, location=place))
+            redirect_target(_response(status=307, location=location))
 
 
 # ---------------------------------------------------------------------------------------------------
-# When to poll
+# Poll schedule
 
 
 def _query() -> BlockingQuery:
@@ -113,7 +115,7 @@
 
 
 @pytest.mark.parametrize("index", [41, 1, 0])
-def test_an_index_that_goes_back_is_forgotten(index: int) -> None:
+def test_an_index_that_goes_back_is_reset(index: int) -> None:
     query = _query()
     query.next_poll(0.0)
     query.record_answer(0.1, ResponseMeta(42))
@@ -123,7 +125,7 @@
 
 
 def _calls_in_a_minute(answer: Any) -> int:
-    """How often it polls when each answer comes at once."""
+    """Count the polls in a minute when every answer arrives immediately."""
     query, now, calls = _query(), 0.0, 0
     while now < 60.0:
         plan = query.next_poll(now)
@@ -133,10 +135,10 @@
     return calls
 
 
-def test_nothing_that_an_agent_answers_makes_it_spin() -> None:
-    assert _calls_in_a_minute(lambda n: ResponseMeta(42)) <= 75  # never moves, and does not wait
+def test_no_sequence_of_answers_causes_a_busy_loop() -> None:
+    assert _calls_in_a_minute(lambda n: ResponseMeta(42)) <= 75  # a constant index, answered without waiting
     assert _calls_in_a_minute(lambda n: ResponseMeta(0)) <= 75
-    assert _calls_in_a_minute(lambda n: ResponseMeta(n)) <= 700  # news without end
+    assert _calls_in_a_minute(lambda n: ResponseMeta(n)) <= 700  # a change in every answer
     assert _calls_in_a_minute(lambda n: ResponseMeta(100 - n % 2)) <= 700
 
 
@@ -147,7 +149,7 @@
         query.record_answer(0.01 * number, ResponseMeta(number + 1))
 
 
-def test_failures_back_off_with_jitter_keep_the_index_and_heed_retry_after() -> None:
+def test_failures_back_off_with_jitter_keep_the_index_and_honour_retry_after() -> None:
     query = _query()
     query.next_poll(0.0)
     query.record_answer(0.1, ResponseMeta(42))
@@ -163,9 +165,9 @@
     assert query.next_poll(2.0).delay_s == 0.0
 
 
-def test_a_hundred_that_start_together_do_not_poll_in_step() -> None:
+def test_a_hundred_sidecars_that_start_together_spread_their_first_polls() -> None:
     delays = [BlockingQuery(random.Random(seed)).first_delay(2.0) for seed in range(100)]
-    buckets = [sum(int(each * 10) == bucket for each in delays) for bucket in range(20)]
+    buckets = [sum(int(delay * 10) == bucket for delay in delays) for bucket in range(20)]
     assert max(buckets) <= 15
 
 
@@ -194,18 +196,18 @@
 
 
 def read(*entries: dict[str, Any]) -> list[Instance]:
-    instances, faults = parse_health(list(entries))
-    assert faults == []
+    instances, errors = parse_health(list(entries))
+    assert errors == []
     return instances
 
 
 def statuses(instances: list[Instance], mapping: InstanceMapping | None = None) -> list[InstanceStatus]:
-    """One status for each address."""
+    """Return the merged status of each address."""
     by_address: dict[Address, list[InstanceStatus]] = {}
-    for each in instances:
-        status = instance_status(each, mapping or InstanceMapping())
+    for instance in instances:
+        status = instance_status(instance, mapping or InstanceMapping())
         by_address.setdefault(status.address, []).append(status)
-    return [merge_registrations(each) for each in by_address.values()]
+    return [merge_registrations(registrations) for registrations in by_address.values()]
 
 
 def status(*entries: dict[str, Any], mapping: InstanceMapping | None = None) -> InstanceStatus:
@@ -220,7 +222,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field"),
     [
         ({"Node": None}, "[0].Node"),
         ({"Node": {"Node": ""}}, "[0].Node.Node"),
@@ -234,10 +236,12 @@
         ({"Checks": [{"CheckID": "c", "Status": "well"}]}, "[0].Checks[0].Status"),
     ],
 )
-def test_a_bad_entry_names_its_field_and_takes_no_other_with_it(change: dict[str, Any], named: str) -> None:
-    instances, (fault,) = parse_health([{**entry("bad"), **change}, entry("good")])
-    assert [each.service_id for each in instances] == ["good"]
-    assert named in fault
+def test_an_invalid_entry_is_reported_by_field_and_does_not_affect_others(
+    change: dict[str, Any], field: str
+) -> None:
+    instances, (error,) = parse_health([{**entry("bad"), **change}, entry("good")])
+    assert [instance.service_id for instance in instances] == ["good"]
+    assert field in error
 
 
 json_like = st.recursive(
@@ -257,7 +261,7 @@
 
 
 @given(json_like)
-def test_any_json_is_entries_or_a_clear_error(given_: Any) -> None:
+def test_any_json_is_parsed_or_raises_consul_error(given_: Any) -> None:
     for parse in (parse_health, parse_catalog):
         try:
             instances, _ = parse(json.loads(json.dumps(given_)))
@@ -267,7 +271,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given_", "precedence", "why", "weight"),
+    ("given_", "precedence", "reason", "weight"),
     [
         (entry(), Precedence.READY, "passing", 1),
         (
@@ -305,17 +309,19 @@
             "maintenance",
             1,
         ),
-        # Maintenance of another service on the same node is none of this one's.
+        # Maintenance of another service on the node is not a drain of this one.
         (entry(node_checks=(("_service_maintenance:t-2", "critical"),)), Precedence.UNHEALTHY, "critical", 1),
     ],
 )
-def test_what_checks_mean(given_: dict[str, Any], precedence: Precedence, why: str, weight: int) -> None:
-    got = status(given_)
-    assert (got.precedence, got.weight) == (precedence, weight)
-    assert why in got.reason
+def test_checks_determine_precedence_and_weight(
+    given_: dict[str, Any], precedence: Precedence, reason: str, weight: int
+) -> None:
+    actual = status(given_)
+    assert (actual.precedence, actual.weight) == (precedence, weight)
+    assert reason in actual.reason
 
 
-def test_which_address_counts() -> None:
+def test_an_instance_takes_the_service_tagged_or_node_address() -> None:
     tagged = {"wan": {"Address": "198.51.100.7", "Port": 8080}}
     assert status(entry(TaggedAddresses=tagged)).address == ("10.0.0.1", 80)
     assert status(entry(TaggedAddresses=tagged), mapping=InstanceMapping(tagged_address="wan")).address == (
@@ -327,21 +333,21 @@
         80,
     )
     assert status(entry(address="")).address == ("10.9.9.9", 80)  # the node's
-    six = status(entry(address="2001:DB8::0:1"))
-    assert (six.server, six.address) == ("[2001:db8::1]:80", ("2001:db8::1", 80))
+    ipv6 = status(entry(address="2001:DB8::0:1"))
+    assert (ipv6.server, ipv6.address) == ("[2001:db8::1]:80", ("2001:db8::1", 80))
 
 
-def test_meta_has_zone_kind_cell_and_start_under_configured_keys() -> None:
+def test_zone_kind_cell_and_start_are_read_from_configured_meta_keys() -> None:
     meta = {"zone": "a", "kind": "m2", "cell": "3", "started_ms": "1700000000123"}
-    got = status(entry(Meta=meta))
-    assert (got.zone, got.kind, got.cell, got.started_at) == ("a", "m2", 3, 1_700_000_000_123_000)
+    actual = status(entry(Meta=meta))
+    assert (actual.zone, actual.kind, actual.cell, actual.started_at) == ("a", "m2", 3, 1_700_000_000_123_000)
     other = status(
         entry(Meta={"az": "b", "cell": "x", "started_ms": "-1"}), mapping=InstanceMapping(zone_key="az")
     )
     assert (other.zone, other.cell, other.started_at) == ("b", 0, None)
 
 
-def test_the_same_id_on_two_nodes_is_two_servers_and_one_address_is_one() -> None:
+def test_the_same_id_on_two_nodes_is_two_servers_and_a_shared_address_is_one() -> None:
     two = (entry(node="n-1"), entry(node="n-2", address="10.0.0.2"))
     assert len(statuses(read(*two))) == 2 and warnings(*two) == ()
     twice = (entry("t-1"), entry("t-2", node="n-2", checks=(("c", "critical"),)))
@@ -351,10 +357,10 @@
         assert warnings(*order) == ("10.0.0.1:80 is registered 2 times",)
 
 
-def test_the_catalogue_has_no_health() -> None:
+def test_catalogue_entries_are_ready_without_checks() -> None:
     given_ = {"Node": "n-1", "ID": "x", "Address": "10.9.9.9", "ServiceID": "t-1", "ServicePort": 80}
-    instances, faults = parse_catalog([given_, {**given_, "ServicePort": "80"}])
-    assert len(faults) == 1 and "ServicePort" in faults[0]
+    instances, errors = parse_catalog([given_, {**given_, "ServicePort": "80"}])
+    assert len(errors) == 1 and "ServicePort" in errors[0]
     (only,) = statuses(instances)
     assert (only.server, only.precedence, only.reason) == (
         "10.9.9.9:80",
@@ -369,8 +375,8 @@
 
 def _observe(restarts: RestartTracker, now: int, *entries: dict[str, Any]) -> dict[str, int]:
     listed = statuses(read(*entries))
-    restarts.forget({("10.0.0.1", 80)} - {each.address for each in listed})
-    starts = {each.server: restarts.observe(now, each) for each in listed}
+    restarts.forget({("10.0.0.1", 80)} - {listed_status.address for listed_status in listed})
+    starts = {listed_status.server: restarts.observe(now, listed_status) for listed_status in listed}
     restarts.complete_list()
     return {name: start for name, start in starts.items() if start is not None}
 
@@ -379,7 +385,7 @@
 NAME = "10.0.0.1:80"
 
 
-def test_who_is_there_at_the_first_look_has_not_restarted() -> None:
+def test_instances_in_the_first_list_have_not_restarted() -> None:
     assert _observe(RestartTracker(), 5, entry()) == {}
 
 
@@ -404,7 +410,7 @@
     assert _observe(restarts, 12, *after) == ({NAME: 9} if restarted else {})
 
 
-def test_a_reported_start_holds_over_a_detected_one_and_absence_forgets() -> None:
+def test_a_reported_start_overrides_a_detected_one_and_absence_forgets_both() -> None:
     restarts = RestartTracker()
     _observe(restarts, 5)
     assert _observe(restarts, 9, entry(Meta={"started_ms": "1"})) == {NAME: 1_000}
--- a/tests/test_consul_client.py
+++ b/tests/test_consul_client.py
@@ -1,4 +1,4 @@
-"""The client against the stand-in Consul, and the stand-in against a client that nobody here wrote."""
+"""The Consul client against the stand-in Consul, and the stand-in against the py-consul library."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _client(*agents: StandInConsul, **options: Any) -> ConsulClient:
-    addresses = tuple(parse_address(each.address) for each in agents)
+    addresses = tuple(parse_address(agent.address) for agent in agents)
     return ConsulClient(LoopNetwork(), Agents(addresses), RequestOptions(**options))
 
 
@@ -33,15 +33,15 @@
     agent.change(change)
 
 
-def _ids(given: Any) -> list[str]:
-    instances, faults = parse_health(given)
-    assert faults == []
-    return [each.service_id for each in instances]
+def _ids(entries: Any) -> list[str]:
+    instances, errors = parse_health(entries)
+    assert errors == []
+    return [instance.service_id for instance in instances]
 
 
-def played(work: Callable[[StandInConsul], Any], **how: Any) -> None:
+def run_with_agent(work: Callable[[StandInConsul], Any], **options: Any) -> None:
     async def main() -> None:
-        agent = await StandInConsul(**how).start()
+        agent = await StandInConsul(**options).start()
         try:
             await work(agent)
         finally:
@@ -50,36 +50,36 @@
     play(main)
 
 
-def test_a_list_is_read_and_a_blocking_query_wakes_by_a_change_and_by_that_alone() -> None:
+def test_a_blocking_query_returns_only_on_a_change_of_its_service() -> None:
     async def work(agent: StandInConsul) -> None:
         _register(agent)
         client = _client(agent)
-        given, meta = await client.get(TARIFF)
-        assert _ids(given) == ["t-1"] and meta.index > 0
+        entries, meta = await client.get(TARIFF)
+        assert _ids(entries) == ["t-1"] and meta.index > 0
         waiting = asyncio.ensure_future(client.get(TARIFF, index=meta.index, wait_s=10, timeout_s=15))
         agent.change(lambda state: state.put_service(NODE, {"Name": "other", "Port": 1}))
         await asyncio.sleep(0.05)
-        assert not waiting.done()  # another service's change
+        assert not waiting.done()  # the change was of another service
         agent.change(lambda state: state.put_check(NODE, "service:t-1", "critical", "t-1"))
-        given, later = await soon(waiting)
-        assert given[0]["Checks"][0]["Status"] == "critical" and later.index > meta.index
-        again, same = await client.get(TARIFF, index=later.index, wait_s=0.05)
-        assert same.index == later.index and _ids(again) == ["t-1"]
+        entries, later = await soon(waiting)
+        assert entries[0]["Checks"][0]["Status"] == "critical" and later.index > meta.index
+        repeated, same = await client.get(TARIFF, index=later.index, wait_s=0.05)
+        assert same.index == later.index and _ids(repeated) == ["t-1"]
         client.close()
 
-    played(work)
+    run_with_agent(work)
 
 
-def test_a_large_list_comes_packed() -> None:
+def test_a_large_compressed_list_is_read() -> None:
     async def work(agent: StandInConsul) -> None:
         for number in range(200):
             _register(agent, f"t-{number}", 1 + number)
         client = _client(agent)
-        given, _ = await client.get(TARIFF)
-        assert len(_ids(given)) == 200
+        entries, _ = await client.get(TARIFF)
+        assert len(_ids(entries)) == 200
         client.close()
 
-    played(work)
+    run_with_agent(work)
 
 
 @pytest.mark.parametrize(
@@ -93,12 +93,12 @@
         (Fault("hang"), "no answer in time"),
         (Fault("trickle"), "no answer in time|truncated"),
         (Fault("redirect", to="consul.local:8500"), "redirect to a location that cannot be called"),
-        # against a location that no URL parser takes
+        # a location that URL parsers reject
         (Fault("redirect", to="[::1"), "redirect to a location that cannot be called"),
     ],
     ids=lambda each: each.kind if isinstance(each, Fault) else "",
 )
-def test_a_fault_is_a_clear_error_that_names_the_agent_and_the_next_one_is_asked(
+def test_a_fault_raises_an_error_naming_the_agent_and_the_next_agent_is_tried(
     fault: Fault, text: str
 ) -> None:
     async def work(agent: StandInConsul) -> None:
@@ -114,10 +114,10 @@
         client.close()
         other.stop()
 
-    played(work)
+    run_with_agent(work)
 
 
-def test_the_nodes_and_who_the_agent_is_are_read() -> None:
+def test_nodes_and_the_agents_description_are_read() -> None:
     async def work(agent: StandInConsul) -> None:
         client = _client(agent)
         nodes, meta = await client.get("/v1/catalog/nodes")
@@ -127,24 +127,24 @@
         assert (await client.describe_agent()).endswith("without a leader")
         client.close()
 
-    played(work)
+    run_with_agent(work)
 
 
-def test_an_agent_that_is_down_is_passed_over() -> None:
+def test_an_agent_that_is_down_is_skipped() -> None:
     async def work(agent: StandInConsul) -> None:
         _register(agent)
-        gone = await StandInConsul().start()
-        client = _client(gone, agent)
-        gone.stop()
+        stopped = await StandInConsul().start()
+        client = _client(stopped, agent)
+        stopped.stop()
         with pytest.raises(ConsulError):
             await client.get(TARIFF)
         assert _ids((await client.get(TARIFF))[0]) == ["t-1"]
         client.close()
 
-    played(work)
+    run_with_agent(work)
 
 
-def test_a_token_is_needed_and_is_in_no_error() -> None:
+def test_a_token_is_required_and_appears_in_no_error() -> None:
     async def work(agent: StandInConsul) -> None:
         _register(agent)
         good, bad = _client(agent, token="right"), _client(agent, token="s3cret")
@@ -153,13 +153,13 @@
             await bad.get(TARIFF)
         assert caught.value.is_forbidden and "s3cret" not in str(caught.value)
         assert agent.tokens is not None
-        agent.tokens.clear()  # revoked in service
+        agent.tokens.clear()  # revoked while the client runs
         with pytest.raises(ConsulError, match="403"):
             await good.get(TARIFF)
         good.close()
         bad.close()
 
-    played(work, tokens={"right"})
+    run_with_agent(work, tokens={"right"})
 
 
 @pytest.mark.parametrize("is_agent", [True, False])
@@ -177,38 +177,38 @@
         client.close()
         other.stop()
 
-    played(work)
+    run_with_agent(work)
 
 
-def test_a_leader_that_is_lost_fails_reads_but_stale_ones_and_those_say_so() -> None:
+def test_without_a_leader_only_stale_reads_succeed_and_report_it() -> None:
     async def work(agent: StandInConsul) -> None:
         _register(agent)
         agent.has_leader = False
-        firm, loose = _client(agent), _client(agent, mode="stale")
+        consistent, stale = _client(agent), _client(agent, mode="stale")
         with pytest.raises(ConsulError, match="No cluster leader"):
-            await firm.get(TARIFF)
-        given, meta = await loose.get(TARIFF)
-        assert _ids(given) == ["t-1"] and not meta.has_leader
-        firm.close()
-        loose.close()
+            await consistent.get(TARIFF)
+        entries, meta = await stale.get(TARIFF)
+        assert _ids(entries) == ["t-1"] and not meta.has_leader
+        consistent.close()
+        stale.close()
 
-    played(work)
+    run_with_agent(work)
 
 
-def test_a_stale_server_lags_by_the_set_time_and_says_how_much() -> None:
+def test_a_stale_server_lags_by_the_set_time_and_reports_the_lag() -> None:
     async def work(agent: StandInConsul) -> None:
         agent.stale_by_s = 0.3
-        client, firm = _client(agent, mode="stale"), _client(agent)
+        client, consistent = _client(agent, mode="stale"), _client(agent)
         _register(agent)
-        given, meta = await client.get(TARIFF)
-        assert _ids(given) == [] and meta.last_contact_s == 0.3
-        assert _ids((await firm.get(TARIFF))[0]) == ["t-1"]
-        while not _ids(given):
-            given, meta = await client.get(TARIFF, index=meta.index, wait_s=5.0)
+        entries, meta = await client.get(TARIFF)
+        assert _ids(entries) == [] and meta.last_contact_s == 0.3
+        assert _ids((await consistent.get(TARIFF))[0]) == ["t-1"]
+        while not _ids(entries):
+            entries, meta = await client.get(TARIFF, index=meta.index, wait_s=5.0)
         client.close()
-        firm.close()
+        consistent.close()
 
-    played(work)
+    run_with_agent(work)
 
 
 def test_an_agent_that_restarts_empty_answers_a_lower_index() -> None:
@@ -218,31 +218,31 @@
         client = _client(agent)
         _, before = await client.get(TARIFF)
         agent.restart_empty()
-        given, after = await client.get(TARIFF, index=before.index, wait_s=5.0)
-        assert _ids(given) == [] and after.index < before.index
+        entries, after = await client.get(TARIFF, index=before.index, wait_s=5.0)
+        assert _ids(entries) == [] and after.index < before.index
         client.close()
 
-    played(work)
+    run_with_agent(work)
 
 
 # ---------------------------------------------------------------------------------------------------
-# The stand-in, by py-consul
+# The stand-in, called by py-consul
 
 
 @contextmanager
-def standing() -> Iterator[tuple[pyconsul.Consul, StandInConsul]]:
-    """A stand-in on a thread of its own, and py-consul's client of it: that one blocks."""
+def running_stand_in() -> Iterator[tuple[pyconsul.Consul, StandInConsul]]:
+    """Run a stand-in in its own thread, since py-consul's client blocks."""
     agent = StandInConsul()
     ready = threading.Event()
-    ends: list[Callable[[], object]] = []
+    stop_callbacks: list[Callable[[], object]] = []
 
     async def serve() -> None:
-        over = asyncio.Event()
+        stop_requested = asyncio.Event()
         loop = asyncio.get_running_loop()
-        ends.append(lambda: loop.call_soon_threadsafe(over.set))
+        stop_callbacks.append(lambda: loop.call_soon_threadsafe(stop_requested.set))
         await agent.start()
         ready.set()
-        await over.wait()
+        await stop_requested.wait()
         agent.stop()
 
     thread = threading.Thread(target=lambda: asyncio.run(serve()))
@@ -251,12 +251,12 @@
     try:
         yield pyconsul.Consul(host=HOST, port=int(agent.address.rpartition(":")[2])), agent
     finally:
-        ends[0]()
+        stop_callbacks[0]()
         thread.join()
 
 
-def test_py_consul_registers_checks_and_reads_what_it_wrote() -> None:
-    with standing() as (client, _):
+def test_py_consul_reads_back_its_services_and_checks() -> None:
+    with running_stand_in() as (client, _):
         assert client.status.leader()
         assert client.agent.self()["Config"]["NodeName"] == NODE
         check = pyconsul.Check.ttl("30s")
@@ -275,26 +275,28 @@
         _, entries = client.health.service("tariff")
         assert "_service_maintenance:t-1" in {each["CheckID"] for each in entries[0]["Checks"]}
         client.agent.service.maintenance("t-1", "false")
-        began = time.monotonic()
-        again, _ = client.health.service("tariff", index=client.health.service("tariff")[0], wait="200ms")
-        assert int(again) > int(index) and 0.15 < time.monotonic() - began < 5.0
+        started_at = time.monotonic()
+        next_index, _ = client.health.service(
+            "tariff", index=client.health.service("tariff")[0], wait="200ms"
+        )
+        assert int(next_index) > int(index) and 0.15 < time.monotonic() - started_at < 5.0
         client.agent.service.deregister("t-1")
         assert client.health.service("tariff")[1] == []
 
 
-def test_py_consul_uses_the_catalogue_of_other_nodes() -> None:
-    with standing() as (client, _):
+def test_py_consul_registers_services_of_other_nodes_in_the_catalogue() -> None:
+    with running_stand_in() as (client, _):
         service = {"Service": "tariff", "ID": "t-2", "Port": 81, "Meta": {"zone": "b"}}
         assert client.catalog.register("far", "10.0.0.9", service=service)
         _, entries = client.health.service("tariff")
-        instances, faults = parse_health(entries)
-        assert faults == [] and (instances[0].address, instances[0].port) == ("10.0.0.9", 81)
+        instances, errors = parse_health(entries)
+        assert errors == [] and (instances[0].address, instances[0].port) == ("10.0.0.9", 81)
         assert client.catalog.deregister("far", service_id="t-2")
         assert client.health.service("tariff")[1] == []
 
 
-def test_py_consul_reads_whatever_else_real_clients_ask_for() -> None:
-    with standing() as (client, _):
+def test_py_consul_uses_the_remaining_endpoints_of_real_clients() -> None:
+    with running_stand_in() as (client, _):
         check = pyconsul.Check.ttl("30s")
         client.agent.service.register("tariff", service_id="t-1", port=80, tags=["blue"], check=check)
         client.agent.check.ttl_pass("service:t-1")
@@ -316,16 +318,17 @@
             client.agent.service.maintenance("t-1", "nonsense")
 
 
-def test_py_consul_keeps_keys() -> None:
-    with standing() as (client, _):
+def test_py_consul_reads_and_writes_keys() -> None:
+    with running_stand_in() as (client, _):
         assert client.kv.get("plan")[1] is None
         assert client.kv.put("plan", b"\x00raw") and client.kv.put("plans/a", "1")
-        index, held = client.kv.get("plan")
-        assert held["Value"] == b"\x00raw"
+        index, stored = client.kv.get("plan")
+        assert stored["Value"] == b"\x00raw"
         assert client.kv.put("plan", "new", cas=0) is False
-        assert client.kv.put("plan", "new", cas=held["ModifyIndex"]) is True
+        assert client.kv.put("plan", "new", cas=stored["ModifyIndex"]) is True
         assert [each["Key"] for each in client.kv.get("plan", recurse=True)[1]] == ["plan", "plans/a"]
         assert client.kv.get("plan", keys=True)[1] == ["plan", "plans/a"]
-        again, held = client.kv.get("plan", index=index, wait="5s")  # it has changed since: no wait
-        assert int(again) > int(index) and held["Value"] == b"new"
+        # The key has changed since that index, so the query returns at once.
+        next_index, stored = client.kv.get("plan", index=index, wait="5s")
+        assert int(next_index) > int(index) and stored["Value"] == b"new"
         assert client.kv.delete("plan", recurse=True) and client.kv.get("plans/a")[1] is None
--- a/tests/test_consul_daemon.py
+++ b/tests/test_consul_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon that learns its servers from Consul, over loopback sockets: what servers hear is what counts."""
+"""A sidecar that discovers its servers through Consul, checked by the requests that servers receive."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 
 @dataclass
-class Fleet:
-    """Servers, the Consul (and the roster) that know them, and one daemon."""
+class ConsulSetup:
+    """Servers, the Consul agents (and roster) that list them, and one sidecar."""
 
     servers: list[StandInServer]
     consuls: list[StandInConsul]
@@ -42,9 +42,9 @@
     clients: list[Client] = field(default_factory=list)
     idle: list[Client] = field(default_factory=list)
 
-    def change(self, make: Callable[[State], object]) -> None:
-        for each in self.consuls:
-            each.change(make)
+    def change(self, apply: Callable[[State], object]) -> None:
+        for consul in self.consuls:
+            consul.change(apply)
 
     def register(self, number: int, **meta: str) -> None:
         self.change(lambda state: register(state, number, self.servers[number].address, 1, **meta))
@@ -69,22 +69,24 @@
         return client
 
     async def statuses(self, count: int, kind: str = "check") -> list[int]:
-        """Ask so often, one after the other."""
+        """Send `count` requests in sequence."""
         client = self.idle.pop() if self.idle else await self.client()
         statuses = [(await client.ask(kind)).status for _ in range(count)]
         self.idle.append(client)
         return statuses
 
-    async def uses(self, *numbers: int) -> None:
-        """Wait until new work goes to all of these servers, and to no other."""
+    async def wait_until_used(self, *numbers: int) -> None:
+        """Wait until new requests go to all of these servers and to no other."""
         async with asyncio.timeout(20):
             while True:
-                before = [len(each.heard) for each in self.servers]
-                # Side by side: one after the other, all go to the quickest.
-                for each in await asyncio.gather(*(self.statuses(2) for _ in range(4 * len(self.servers)))):
-                    assert set(each) <= {200, 503}
-                got = [len(each.heard) > old for each, old in zip(self.servers, before, strict=True)]
-                if got == [number in numbers for number in range(len(self.servers))]:
+                before = [len(server.heard) for server in self.servers]
+                # Concurrent requests, since sequential ones would all go to the fastest server.
+                for statuses in await asyncio.gather(
+                    *(self.statuses(2) for _ in range(4 * len(self.servers)))
+                ):
+                    assert set(statuses) <= {200, 503}
+                is_used = [len(server.heard) > old for server, old in zip(self.servers, before, strict=True)]
+                if is_used == [number in numbers for number in range(len(self.servers))]:
                     return
 
     def reload(self, **changes: Any) -> None:
@@ -101,7 +103,7 @@
 
 
 @asynccontextmanager
-async def fleet(
+async def consul_setup(
     count: int,
     *,
     agents: int = 1,
@@ -110,7 +112,7 @@
     tokens: set[str] | None = None,
     token_file: Path | None = None,
     **service: Any,
-) -> AsyncIterator[Fleet]:
+) -> AsyncIterator[ConsulSetup]:
     servers = [await StandInServer(f"s-{number}", takes_s=0.01).start() for number in range(count)]
     consuls = [await StandInConsul(tokens=tokens).start() for _ in range(agents)]
     roster = None
@@ -118,7 +120,7 @@
         "name": "n0",
         "listen": f"{HOST}:0",
         "seed": "8c1f",
-        "consul": consul_config(*(each.address for each in consuls), **service),
+        "consul": consul_config(*(consul.address for consul in consuls), **service),
         "settings": {
             "lanes": CLASSES,
             "zone": "a",
@@ -129,336 +131,341 @@
     }
     path = Path(config["consul"])
     if token_file is not None:
-        given = json.loads(path.read_text())
-        path.write_text(json.dumps({**given, "token_file": str(token_file)}))
+        consul_file = json.loads(path.read_text())
+        path.write_text(json.dumps({**consul_file, "token_file": str(token_file)}))
     if in_roster is not None:
         roster = ScriptedDiscovery()
         roster.servers = [
-            line(f"s-{number}", each.address) for number, each in enumerate(servers) if in_roster(number)
+            line(f"s-{number}", server.address) for number, server in enumerate(servers) if in_roster(number)
         ]
         await roster.start()
         config["discovery"] = roster.address
     log: list[str] = []
-    made = Fleet(servers, consuls, roster, Sidecar(parse(config), LoopNetwork(), log.append), log, config)
+    setup = ConsulSetup(
+        servers, consuls, roster, Sidecar(parse(config), LoopNetwork(), log.append), log, config
+    )
     for number in range(count):
         if in_consul(number):
-            made.register(number)
-    await made.sidecar.start()
+            setup.register(number)
+    await setup.sidecar.start()
     try:
-        yield made
+        yield setup
     finally:
-        made.sidecar.close()
-        for client in made.clients:
+        setup.sidecar.close()
+        for client in setup.clients:
             client.close()
         for server in servers:
             server.die()
         for consul in consuls:
             consul.stop()
-        if made.roster is not None:
-            made.roster.stop()
+        if setup.roster is not None:
+            setup.roster.stop()
         os.unlink(path)
 
 
-def played(work: Callable[[], Awaitable[None]]) -> None:
+def run(work: Callable[[], Awaitable[None]]) -> None:
     async def main() -> None:
         await work()
 
     play(main)
 
 
-def test_health_that_flips_at_random_among_200_nodes_lets_nothing_reach_a_drained_one() -> None:
+def test_random_health_changes_of_200_nodes_send_nothing_to_drained_ones() -> None:
     async def work() -> None:
-        async with fleet(200, in_use=0.0) as scene:
-            loop, chance = asyncio.get_running_loop(), random.Random(7)
-            await until(lambda: len(scene.sidecar._runtime.sources.merge.snapshot().entries) == 200)  # type: ignore[union-attr]
-            out: dict[int, float] = {}  # who is drained, and since when
-            spans: list[tuple[int, float, float]] = []
+        async with consul_setup(200, in_use=0.0) as setup:
+            loop, rng = asyncio.get_running_loop(), random.Random(7)
+            await until(lambda: len(setup.sidecar._runtime.sources.merge.snapshot().entries) == 200)  # type: ignore[union-attr]
+            drained_since: dict[int, float] = {}  # start of the drain, by server
+            drains: list[tuple[int, float, float]] = []
             answers: list[int] = []
-            is_over = False
+            is_done = False
 
-            async def ask() -> None:
-                client = await scene.client()
-                while not is_over:
+            async def send_requests() -> None:
+                client = await setup.client()
+                while not is_done:
                     answers.append((await client.ask()).status)
                     await asyncio.sleep(0.01)
 
-            async def flip() -> None:
+            async def change_health() -> None:
                 for _ in range(150):
-                    number = chance.randrange(200)
-                    if number in out:
-                        spans.append((number, out.pop(number), loop.time()))
-                        scene.undrain(number) if scene.consuls[0].state.services.get(
+                    number = rng.randrange(200)
+                    if number in drained_since:
+                        drains.append((number, drained_since.pop(number), loop.time()))
+                        setup.undrain(number) if setup.consuls[0].state.services.get(
                             (NODE, f"t-{number}")
-                        ) else scene.register(number)
+                        ) else setup.register(number)
                     else:
-                        out[number] = loop.time()
-                        scene.drain(number) if chance.random() < 0.7 else scene.drop(number)
+                        drained_since[number] = loop.time()
+                        setup.drain(number) if rng.random() < 0.7 else setup.drop(number)
                     await asyncio.sleep(0.02)
 
-            askers = [loop.create_task(ask()) for _ in range(6)]
-            await flip()
+            clients = [loop.create_task(send_requests()) for _ in range(6)]
+            await change_health()
             await asyncio.sleep(GRACE_S)
-            spans += [(number, since, loop.time()) for number, since in out.items()]
-            is_over = True
-            await soon(asyncio.gather(*askers))
+            drains += [(number, since, loop.time()) for number, since in drained_since.items()]
+            is_done = True
+            await soon(asyncio.gather(*clients))
             late = [
                 (each.server, each.at - since)
-                for number, since, until_ in spans
-                for each in scene.servers[number].heard
+                for number, since, until_ in drains
+                for each in setup.servers[number].heard
                 if since + GRACE_S < each.at < until_
             ]
             assert late == []
             assert answers.count(200) > 0.98 * len(answers) > 300
-            assert len(spans) > 100 and sum(until_ - since > GRACE_S for _, since, until_ in spans) > 50
+            assert len(drains) > 100 and sum(until_ - since > GRACE_S for _, since, until_ in drains) > 50
 
-    played(work)
+    run(work)
 
 
-def test_a_server_of_consul_that_lags_by_5_s_cannot_undo_a_drain() -> None:
+def test_a_consul_server_that_lags_by_5_s_cannot_undo_a_drain() -> None:
     async def work() -> None:
-        async with fleet(3, agents=2, mode="stale") as scene:
-            fresh, lagging = scene.consuls
-            await scene.uses(0, 1, 2)
+        async with consul_setup(3, agents=2, mode="stale") as setup:
+            fresh, lagging = setup.consuls
+            await setup.wait_until_used(0, 1, 2)
             lagging.stale_by_s = 5.0
-            if not fresh.reads:  # the other one was drawn first
-                scene.consuls[0], scene.consuls[1] = lagging, fresh = fresh, lagging
+            if not fresh.reads:  # the sidecar chose the other agent first
+                setup.consuls[0], setup.consuls[1] = lagging, fresh = fresh, lagging
                 fresh.stale_by_s, lagging.stale_by_s = 0.0, 5.0
-            scene.drain(0)
-            await scene.uses(1, 2)
+            setup.drain(0)
+            await setup.wait_until_used(1, 2)
             fresh.stop()
             seen = lagging.reads
-            await until(lambda: lagging.reads > seen + 1)  # it was read, and says that all is well
-            before = len(scene.servers[0].heard)
-            assert set(await scene.statuses(40)) == {200}
-            assert len(scene.servers[0].heard) == before
+            # The lagging agent was read, and still reports the server as passing.
+            await until(lambda: lagging.reads > seen + 1)
+            before = len(setup.servers[0].heard)
+            assert set(await setup.statuses(40)) == {200}
+            assert len(setup.servers[0].heard) == before
 
-    played(work)
+    run(work)
 
 
-def test_a_consul_that_answers_nothing_and_comes_back_with_a_lower_index() -> None:
+def test_a_consul_outage_keeps_the_list_and_a_lower_index_afterwards_is_accepted() -> None:
     async def work() -> None:
-        async with fleet(3) as scene:
-            (consul,) = scene.consuls
-            await scene.uses(0, 1, 2)
+        async with consul_setup(3) as setup:
+            (consul,) = setup.consuls
+            await setup.wait_until_used(0, 1, 2)
             port = int(consul.address.rpartition(":")[2])
             consul.faults.append(Fault("hang", 1_000))
             consul.stop()
-            await until(lambda: any("its last list stays in use" in each for each in scene.log))
-            assert set(await scene.statuses(20)) == {200}
-            again = scene.consuls[0] = await StandInConsul().start(port)
-            scene.register(0)
-            scene.register(2)
-            assert again.state.index < consul.state.index
-            await scene.uses(0, 2)
-            assert any(each.endswith("answers") for each in scene.log)
+            await until(lambda: any("its last list stays in use" in each for each in setup.log))
+            assert set(await setup.statuses(20)) == {200}
+            restarted = setup.consuls[0] = await StandInConsul().start(port)
+            setup.register(0)
+            setup.register(2)
+            assert restarted.state.index < consul.state.index
+            await setup.wait_until_used(0, 2)
+            assert any(each.endswith("answers") for each in setup.log)
 
-    played(work)
+    run(work)
 
 
-def test_an_agent_that_restarts_empty_takes_nobody_away() -> None:
+def test_an_agent_that_restarts_empty_removes_no_server() -> None:
     async def work() -> None:
-        async with fleet(3, doubt_s=60) as scene:
-            await scene.uses(0, 1, 2)
-            reads = scene.consuls[0].reads
-            scene.consuls[0].restart_empty()
-            await until(lambda: scene.consuls[0].reads >= reads + 2)
-            assert set(await scene.statuses(30)) == {200}
-            scene.register(1)
-            await scene.uses(1)
+        async with consul_setup(3, doubt_s=60) as setup:
+            await setup.wait_until_used(0, 1, 2)
+            reads = setup.consuls[0].reads
+            setup.consuls[0].restart_empty()
+            await until(lambda: setup.consuls[0].reads >= reads + 2)
+            assert set(await setup.statuses(30)) == {200}
+            setup.register(1)
+            await setup.wait_until_used(1)
 
-    played(work)
+    run(work)
 
 
-def test_a_node_marked_passing_that_answers_nothing_is_ejected_and_consul_does_not_bring_it_back() -> None:
+def test_a_hanging_node_marked_passing_is_ejected_and_consul_does_not_readmit_it() -> None:
     async def work() -> None:
-        async with fleet(4) as scene:
-            await scene.uses(0, 1, 2, 3)
-            hung = scene.servers[2]
+        async with consul_setup(4) as setup:
+            await setup.wait_until_used(0, 1, 2, 3)
+            hung = setup.servers[2]
             hung.mode = Mode.HANGS
-            askers = [asyncio.ensure_future(scene.statuses(60)) for _ in range(4)]
-            await until(lambda: any(each.startswith("ejected") for each in scene.log))
-            await soon(asyncio.gather(*askers))
+            clients = [asyncio.ensure_future(setup.statuses(60)) for _ in range(4)]
+            await until(lambda: any(each.startswith("ejected") for each in setup.log))
+            await soon(asyncio.gather(*clients))
             heard = len(hung.heard)
-            merge = scene.sidecar._runtime.sources.merge  # type: ignore[union-attr]
-            for weight in (
-                2,
-                3,
-                4,
-                5,
-            ):  # its word is told anew to the decisions, each time with another weight
-                scene.change(lambda state, weight=weight: register(state, 2, hung.address, weight))  # type: ignore[misc]
+            merge = setup.sidecar._runtime.sources.merge  # type: ignore[union-attr]
+            # Each new weight makes Consul report the node to the policy again.
+            for weight in (2, 3, 4, 5):
+                setup.change(lambda state, weight=weight: register(state, 2, hung.address, weight))  # type: ignore[misc]
                 await until(
                     lambda weight=weight: weight in [e.endpoint.nominal for e in merge.snapshot().entries]  # type: ignore[misc]
                 )
-                assert set(await scene.statuses(5)) == {200}
-            assert len(hung.heard) <= heard + 1  # a trial, if one fell due
-            assert not any(each.startswith("readmitted") for each in scene.log)
+                assert set(await setup.statuses(5)) == {200}
+            assert len(hung.heard) <= heard + 1  # at most one probation request
+            assert not any(each.startswith("readmitted") for each in setup.log)
 
-    played(work)
+    run(work)
 
 
-@pytest.mark.parametrize("who", ["critical in consul", "leaving in the roster", "gone from the roster"])
-def test_of_roster_and_consul_the_more_cautious_word_holds(who: str) -> None:
+@pytest.mark.parametrize("report", ["critical in consul", "leaving in the roster", "gone from the roster"])
+def test_the_more_cautious_of_roster_and_consul_applies(report: str) -> None:
     async def work() -> None:
-        async with fleet(3, in_roster=lambda _: True, in_use=0.0) as scene:
-            await scene.uses(0, 1, 2)
-            assert scene.roster is not None
-            if who == "critical in consul":
-                scene.check(0, "critical")
+        async with consul_setup(3, in_roster=lambda _: True, in_use=0.0) as setup:
+            await setup.wait_until_used(0, 1, 2)
+            assert setup.roster is not None
+            if report == "critical in consul":
+                setup.check(0, "critical")
             else:
-                state = "leaving" if who.startswith("leaving") else "left"
-                scene.roster.tell(line("s-0", scene.servers[0].address, state=state))
-            await scene.uses(1, 2)
-            # The other source's word, told anew, changes nothing.
-            scene.roster.tell(line("s-1", scene.servers[1].address))
-            if who != "critical in consul":
-                scene.register(0)
-            assert set(await scene.statuses(30)) == {200}
-            await scene.uses(1, 2)
+                state = "leaving" if report.startswith("leaving") else "left"
+                setup.roster.tell(line("s-0", setup.servers[0].address, state=state))
+            await setup.wait_until_used(1, 2)
+            # A repeated report of the other source changes nothing.
+            setup.roster.tell(line("s-1", setup.servers[1].address))
+            if report != "critical in consul":
+                setup.register(0)
+            assert set(await setup.statuses(30)) == {200}
+            await setup.wait_until_used(1, 2)
 
-    played(work)
+    run(work)
 
 
-def test_nodes_of_both_sources_are_used_and_one_known_to_both_is_one() -> None:
+def test_nodes_of_both_sources_are_used_and_a_shared_one_is_listed_once() -> None:
     async def work() -> None:
-        async with fleet(4, in_roster=lambda n: n < 3, in_consul=lambda n: n > 1) as scene:
-            await scene.uses(0, 1, 2, 3)
-            entries = scene.sidecar._runtime.sources.merge.snapshot().entries  # type: ignore[union-attr]
-            last = scene.servers[3].address
+        async with consul_setup(4, in_roster=lambda n: n < 3, in_consul=lambda n: n > 1) as setup:
+            await setup.wait_until_used(0, 1, 2, 3)
+            entries = setup.sidecar._runtime.sources.merge.snapshot().entries  # type: ignore[union-attr]
+            last = setup.servers[3].address
             assert sorted(each.endpoint.server for each in entries) == sorted(["s-0", "s-1", "s-2", last])
 
-    played(work)
+    run(work)
 
 
-def test_a_roster_that_is_down_is_asked_on_while_consul_has_news() -> None:
+def test_an_unreachable_roster_is_retried_while_consul_reports_changes() -> None:
     async def work() -> None:
-        async with fleet(3, in_roster=lambda n: n < 2, in_consul=lambda n: n == 2, flaps=1_000) as scene:
-            await scene.uses(0, 1, 2)
-            assert scene.roster is not None
-            port = int(scene.roster.address.rpartition(":")[2])
-            scene.roster.stop()
-            for turn in range(30):  # news of Consul alone must not look as if all were well
-                scene.undrain(2) if turn % 2 else scene.drain(2)
+        async with consul_setup(
+            3, in_roster=lambda n: n < 2, in_consul=lambda n: n == 2, flaps=1_000
+        ) as setup:
+            await setup.wait_until_used(0, 1, 2)
+            assert setup.roster is not None
+            port = int(setup.roster.address.rpartition(":")[2])
+            setup.roster.stop()
+            for round_number in range(30):  # changes from Consul must not hide the failure of the roster
+                setup.undrain(2) if round_number % 2 else setup.drain(2)
                 await asyncio.sleep(0.02)
-            again = ScriptedDiscovery()
-            again.servers = [line("s-0", scene.servers[0].address)]
-            scene.roster = again
-            await again.start(port)
-            await scene.uses(0, 2)
+            restarted = ScriptedDiscovery()
+            restarted.servers = [line("s-0", setup.servers[0].address)]
+            setup.roster = restarted
+            await restarted.start(port)
+            await setup.wait_until_used(0, 2)
 
-    played(work)
+    run(work)
 
 
-def test_a_node_deregistered_while_it_holds_an_unsafe_request_still_answers_it_once() -> None:
+def test_a_node_deregistered_during_a_non_idempotent_request_still_answers_it_once() -> None:
     async def work() -> None:
-        async with fleet(1, doubt_s=0) as scene:
-            await scene.uses(0)
-            server = scene.servers[0]
+        async with consul_setup(1, doubt_s=0) as setup:
+            await setup.wait_until_used(0)
+            server = setup.servers[0]
             server.takes_s = 0.8
-            client = await scene.client()
+            client = await setup.client()
             heard = len(server.heard)
-            asking = asyncio.ensure_future(client.ask("lodge"))
+            answer = asyncio.ensure_future(client.ask("lodge"))
             await until(lambda: len(server.heard) == heard + 1)
-            scene.drop(0)
-            await until(lambda: scene.sidecar._runtime.sources.merge.snapshot().entries == ())  # type: ignore[union-attr]
-            assert (await soon(asking)).status == 200
+            setup.drop(0)
+            await until(lambda: setup.sidecar._runtime.sources.merge.snapshot().entries == ())  # type: ignore[union-attr]
+            assert (await soon(answer)).status == 200
             assert len(server.heard) == heard + 1
-            assert (await (await scene.client()).ask()).status == 503
+            assert (await (await setup.client()).ask()).status == 503
 
-    played(work)
+    run(work)
 
 
-def test_a_token_revoked_in_service_keeps_the_list_and_stands_in_no_line(tmp_path: Path) -> None:
+def test_a_token_revoked_at_runtime_keeps_the_list_and_is_in_no_log_line(tmp_path: Path) -> None:
     async def work() -> None:
         token = tmp_path / "token"
         token.write_text("s3cret")
-        async with fleet(2, tokens={"s3cret"}, token_file=token) as scene:
-            await scene.uses(0, 1)
-            consul = scene.consuls[0]
+        async with consul_setup(2, tokens={"s3cret"}, token_file=token) as setup:
+            await setup.wait_until_used(0, 1)
+            consul = setup.consuls[0]
             consul.tokens = {"an0ther"}
-            scene.check(0, "warning")  # wakes the call that waits; the next one is denied
-            await until(lambda: any("403" in each for each in scene.log))
-            assert set(await scene.statuses(20)) == {200}
+            setup.check(0, "warning")  # ends the blocking query; the next one is denied
+            await until(lambda: any("403" in each for each in setup.log))
+            assert set(await setup.statuses(20)) == {200}
             token.write_text("an0ther")
-            scene.reload()
-            scene.drain(1)
-            await scene.uses(0)
-            assert "s3cret" not in "".join(scene.log) and "an0ther" not in "".join(scene.log)
+            setup.reload()
+            setup.drain(1)
+            await setup.wait_until_used(0)
+            assert "s3cret" not in "".join(setup.log) and "an0ther" not in "".join(setup.log)
 
-    played(work)
+    run(work)
 
 
 def test_a_service_without_checks_is_read_from_the_catalogue() -> None:
     async def work() -> None:
-        how: dict[str, Any] = {"from": "catalog"}
-        async with fleet(3, **how) as scene:
-            scene.check(0, "critical")  # the catalogue does not tell
-            await scene.uses(0, 1, 2)
-            scene.drop(0)
-            await scene.uses(1, 2)
-            assert any(each.startswith("consul: agent agent-one in dc1") for each in scene.log)
+        options: dict[str, Any] = {"from": "catalog"}
+        async with consul_setup(3, **options) as setup:
+            setup.check(0, "critical")  # the catalogue has no health checks
+            await setup.wait_until_used(0, 1, 2)
+            setup.drop(0)
+            await setup.wait_until_used(1, 2)
+            assert any(each.startswith("consul: agent agent-one in dc1") for each in setup.log)
 
-    played(work)
+    run(work)
 
 
-def test_a_reload_takes_services_up_and_lets_them_go_and_a_bad_file_changes_nothing() -> None:
+def test_a_reload_adds_and_removes_services_and_an_invalid_file_changes_nothing() -> None:
     async def work() -> None:
-        async with fleet(3, in_roster=lambda n: n == 0, in_consul=lambda n: n == 1) as scene:
-            await scene.uses(0, 1)
-            third = scene.servers[2].address
+        async with consul_setup(3, in_roster=lambda n: n == 0, in_consul=lambda n: n == 1) as setup:
+            await setup.wait_until_used(0, 1)
+            third = setup.servers[2].address
 
-            def lend(state: State) -> None:
+            def register_lent(state: State) -> None:
                 host, _, port = third.rpartition(":")
                 state.put_service(NODE, {"Name": "lent", "ID": "l", "Address": host, "Port": int(port)})
 
-            scene.change(lend)
-            path = Path(scene.config["consul"])
-            given = json.loads(path.read_text())
+            setup.change(register_lent)
+            path = Path(setup.config["consul"])
+            consul_file = json.loads(path.read_text())
             path.write_text("{}")
             with pytest.raises(ConfigError, match="consul: agents"):
-                scene.reload()
-            path.write_text(json.dumps({**given, "services": [*given["services"], {"name": "lent"}]}))
-            scene.reload()
-            await scene.uses(0, 1, 2)
-            path.write_text(json.dumps({**given, "services": [{"name": "lent"}]}))
-            scene.reload()
-            await scene.uses(0, 2)
-            path.write_text(json.dumps({**given, "services": [{"name": "lent", "lent": "00:00-00:00"}]}))
-            scene.reload()  # never lent
-            await scene.uses(0)
-            scene.reload(consul=None)
-            assert "a restart is needed for consul" in scene.log[-1]
-
-    played(work)
-
-
-class NotedNetwork(LoopNetwork):
-    """Notes how long each first pause was asked to be."""
-
-    def __init__(self, pauses: list[float]) -> None:
+                setup.reload()
+            path.write_text(
+                json.dumps({**consul_file, "services": [*consul_file["services"], {"name": "lent"}]})
+            )
+            setup.reload()
+            await setup.wait_until_used(0, 1, 2)
+            path.write_text(json.dumps({**consul_file, "services": [{"name": "lent"}]}))
+            setup.reload()
+            await setup.wait_until_used(0, 2)
+            path.write_text(
+                json.dumps({**consul_file, "services": [{"name": "lent", "lent": "00:00-00:00"}]})
+            )
+            setup.reload()  # never lent
+            await setup.wait_until_used(0)
+            setup.reload(consul=None)
+            assert "a restart is needed for consul" in setup.log[-1]
+
+    run(work)
+
+
+class RecordingNetwork(LoopNetwork):
+    """Records the duration of its first sleep."""
+
+    def __init__(self, delays: list[float]) -> None:
         super().__init__()
-        self._pauses = pauses
-        self._has_paused = False
+        self._delays = delays
+        self._has_slept = False
 
     async def sleep(self, seconds: float) -> None:
-        if not self._has_paused:
-            self._has_paused = True
-            self._pauses.append(seconds)
+        if not self._has_slept:
+            self._has_slept = True
+            self._delays.append(seconds)
         await super().sleep(seconds)
 
 
-def test_a_hundred_sidecars_that_start_at_once_do_not_ask_in_step() -> None:
+def test_a_hundred_sidecars_that_start_at_once_spread_their_first_requests() -> None:
     async def work() -> None:
         consul = await StandInConsul().start()
         consul.change(lambda state: register(state, 0, f"{HOST}:1"))
         path = consul_config(consul.address)
         config = replace(load(path), spread_s=1.0)
         os.unlink(path)
-        pauses: list[float] = []
-        lists: list[int] = [0] * 100
-        made = [
+        delays: list[float] = []
+        received: list[int] = [0] * 100
+        all_sources = [
             EndpointSources(
-                NotedNetwork(pauses),
+                RecordingNetwork(delays),
                 DiscoveryState(None, EndpointUpdate(0, True, ())),
                 config,
                 f"5 n-{n}",
@@ -467,25 +474,25 @@
             for n in range(100)
         ]
 
-        def heard(number: int) -> Callable[[EndpointUpdate], None]:
-            return lambda listing: lists.__setitem__(number, lists[number] + len(listing.entries))
+        def count_entries(number: int) -> Callable[[EndpointUpdate], None]:
+            return lambda update: received.__setitem__(number, received[number] + len(update.entries))
 
-        for number, each in enumerate(made):  # of one seed; their names alone set them apart
-            each.start(heard(number), lambda: None)
-        await until(lambda: all(lists))
-        assert len(pauses) == 100
-        tenths = [sum(0.1 * n <= each < 0.1 * (n + 1) for each in pauses) for n in range(10)]
+        for number, sources in enumerate(all_sources):  # they share a seed and differ only in their names
+            sources.start(count_entries(number), lambda: None)
+        await until(lambda: all(received))
+        assert len(delays) == 100
+        tenths = [sum(0.1 * n <= delay < 0.1 * (n + 1) for delay in delays) for n in range(10)]
         assert min(tenths) >= 2 and max(tenths) <= 22
         consul.change(lambda state: state.put_check(NODE, f"{MAINTENANCE}t-0", "critical", "t-0"))
-        await until(lambda: all(each == 2 for each in lists))
-        for each in made:
-            each.close()
+        await until(lambda: all(each == 2 for each in received))
+        for sources in all_sources:
+            sources.close()
         consul.stop()
 
-    played(work)
+    run(work)
 
 
-def test_a_restart_without_a_roster_holds_the_last_list_until_every_service_was_heard() -> None:
+def test_a_restart_without_a_roster_keeps_the_last_list_until_every_service_has_answered() -> None:
     async def work() -> None:
         consul = await StandInConsul().start()
         consul.change(lambda state: register(state, 0, f"{HOST}:1"))
@@ -493,15 +500,15 @@
         config = load(path)
         os.unlink(path)
         (tariff,) = config.services
-        # A service may have any name, also that of a roster.
+        # A service may have any name, even "roster".
         config = replace(config, services=(tariff, replace(tariff, name="roster")))
         known = [EndpointEntry(ListedServer(f"{HOST}:{port}"), (HOST, port)) for port in (1, 2, 3)]
-        states: dict[str, ServerState] = {each.endpoint.server: each.endpoint.state for each in known}
-        lists: list[EndpointUpdate] = []
+        states: dict[str, ServerState] = {entry.endpoint.server: entry.endpoint.state for entry in known}
+        received: list[EndpointUpdate] = []
 
-        def heard(listing: EndpointUpdate) -> None:
-            lists.append(listing)
-            states.update({each.endpoint.server: each.endpoint.state for each in listing.entries})
+        def record(update: EndpointUpdate) -> None:
+            received.append(update)
+            states.update({entry.endpoint.server: entry.endpoint.state for entry in update.entries})
 
         sources = EndpointSources(
             LoopNetwork(),
@@ -510,9 +517,9 @@
             "1 n",
             lambda _: None,
         )
-        consul.faults.append(Fault("status", 2))  # one of both is heard later, whichever it is
+        consul.faults.append(Fault("status", 2))  # one of the two services, either one, answers later
         consul.change(lambda state: state.put_service(NODE, {"Name": "roster", "Address": HOST, "Port": 2}))
-        sources.start(heard, lambda: None)
+        sources.start(record, lambda: None)
         await until(lambda: len(sources.unanswered) == 1)
         assert set(states.values()) == {ServerState.READY}
         await until(lambda: not sources.unanswered and states[f"{HOST}:3"] is ServerState.REMOVED)
@@ -520,4 +527,4 @@
         sources.close()
         consul.stop()
 
-    played(work)
+    run(work)
--- a/tests/test_consul_show.py
+++ b/tests/test_consul_show.py
@@ -1,4 +1,4 @@
-"""Consul's configuration, checked whole, and the command that shows what comes of it."""
+"""Validation of Consul's configuration, and the command that shows the resulting servers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from micadeck.membership.consul.config import ConsulConfigError, load, parse
 from micadeck.stand_ins.consul import NODE, StandInConsul
 
-GOOD: dict[str, Any] = {"agents": [f"{HOST}:8500"], "services": [{"name": "tariff"}]}
+VALID_CONFIG: dict[str, Any] = {"agents": [f"{HOST}:8500"], "services": [{"name": "tariff"}]}
 
 
 def test_a_full_configuration_is_read(tmp_path: Path) -> None:
@@ -37,7 +37,9 @@
         "in_use": 0.25,
     }
     path = tmp_path / "consul.json"
-    path.write_text(json.dumps({**GOOD, "services": [service], "token_file": str(token), "wait_s": 5}))
+    path.write_text(
+        json.dumps({**VALID_CONFIG, "services": [service], "token_file": str(token), "wait_s": 5})
+    )
     config = load(path)
     (only,) = config.services
     assert (only.request_options.token, only.request_options.mode, only.request_options.tags) == (
@@ -66,44 +68,44 @@
     [
         ([], "the file"),
         ({}, "agents"),
-        ({**GOOD, "agents": []}, "agents"),
-        ({**GOOD, "agents": ["consul:8500"]}, "agents[0]"),
-        ({**GOOD, "services": []}, "services"),
-        ({**GOOD, "services": [{}]}, "services[0].name"),
-        ({**GOOD, "services": [{"name": "a b"}]}, "services[0].name"),
-        ({**GOOD, "services": [{"name": "a"}, {"name": "a"}]}, "services: duplicate name"),
-        ({**GOOD, "services": [{"name": "a", "mode": "fast"}]}, "services[0].mode"),
-        ({**GOOD, "services": [{"name": "a", "in_use": 2}]}, "services[0].in_use"),
-        ({**GOOD, "services": [{"name": "a", "lent": "9-5"}]}, "services[0].lent"),
-        ({**GOOD, "services": [{"name": "a", "meta": {"zonne": "x"}}]}, "services[0].meta.zonne"),
-        ({**GOOD, "services": [{"name": "a", "keeps_s": 5}]}, "services[0].keeps_s"),
-        ({**GOOD, "wait_s": 0}, "wait_s"),
-        ({**GOOD, "token_file": "/no/such/file"}, "token_file"),
-        ({**GOOD, "token": "s3cret"}, "token: there is no such key"),
+        ({**VALID_CONFIG, "agents": []}, "agents"),
+        ({**VALID_CONFIG, "agents": ["consul:8500"]}, "agents[0]"),
+        ({**VALID_CONFIG, "services": []}, "services"),
+        ({**VALID_CONFIG, "services": [{}]}, "services[0].name"),
+        ({**VALID_CONFIG, "services": [{"name": "a b"}]}, "services[0].name"),
+        ({**VALID_CONFIG, "services": [{"name": "a"}, {"name": "a"}]}, "services: duplicate name"),
+        ({**VALID_CONFIG, "services": [{"name": "a", "mode": "fast"}]}, "services[0].mode"),
+        ({**VALID_CONFIG, "services": [{"name": "a", "in_use": 2}]}, "services[0].in_use"),
+        ({**VALID_CONFIG, "services": [{"name": "a", "lent": "9-5"}]}, "services[0].lent"),
+        ({**VALID_CONFIG, "services": [{"name": "a", "meta": {"zonne": "x"}}]}, "services[0].meta.zonne"),
+        ({**VALID_CONFIG, "services": [{"name": "a", "keeps_s": 5}]}, "services[0].keeps_s"),
+        ({**VALID_CONFIG, "wait_s": 0}, "wait_s"),
+        ({**VALID_CONFIG, "token_file": "/no/such/file"}, "token_file"),
+        ({**VALID_CONFIG, "token": "s3cret"}, "token: there is no such key"),
     ],
     ids=lambda each: each if isinstance(each, str) else "",
 )
-def test_a_bad_configuration_names_its_key(given: Any, key: str) -> None:
+def test_an_invalid_configuration_names_its_key(given: Any, key: str) -> None:
     with pytest.raises(ConsulConfigError) as caught:
         parse(given)
     assert str(caught.value).startswith(key) and "s3cret" not in str(caught.value)
 
 
-async def _command(path: Path, *more: str) -> asyncio.subprocess.Process:
+async def _command(path: Path, *options: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "micadeck.membership",
         "show",
         str(path),
-        *more,
+        *options,
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
 
 
-def test_the_command_shows_each_server_its_state_and_why(tmp_path: Path) -> None:
+def test_the_command_shows_each_servers_state_and_reason(tmp_path: Path) -> None:
     async def work() -> None:
         agent = await StandInConsul().start()
         put(agent, 80)
@@ -112,30 +114,30 @@
         agent.change(lambda state: state.put_check(NODE, "_service_maintenance:t-82", "critical", "t-82"))
         path = tmp_path / "consul.json"
         services = [{"name": "tariff", "in_use": 0}]
-        path.write_text(json.dumps({**GOOD, "agents": [agent.address], "services": services}))
+        path.write_text(json.dumps({**VALID_CONFIG, "agents": [agent.address], "services": services}))
         child = await _command(path)
         out, err = await soon(child.communicate())
         assert (child.returncode, err) == (0, b"")
-        agent_line, head, *lines = out.decode().strip().splitlines()
+        agent_line, header, *rows = out.decode().strip().splitlines()
         assert agent_line.startswith(f"# agent {agent.address}: agent-one in dc1, Consul standin, leader ")
-        assert head.split() == ["NODE", "SOURCE", "STATE", "AGE", "WHY"]
-        assert [each.split()[0:4] for each in lines] == [
+        assert header.split() == ["NODE", "SOURCE", "STATE", "AGE", "WHY"]
+        assert [row.split()[0:4] for row in rows] == [
             ["10.0.0.1:80", "tariff:", "ready", "ready"],
             ["10.0.0.1:81", "tariff:", "unhealthy", "draining"],
             ["10.0.0.1:82", "tariff:", "draining", "draining"],
         ]
-        assert "critical: service:t-81" in lines[1] and "maintenance" in lines[2]
+        assert "critical: service:t-81" in rows[1] and "maintenance" in rows[2]
         agent.stop()
 
     play(work)
 
 
-def test_the_command_watches_on_and_tells_of_changes(tmp_path: Path) -> None:
+def test_the_command_with_watch_prints_changes(tmp_path: Path) -> None:
     async def work() -> None:
         agent = await StandInConsul().start()
         put(agent, 80)
         path = tmp_path / "consul.json"
-        path.write_text(json.dumps({**GOOD, "agents": [agent.address]}))
+        path.write_text(json.dumps({**VALID_CONFIG, "agents": [agent.address]}))
         child = await _command(path, "--watch")
         assert child.stdout is not None
         while b"10.0.0.1:80" not in await soon(child.stdout.readline()):
@@ -151,15 +153,15 @@
     play(work)
 
 
-def test_a_consul_that_answers_nothing_and_a_bad_file_have_exit_codes_of_their_own(tmp_path: Path) -> None:
+def test_an_unreachable_consul_and_an_invalid_file_have_distinct_exit_codes(tmp_path: Path) -> None:
     async def work() -> None:
         agent = await StandInConsul().start()
         path = tmp_path / "consul.json"
-        path.write_text(json.dumps({**GOOD, "agents": [agent.address]}))
+        path.write_text(json.dumps({**VALID_CONFIG, "agents": [agent.address]}))
         agent.stop()
         child = await _command(path)
         out, _ = await soon(child.communicate())
-        assert child.returncode == 1 and f"# tariff: {agent_place(path)}".encode() in out
+        assert child.returncode == 1 and f"# tariff: {agent_address(path)}".encode() in out
         path.write_text("{}")
         child = await _command(path)
         _, err = await soon(child.communicate())
@@ -168,11 +170,11 @@
     play(work)
 
 
-def agent_place(path: Path) -> str:
+def agent_address(path: Path) -> str:
     return str(json.loads(path.read_text())["agents"][0])
 
 
-def test_the_example_can_be_used_and_a_file_may_be_toml(tmp_path: Path) -> None:
+def test_the_example_is_valid_and_a_file_may_be_toml(tmp_path: Path) -> None:
     example = load(ROOT / "deploy" / "consul.json")
     (service,) = example.services
     assert (service.name, service.mapping.default_zone) == (
--- a/tests/test_consul_source.py
+++ b/tests/test_consul_source.py
@@ -1,4 +1,4 @@
-"""A watched service, from the stand-in Consul through the map and the merge to the list that comes of it."""
+"""A watched service, from the stand-in Consul through parsing and merging to the published list."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 MS = 0.001
 
 
-class Listener:
-    """A merge fed by one watched service; it keeps when each server last changed its state."""
+class PublishedStates:
+    """A merge fed by one watched service; records when each server last changed its state."""
 
     def __init__(
         self, *agents: StandInConsul, wait_s: float = 10.0, trust: SourceTrust | None = None
@@ -41,9 +41,9 @@
         self.states: dict[str, tuple[ServerState, float]] = {}
         self.starts: dict[str, int | None] = {}
         self.failures: list[str] = []
-        self.lists = 0
+        self.list_count = 0
         client = ConsulClient(
-            self.network, Agents(tuple(parse_address(each.address) for each in agents)), RequestOptions()
+            self.network, Agents(tuple(parse_address(agent.address) for agent in agents)), RequestOptions()
         )
         self.watch = ServiceWatch(
             self.network,
@@ -55,11 +55,11 @@
         self.watch.start()
 
     def _accepts_empty(self, agent: str) -> bool:
-        self.lists += 1
+        self.list_count += 1
         return self.merge.accepts_empty(self.network.now() / 1e6, "consul", agent)
 
     async def _updated(self, update: ServiceUpdate) -> None:
-        self.lists += update.change.count > 0
+        self.list_count += update.change.count > 0
         now = self.network.now() / 1e6
         self.merge.observe_changes(
             now, "consul", update.change.observations, update.change.removed, lag_s=update.lag_s
@@ -84,7 +84,7 @@
     agent.change(change)
 
 
-def played(work: Callable[[StandInConsul], Coroutine[Any, Any, None]]) -> None:
+def run_with_agent(work: Callable[[StandInConsul], Coroutine[Any, Any, None]]) -> None:
     async def main() -> None:
         agent = await StandInConsul().start()
         try:
@@ -95,121 +95,122 @@
     play(main)
 
 
-def test_a_flip_is_published_within_the_grace_while_others_flip_at_random() -> None:
+def test_a_drain_is_published_within_the_grace_while_others_change_at_random() -> None:
     async def work(agent: StandInConsul) -> None:
-        chance = random.Random(5)
+        rng = random.Random(5)
         for port in range(1, 201):
             put(agent, port)
-        listener = Listener(agent)
-        await until(lambda: len(listener.used()) == 200)
-        flipped: dict[str, float] = {}
+        published = PublishedStates(agent)
+        await until(lambda: len(published.used()) == 200)
+        drained_at: dict[str, float] = {}
         for _ in range(60):
-            port = chance.randrange(1, 201)
+            port = rng.randrange(1, 201)
             name = f"10.0.0.1:{port}"
-            if name not in flipped:
-                flipped[name] = time.monotonic()
+            if name not in drained_at:
+                drained_at[name] = time.monotonic()
                 agent.change(
                     lambda state, port=port: state.put_check(  # type: ignore[misc]
                         NODE, f"_service_maintenance:t-{port}", "critical", f"t-{port}"
                     )
                 )
             await asyncio.sleep(0.02)
-        await until(lambda: not set(flipped) & listener.used())
-        spans = [listener.states[name][1] - at for name, at in flipped.items()]
-        assert len(spans) > 40 and max(spans) < 0.5
-        listener.watch.close()
+        await until(lambda: not set(drained_at) & published.used())
+        delays = [published.states[name][1] - at for name, at in drained_at.items()]
+        assert len(delays) > 40 and max(delays) < 0.5
+        published.watch.close()
 
-    played(work)
+    run_with_agent(work)
 
 
-def test_a_consul_that_is_away_keeps_the_list_and_is_found_again() -> None:
+def test_an_unreachable_consul_keeps_the_list_and_is_read_again_after_its_restart() -> None:
     async def work(agent: StandInConsul) -> None:
         put(agent, 80)
-        listener = Listener(agent)
-        await until(lambda: listener.used() == {"10.0.0.1:80"})
+        published = PublishedStates(agent)
+        await until(lambda: published.used() == {"10.0.0.1:80"})
         port = int(agent.address.rpartition(":")[2])
         agent.stop()
-        await until(lambda: len(listener.failures) >= 2)
-        assert listener.used() == {"10.0.0.1:80"}
-        again = await StandInConsul().start(port)  # and its index is lower
-        put(again, 80)
-        put(again, 81)
-        await until(lambda: listener.used() == {"10.0.0.1:80", "10.0.0.1:81"})
-        listener.watch.close()
-        again.stop()
+        await until(lambda: len(published.failures) >= 2)
+        assert published.used() == {"10.0.0.1:80"}
+        restarted = await StandInConsul().start(port)  # with a lower index
+        put(restarted, 80)
+        put(restarted, 81)
+        await until(lambda: published.used() == {"10.0.0.1:80", "10.0.0.1:81"})
+        published.watch.close()
+        restarted.stop()
 
-    played(work)
+    run_with_agent(work)
 
 
 def test_an_agent_that_restarts_empty_removes_nothing_until_another_confirms_it() -> None:
     async def work(agent: StandInConsul) -> None:
         other = await StandInConsul().start()
-        for each in (agent, other):
-            put(each, 80)
-        listener = Listener(agent, other, trust=SourceTrust(empty_confirm_s=60.0))
-        await until(lambda: listener.used() == {"10.0.0.1:80"})
-        seen = listener.lists
+        for stand_in in (agent, other):
+            put(stand_in, 80)
+        published = PublishedStates(agent, other, trust=SourceTrust(empty_confirm_s=60.0))
+        await until(lambda: published.used() == {"10.0.0.1:80"})
+        lists_before = published.list_count
         agent.restart_empty()
-        await until(lambda: listener.lists >= seen + 2)  # the empty one, and the other agent's
-        assert listener.used() == {"10.0.0.1:80"}
+        # The empty list, and that of the other agent.
+        await until(lambda: published.list_count >= lists_before + 2)
+        assert published.used() == {"10.0.0.1:80"}
         other.restart_empty()
-        agent_lists = listener.lists
-        await until(lambda: listener.lists > agent_lists and not listener.used())
-        listener.watch.close()
+        agent_lists = published.list_count
+        await until(lambda: published.list_count > agent_lists and not published.used())
+        published.watch.close()
         other.stop()
 
-    played(work)
+    run_with_agent(work)
 
 
-def test_one_that_was_critical_and_passes_again_is_cold() -> None:
+def test_a_server_that_passes_again_after_being_critical_is_cold() -> None:
     async def work(agent: StandInConsul) -> None:
         put(agent, 80)
         put(agent, 81)
-        listener = Listener(agent)
-        await until(lambda: len(listener.used()) == 2)
-        assert listener.starts["10.0.0.1:80"] is None
+        published = PublishedStates(agent)
+        await until(lambda: len(published.used()) == 2)
+        assert published.starts["10.0.0.1:80"] is None
         put(agent, 80, "critical")
-        await until(lambda: listener.used() == {"10.0.0.1:81"})
+        await until(lambda: published.used() == {"10.0.0.1:81"})
         put(agent, 80)
-        await until(lambda: len(listener.used()) == 2)
-        started = listener.starts["10.0.0.1:80"]
-        assert started is not None and abs(listener.network.now() - started) < 5_000_000
-        assert listener.starts["10.0.0.1:81"] is None
-        listener.watch.close()
+        await until(lambda: len(published.used()) == 2)
+        started = published.starts["10.0.0.1:80"]
+        assert started is not None and abs(published.network.now() - started) < 5_000_000
+        assert published.starts["10.0.0.1:81"] is None
+        published.watch.close()
 
-    played(work)
+    run_with_agent(work)
 
 
-def test_faults_in_service_are_reported_and_survived() -> None:
+def test_agent_faults_are_reported_and_the_watch_continues() -> None:
     async def work(agent: StandInConsul) -> None:
         put(agent, 80)
-        kinds = [Fault("status"), Fault("status", status=429, text=""), Fault("reset"), Fault("truncated")]
-        agent.faults.extend([*kinds, Fault("index", index=3)])
-        listener = Listener(agent)
-        await until(lambda: listener.used() == {"10.0.0.1:80"})
-        assert len(listener.failures) == 4
+        faults = [Fault("status"), Fault("status", status=429, text=""), Fault("reset"), Fault("truncated")]
+        agent.faults.extend([*faults, Fault("index", index=3)])
+        published = PublishedStates(agent)
+        await until(lambda: published.used() == {"10.0.0.1:80"})
+        assert len(published.failures) == 4
         put(agent, 81)
-        await soon(_until_used(listener, 2))
-        listener.watch.close()
+        await soon(_until_used(published, 2))
+        published.watch.close()
 
-    played(work)
+    run_with_agent(work)
 
 
-async def _until_used(listener: Listener, count: int) -> None:
-    await until(lambda: len(listener.used()) == count)
+async def _until_used(published: PublishedStates, count: int) -> None:
+    await until(lambda: len(published.used()) == count)
 
 
-def test_a_redirect_to_nowhere_costs_one_call_and_not_the_watch() -> None:
-    """Against a watch that ends without a word, its last list in force for ever."""
+def test_an_invalid_redirect_fails_one_call_and_not_the_watch() -> None:
+    """Guards against a watch that ends silently and leaves its last list in use forever."""
 
     async def work() -> None:
         agent = await StandInConsul().start()
-        listener = Listener(agent)
+        published = PublishedStates(agent)
         agent.faults.append(Fault("redirect", to="[::1"))
-        await until(lambda: bool(listener.failures))
-        await until(lambda: listener.lists > 0)
-        assert "cannot be called" in listener.failures[0]
-        listener.watch.close()
+        await until(lambda: bool(published.failures))
+        await until(lambda: published.list_count > 0)
+        assert "cannot be called" in published.failures[0]
+        published.watch.close()
         agent.stop()
 
     play(work)
--- a/tests/test_tasks_that_end.py
+++ b/tests/test_tasks_that_end.py
@@ -1,4 +1,4 @@
-"""An exception that nobody foresaw costs one turn of a watch, a timer or a task, and never all later ones."""
+"""An unexpected exception fails one iteration of a watch, timer or task, and never ends the later ones."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 from loopback import OK, ScriptedDiscovery, line, played, stage, until
-from test_consul_source import Listener, put
+from test_consul_source import PublishedStates, put
 from test_fleet_host import FleetHosts
 
 from micadeck.engine import EndpointUpdate
@@ -27,38 +27,38 @@
 
 
 class DefectError(Exception):
-    """What nobody foresaw."""
+    """An unexpected exception."""
 
 
 class FailingCall:
-    """Counts the calls of a method, and raises in one of them."""
+    """Counts the calls of a method and raises in one of them."""
 
     def __init__(self, real: Callable[..., Any], failing: int) -> None:
         self._real = real
-        self._failing = failing
+        self._failing_call = failing
         self.calls = 0
 
-    def __call__(self, *given: Any, **named: Any) -> Any:
+    def __call__(self, *args: Any, **kwargs: Any) -> Any:
         self.calls += 1
-        if self.calls == self._failing:
+        if self.calls == self._failing_call:
             raise DefectError
-        return self._real(*given, **named)
+        return self._real(*args, **kwargs)
 
 
 @contextmanager
 def failing(owner: Any, name: str, number: int) -> Iterator[FailingCall]:
-    """Have the method's call of this number raise."""
+    """Make the method's call with this number raise."""
     call = FailingCall(getattr(owner, name), number)
 
-    def replaced(*given: Any, **named: Any) -> Any:
-        return call(*given, **named)
+    def replacement(*args: Any, **kwargs: Any) -> Any:
+        return call(*args, **kwargs)
 
-    with mock.patch.object(owner, name, replaced):
+    with mock.patch.object(owner, name, replacement):
         yield call
 
 
 AWAITED = [(LoopNetwork, "sleep"), (LoopNetwork, "dial"), (ClientConnection, "exchange")]
-"""What the watches await, by the call that begins it."""
+"""The calls that watches await."""
 
 
 @pytest.mark.parametrize("number", [2, 3, 4, 5])
@@ -68,15 +68,15 @@
     ids=lambda each: each if isinstance(each, str) else "",
 )
 @played
-async def test_a_watch_of_consul_goes_on(owner: Any, name: str, number: int) -> None:
+async def test_a_watch_of_consul_continues(owner: Any, name: str, number: int) -> None:
     agent = await StandInConsul().start()
     put(agent, 1)
     with failing(owner, name, number) as call:
-        listener = Listener(agent, wait_s=0.1)
+        published = PublishedStates(agent, wait_s=0.1)
         await until(lambda: call.calls > number or name == "dial")
         put(agent, 2)
-        await until(lambda: len(listener.used()) == 2)
-    listener.watch.close()
+        await until(lambda: len(published.used()) == 2)
+    published.watch.close()
     agent.stop()
 
 
@@ -87,37 +87,37 @@
     ids=lambda each: each if isinstance(each, str) else "",
 )
 @played
-async def test_a_watch_of_discovery_goes_on(owner: Any, name: str, number: int) -> None:
+async def test_a_watch_of_discovery_continues(owner: Any, name: str, number: int) -> None:
     discovery = ScriptedDiscovery()
     await discovery.start()
-    lists: list[EndpointUpdate] = []
+    updates: list[EndpointUpdate] = []
     log: list[str] = []
     watcher = DiscoveryWatcher(
         LoopNetwork(), parse_address(discovery.address), 1, WatchOptions(is_pushed=True), log.append
     )
     with failing(owner, name, number):
-        watcher.start(lists.append, lambda: None)
+        watcher.start(updates.append, lambda: None)
         await asyncio.sleep(0.05)
         for _ in range(3):
             discovery.tell(line("s-0", "127.0.0.1:1"))
-            await until(lambda: bool(lists) and lists[-1].version == discovery.version)
+            await until(lambda: bool(updates) and updates[-1].version == discovery.version)
     watcher.close()
     discovery.stop()
 
 
 @played
-async def test_timers_and_tasks_of_a_sidecar_go_on() -> None:
-    async with stage(OK) as scene:
+async def test_timers_and_tasks_of_a_sidecar_continue() -> None:
+    async with stage(OK) as running:
         watch = mock.Mock(refresh=FailingCall(lambda: False, 2))
-        watching = asyncio.create_task(scene.sidecar._watch_siblings(watch))
+        watch_task = asyncio.create_task(running.sidecar._watch_siblings(watch))
         with failing(TimeoutSweeper, "_abort_lingering", 2) as sweep:
             await until(lambda: sweep.calls > 3 and watch.refresh.calls > 3)
-        watching.cancel()
-        assert scene.log == ["internal error: siblings: DefectError()"]
+        watch_task.cancel()
+        assert running.log == ["internal error: siblings: DefectError()"]
 
 
 @played
-async def test_samples_of_memory_go_on() -> None:
+async def test_memory_sampling_continues() -> None:
     refresh = FailingCall(lambda: None, 2)
     monitor = MemoryMonitor(LoopNetwork(), MemoryBudget(1 << 30), lambda _: None, refresh)
     monitor.start()
@@ -125,7 +125,7 @@
     monitor.close()
 
 
-def test_a_member_of_the_fleet_goes_on() -> None:
+def test_a_member_of_the_fleet_continues() -> None:
     fleet = FleetHosts(3)
 
     async def work() -> None:
