--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -13,7 +13,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
-from fleet_stage import FleetStage, S
+from fleet_stage import S, SimulatedFleet
 
 RUNS = {8: 200, 50: 10, 200: 3}
 ALL_S = 120
@@ -33,7 +33,7 @@
     """After a crash, a join under the same name, a leave, and a cut of 10 s that heals."""
     waits: dict[str, list[int]] = {"crash": [], "join": [], "leave": [], "heal": []}
     for seed in range(runs):
-        stage = FleetStage(count, seed=seed)
+        stage = SimulatedFleet(count, seed=seed)
         stage.until(stage.agree, ALL_S * S)
         stage.run(2 * S)
         name = f"n{count // 2}"
@@ -54,7 +54,7 @@
 
 def idle_cost(count: int, seconds: int) -> None:
     """Measure what a member sends once all agree."""
-    stage = FleetStage(count, seed=1)
+    stage = SimulatedFleet(count, seed=1)
     stage.until(stage.agree, ALL_S * S)
     stage.run(120 * S if count <= 50 else 0)
     sent, size, began = sum(stage.sent.values()), stage.bytes, time.process_time()
@@ -68,7 +68,7 @@
 
 
 def lossy(loss: float, seconds: int) -> None:
-    stage = FleetStage(8, seed=3, loss=loss)
+    stage = SimulatedFleet(8, seed=3, loss=loss)
     stage.run(seconds * S)
     deaths = {(name, at // (10 * S)) for at, _, name in stage.declared_dead()}
     print(f"    8 members, {loss:.0%} lost, {seconds} s: {len(deaths)} false deaths")
--- a/tests/processes/fleet_daemons.py
+++ b/tests/processes/fleet_daemons.py
@@ -1,4 +1,4 @@
-"""Daemons of one fleet as separate processes, and a relay for the datagrams between them."""
+"""Sidecars of one fleet in separate processes, and a relay for the datagrams between them."""
 
 from __future__ import annotations
 
@@ -22,35 +22,35 @@
 
 
 def free_port(kind: socket.SocketKind) -> int:
-    with socket.socket(socket.AF_INET, kind) as found:
-        found.bind((HOST, 0))
-        return int(found.getsockname()[1])
+    with socket.socket(socket.AF_INET, kind) as probe:
+        probe.bind((HOST, 0))
+        return int(probe.getsockname()[1])
 
 
 class Relay(threading.Thread):
-    """Relays datagrams between members; `passes(source, target)` returns how many copies arrive."""
+    """Relays datagrams between members; `copies(source, target)` returns how many copies arrive."""
 
     def __init__(self, count: int) -> None:
         super().__init__(daemon=True)
-        self.passes: Callable[[int, int], int] = lambda source, target: 1
-        self.ports = [free_port(socket.SOCK_DGRAM) for _ in range(count)]  # of the daemons
-        self.recorded: list[tuple[int, bytes]] = []  # the latest datagrams, with their receivers
+        self.copies: Callable[[int, int], int] = lambda source, target: 1
+        self.ports = [free_port(socket.SOCK_DGRAM) for _ in range(count)]  # where the sidecars listen
+        self.recorded: list[tuple[int, bytes]] = []  # the latest datagrams, with their target
         self._sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-        for each in self._sockets:
-            each.bind((HOST, 0))
-        self.addresses = [f"{HOST}:{each.getsockname()[1]}" for each in self._sockets]
+        for relay_socket in self._sockets:
+            relay_socket.bind((HOST, 0))
+        self.addresses = [f"{HOST}:{relay_socket.getsockname()[1]}" for relay_socket in self._sockets]
         self._is_closed = threading.Event()
 
     def run(self) -> None:
         selector = selectors.DefaultSelector()
-        for number, each in enumerate(self._sockets):
-            selector.register(each, selectors.EVENT_READ, number)
+        for number, relay_socket in enumerate(self._sockets):
+            selector.register(relay_socket, selectors.EVENT_READ, number)
         while not self._is_closed.is_set():
             for key, _ in selector.select(0.05):
                 data, (_, port) = self._sockets[key.data].recvfrom(2_048)
                 source = self.ports.index(port) if port in self.ports else -1
                 self.recorded = [*self.recorded[-199:], (key.data, data)]
-                for _ in range(self.passes(source, key.data)):
+                for _ in range(self.copies(source, key.data)):
                     self.send(key.data, data)
 
     def send(self, target: int, data: bytes) -> None:
@@ -59,21 +59,21 @@
     def close(self) -> None:
         self._is_closed.set()
         self.join()
-        for each in self._sockets:
-            each.close()
+        for relay_socket in self._sockets:
+            relay_socket.close()
 
-    def lossy(self, fraction: float, seed: int) -> None:
+    def lose(self, fraction: float, seed: int) -> None:
         rng = random.Random(seed)
-        self.passes = lambda source, target: int(rng.random() >= fraction) + int(rng.random() < fraction / 4)
+        self.copies = lambda source, target: int(rng.random() >= fraction) + int(rng.random() < fraction / 4)
 
     def cut(self, *side: int) -> None:
-        self.passes = lambda source, target: int((source in side) == (target in side))
+        self.copies = lambda source, target: int((source in side) == (target in side))
 
     def heal(self) -> None:
-        self.passes = lambda source, target: 1
+        self.copies = lambda source, target: 1
 
 
-class Daemons:
+class FleetProcesses:
     """Members n0, n1, ... that reach each other through the relay."""
 
     def __init__(self, folder: Path, count: int, known: Callable[[int], list[int]] | None = None) -> None:
@@ -83,13 +83,13 @@
         self.relay.start()
         self._known = known or (lambda number: list(range(count)))
         self.running: dict[int, subprocess.Popen[bytes]] = {}
-        self._read_from: dict[int, int] = {}
-        self.keys(1)
+        self._log_offsets: dict[int, int] = {}
+        self.write_keys(1)
         for number in range(count):
             self.start(number)
 
-    def keys(self, *numbers: int, of: int | None = None) -> None:
-        """Write the keys that members, or one of them, accept; the first one signs."""
+    def write_keys(self, *numbers: int, of: int | None = None) -> None:
+        """Write the keys that all members (or `of`) accept; the first one signs."""
         for number in numbers:
             (self.folder / f"key-{number}").write_text(f"{number:02x}" * 32)
         for member in range(self.count) if of is None else [of]:
@@ -101,14 +101,16 @@
 
     def config(self, number: int) -> dict[str, Any]:
         known = self._known(number)
-        nobody = f"{HOST}:9"
+        unused_address = f"{HOST}:9"
         return {
             "name": f"n{number}",
             "listen": f"{HOST}:0",
-            "discovery": nobody,
+            "discovery": unused_address,
             "seed": f"{number + 1:x}",
             "peer_listen": f"{HOST}:{self.relay.ports[number]}",
-            "peers": [each if at in known else nobody for at, each in enumerate(self.relay.addresses)],
+            "peers": [
+                address if at in known else unused_address for at, address in enumerate(self.relay.addresses)
+            ],
             "fleet": str(self.folder / f"fleet-{number}.toml"),
             "settings": {"lanes": CLASSES, "me": number, "bounds": {"sendCap": 3, "mayTell": True}},
         }
@@ -119,7 +121,7 @@
     def start(self, number: int) -> None:
         config = self.folder / f"n{number}.json"
         config.write_text(json.dumps(self.config(number)))
-        self.mark(number)
+        self.skip_log(number)
         with self.log(number).open("ab") as log:
             self.running[number] = subprocess.Popen(
                 [sys.executable, "-m", "micadeck"],
@@ -132,22 +134,22 @@
                 },
             )
 
-    def signal(self, number: int, what: signal.Signals) -> None:
-        self.running[number].send_signal(what)
+    def signal(self, number: int, signal_number: signal.Signals) -> None:
+        self.running[number].send_signal(signal_number)
 
     def kill(self, number: int) -> None:
         self.signal(number, signal.SIGKILL)
         self.running.pop(number).wait()
 
-    def mark(self, *numbers: int) -> None:
-        """Ignore the log lines that members wrote before."""
+    def skip_log(self, *numbers: int) -> None:
+        """Ignore earlier log lines of these members, or of all."""
         for number in numbers or range(self.count):
             log = self.log(number)
-            self._read_from[number] = log.stat().st_size if log.exists() else 0
+            self._log_offsets[number] = log.stat().st_size if log.exists() else 0
 
     def fleet_lines(self, number: int) -> list[str]:
-        """The lines of a member's log on the fleet since the mark."""
-        text = self.log(number).read_bytes()[self._read_from[number] :].decode()
+        """Return the fleet's lines in a member's log since `skip_log`."""
+        text = self.log(number).read_bytes()[self._log_offsets[number] :].decode()
         return re.findall(r"fleet: (.*)", text)
 
     def until(self, done: Callable[[], bool], within_s: float = 30.0) -> None:
@@ -159,19 +161,19 @@
             time.sleep(0.05)
 
     def until_settled(self, count: int, *numbers: int) -> None:
-        """Wait until the last count that these members, or all that run, logged is this one, settled."""
+        """Wait until these members, or all running ones, last logged this count as settled."""
         wanted = f"{count} members, settled"
 
         def agree() -> bool:
             return all(
-                [each for each in self.fleet_lines(number) if "members" in each][-1:] == [wanted]
+                [text for text in self.fleet_lines(number) if "members" in text][-1:] == [wanted]
                 for number in numbers or self.running
             )
 
         self.until(agree)
 
     def close(self) -> None:
-        for each in self.running.values():
-            each.kill()
-            each.wait()
+        for process in self.running.values():
+            process.kill()
+            process.wait()
         self.relay.close()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from fleet_stage import KEYS, MS, WALL, FleetStage, S
+from fleet_stage import KEYS, MS, WALL_START_US, S, SimulatedFleet
 
 from micadeck.fleet import (
     DatagramAuthenticator,
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_tables_with_the_same_records_are_equal_whatever_their_order_and_number(seed: int) -> None:
+def test_tables_converge_whatever_the_order_and_repetition_of_records(seed: int) -> None:
     rng, received = random.Random(seed), records(seed, 40)
     tables = []
     for _ in range(3):
@@ -63,7 +63,7 @@
         assert sum(sum(table.branch_digests((at,))) for at in range(16)) % 2**32 == table.digest % 2**32
 
 
-def test_a_removed_member_is_not_brought_back_by_a_late_update() -> None:
+def test_a_removed_member_is_not_restored_by_a_late_update() -> None:
     table = MemberTable()
     alive = MemberRecord("n1", 5, 1, MemberState.ALIVE, "h", 1)
     assert table.apply(0, alive)
@@ -105,7 +105,7 @@
     assert selected(queue, 10, 50, 9, ("c",)) == ["a"]
 
 
-def test_a_death_goes_ahead_of_many_joins() -> None:
+def test_a_death_is_sent_before_many_joins() -> None:
     queue = BroadcastQueue()
     for number in range(200):
         queue.enqueue(f"n{number}", hint(f"n{number}"), expires_at=100)
@@ -121,254 +121,272 @@
     return DatagramAuthenticator(name, start, keys)
 
 
-def test_each_invalid_datagram_is_counted_by_its_reason_and_changes_nothing() -> None:
+def test_an_invalid_datagram_is_counted_by_its_reason_and_changes_nothing() -> None:
     old, new = (1, b"o" * 16), (2, b"n" * 16)
     reader, writer = authenticator("n0"), authenticator()
-    good = writer.encode(WALL, ["x"])
-    assert reader.decode(WALL, good) == ("n1", ["x"])
-    for data, why in (
-        (good, DropReason.REPLAYED),
+    valid = writer.encode(WALL_START_US, ["x"])
+    assert reader.decode(WALL_START_US, valid) == ("n1", ["x"])
+    for data, reason in (
+        (valid, DropReason.REPLAYED),
         (b"", DropReason.MALFORMED),
-        (good[:20], DropReason.BAD_MAC),
-        (good + b"x" * 250, DropReason.MALFORMED),
-        (b"\x09" + good[1:], DropReason.UNKNOWN_VERSION),
-        (authenticator("n2", 1, Keys((new,))).encode(WALL, []), DropReason.UNKNOWN_KEY),
-        (authenticator("n2", 1, Keys((old,))).encode(WALL, []), DropReason.BAD_MAC),
-        (authenticator("n2").encode(WALL - 100 * S, []), DropReason.EXPIRED),
+        (valid[:20], DropReason.BAD_MAC),
+        (valid + b"x" * 250, DropReason.MALFORMED),
+        (b"\x09" + valid[1:], DropReason.UNKNOWN_VERSION),
+        (authenticator("n2", 1, Keys((new,))).encode(WALL_START_US, []), DropReason.UNKNOWN_KEY),
+        (authenticator("n2", 1, Keys((old,))).encode(WALL_START_US, []), DropReason.BAD_MAC),
+        (authenticator("n2").encode(WALL_START_US - 100 * S, []), DropReason.EXPIRED),
     ):
-        before = reader.dropped[why]
-        assert reader.decode(WALL, data) is None and reader.dropped[why] == before + 1
-    for at in range(len(good)):
-        assert reader.decode(WALL, good[:at] + bytes((good[at] ^ 1,)) + good[at + 1 :]) is None
+        before = reader.dropped[reason]
+        assert reader.decode(WALL_START_US, data) is None and reader.dropped[reason] == before + 1
+    for at in range(len(valid)):
+        assert reader.decode(WALL_START_US, valid[:at] + bytes((valid[at] ^ 1,)) + valid[at + 1 :]) is None
     restarted = authenticator("n1", 2)
-    assert reader.decode(WALL, restarted.encode(WALL, [])) is not None
-    assert reader.decode(WALL, writer.encode(WALL, [])) is None and reader.dropped[DropReason.SUPERSEDED] == 1
+    assert reader.decode(WALL_START_US, restarted.encode(WALL_START_US, [])) is not None
+    assert (
+        reader.decode(WALL_START_US, writer.encode(WALL_START_US, [])) is None
+        and reader.dropped[DropReason.SUPERSEDED] == 1
+    )
 
 
-def test_numbers_out_of_order_count_once_each() -> None:
+def test_datagrams_out_of_order_are_accepted_once() -> None:
     reader, writer = authenticator("n0"), authenticator()
-    made = [writer.encode(WALL, [at]) for at in range(80)]
-    random.Random(1).shuffle(made)
-    taken = [each for each in made if reader.decode(WALL, each)]
-    assert len(taken) > 60 and not any(reader.decode(WALL, each) for each in made[-1:] + taken)
+    datagrams = [writer.encode(WALL_START_US, [at]) for at in range(80)]
+    random.Random(1).shuffle(datagrams)
+    accepted = [data for data in datagrams if reader.decode(WALL_START_US, data)]
+    assert len(accepted) > 60 and not any(
+        reader.decode(WALL_START_US, data) for data in datagrams[-1:] + accepted
+    )
 
 
-def test_keys_change_without_a_gap_and_stand_in_no_text() -> None:
+def test_keys_rotate_without_interruption_and_are_in_no_text() -> None:
     old, new = (1, b"o" * 16), (2, b"n" * 16)
-    one, other = authenticator("n1", 1, Keys((old,))), authenticator("n2", 1, Keys((old,)))
+    first, second = authenticator("n1", 1, Keys((old,))), authenticator("n2", 1, Keys((old,)))
     for step in (
-        (one, (old, new)),
-        (other, (old, new)),
-        (one, (new, old)),
-        (other, (new, old)),
-        (one, (new,)),
+        (first, (old, new)),
+        (second, (old, new)),
+        (first, (new, old)),
+        (second, (new, old)),
+        (first, (new,)),
     ):
         step[0].set_keys(Keys(step[1]))
-        assert one.decode(WALL, other.encode(WALL, [])) and other.decode(WALL, one.encode(WALL, []))
+        assert first.decode(WALL_START_US, second.encode(WALL_START_US, [])) and second.decode(
+            WALL_START_US, first.encode(WALL_START_US, [])
+        )
     assert "ooo" not in repr(Keys((old, new)))
-    for bad in ((), (old, old), ((256, b"o" * 16),), ((1, b"short"),)):
+    for invalid_keys in ((), (old, old), ((256, b"o" * 16),), ((1, b"short"),)):
         with pytest.raises(ValueError, match="keys"):
-            Keys(bad)
+            Keys(invalid_keys)
 
 
 # Fleets
 
 
-def test_all_join_through_one_and_each_agrees_on_the_count() -> None:
-    stage = FleetStage(12)
-    assert stage.until(stage.agree, 20 * S) < 8 * S
-    for member in stage.members.values():
+def test_all_join_through_one_member_and_agree_on_the_count() -> None:
+    fleet = SimulatedFleet(12)
+    assert fleet.until(fleet.agree, 20 * S) < 8 * S
+    for member in fleet.members.values():
         assert (member.count_members().min_members, member.count_members().max_members) == (12, 12)
-    sent = sum(stage.sent.values())
-    stage.run(60 * S)
-    assert (sum(stage.sent.values()) - sent) / 60 / 12 < 4.2  # a second and member, whatever the size
-    assert stage.declared_dead() == []
+    sent = sum(fleet.sent.values())
+    fleet.run(60 * S)
+    # Datagrams per second and member, for any fleet size.
+    assert (sum(fleet.sent.values()) - sent) / 60 / 12 < 4.2
+    assert fleet.declared_dead() == []
 
 
-def test_a_killed_member_is_removed_everywhere_and_back_under_its_name_at_once() -> None:
-    stage = FleetStage(8)
-    stage.until(stage.agree, 20 * S)
-    stage.run(5 * S)
-    stage.kill("n4")
-    assert stage.until(lambda: "n4" not in _there(stage, "n0") and stage.agree(), 20 * S) < 8 * S
-    stage.start("n4", ["n0"])
-    assert stage.until(stage.agree, 20 * S) < 8 * S
+def test_a_killed_member_is_removed_everywhere_and_can_rejoin_under_its_name() -> None:
+    fleet = SimulatedFleet(8)
+    fleet.until(fleet.agree, 20 * S)
+    fleet.run(5 * S)
+    fleet.kill("n4")
+    assert fleet.until(lambda: "n4" not in _live_members(fleet, "n0") and fleet.agree(), 20 * S) < 8 * S
+    fleet.start("n4", ["n0"])
+    assert fleet.until(fleet.agree, 20 * S) < 8 * S
 
 
-def _there(stage: FleetStage, name: str) -> set[str]:
-    table = stage.members[name].table
-    return {each for each, entry in table.entries.items() if entry.record.is_live}
+def _live_members(fleet: SimulatedFleet, name: str) -> set[str]:
+    table = fleet.members[name].table
+    return {peer for peer, entry in table.entries.items() if entry.record.is_live}
 
 
-def test_a_third_killed_at_once_and_back_under_the_same_names() -> None:
-    stage = FleetStage(12, seed=3)
-    stage.until(stage.agree, 20 * S)
+def test_a_third_killed_at_once_can_rejoin_under_the_same_names() -> None:
+    fleet = SimulatedFleet(12, seed=3)
+    fleet.until(fleet.agree, 20 * S)
     for number in range(4):
-        stage.kill(f"n{number}")
-    stage.run(300 * MS)
+        fleet.kill(f"n{number}")
+    fleet.run(300 * MS)
     for number in range(4):
-        stage.start(f"n{number}", ["n8"])
-    assert stage.until(stage.agree, 30 * S) < 15 * S
-    starts = {name: stage.members[name].table.entries["n1"].record.start_us for name in stage.members}
-    assert set(starts.values()) == {stage.members["n1"].authenticator.start_us}
+        fleet.start(f"n{number}", ["n8"])
+    assert fleet.until(fleet.agree, 30 * S) < 15 * S
+    starts = {name: fleet.members[name].table.entries["n1"].record.start_us for name in fleet.members}
+    assert set(starts.values()) == {fleet.members["n1"].authenticator.start_us}
 
 
 def test_a_member_that_leaves_is_removed_at_once_and_never_declared_dead() -> None:
-    stage = FleetStage(8)
-    stage.until(stage.agree, 20 * S)
-    stage.leave("n3")
-    assert stage.until(lambda: all("n3" not in _there(stage, each) for each in stage.members), 9 * S) < 3 * S
-    stage.run(10 * S)
-    assert stage.declared_dead() == []
-    assert stage.members["n0"].count_members().max_members == 7
-
-
-def test_a_restart_by_a_clock_that_was_set_back_is_the_later_process_all_the_same() -> None:
-    stage = FleetStage(6)
-    stage.until(stage.agree, 20 * S)
-    stage.run(5 * S)
-    stage.kill("n2")
-    stage.start("n2", ["n0"], ahead_us=-30 * S)
-    stage.until(stage.agree, 30 * S)
-
-
-def test_of_two_processes_under_one_name_the_later_is_the_member() -> None:
-    stage = FleetStage(6)
-    stage.until(stage.agree, 20 * S)
-    old = stage.members["n2"]
-    stage.start("n2", ["n0"])
-    stage.until(stage.agree, 20 * S)
-    # An update reaches the old one, which still runs.
-    ping = stage.members["n0"].authenticator.encode(
-        WALL + stage.now, Ping(0, 0, (record_of(stage, "n0", "n2"),))
+    fleet = SimulatedFleet(8)
+    fleet.until(fleet.agree, 20 * S)
+    fleet.leave("n3")
+    assert (
+        fleet.until(lambda: all("n3" not in _live_members(fleet, each) for each in fleet.members), 9 * S)
+        < 3 * S
     )
-    old.receive(stage.now, WALL + stage.now, stage.address("n0"), ping)
+    fleet.run(10 * S)
+    assert fleet.declared_dead() == []
+    assert fleet.members["n0"].count_members().max_members == 7
+
+
+def test_a_restart_after_the_clock_was_set_back_still_supersedes_the_old_process() -> None:
+    fleet = SimulatedFleet(6)
+    fleet.until(fleet.agree, 20 * S)
+    fleet.run(5 * S)
+    fleet.kill("n2")
+    fleet.start("n2", ["n0"], ahead_us=-30 * S)
+    fleet.until(fleet.agree, 30 * S)
+
+
+def test_of_two_processes_under_one_name_the_later_supersedes_the_earlier() -> None:
+    fleet = SimulatedFleet(6)
+    fleet.until(fleet.agree, 20 * S)
+    old = fleet.members["n2"]
+    fleet.start("n2", ["n0"])
+    fleet.until(fleet.agree, 20 * S)
+    # The old process still runs, and receives an update about the new one.
+    ping = fleet.members["n0"].authenticator.encode(
+        WALL_START_US + fleet.now, Ping(0, 0, (record_of(fleet, "n0", "n2"),))
+    )
+    old.receive(fleet.now, WALL_START_US + fleet.now, fleet.address("n0"), ping)
     assert old.is_superseded
-    assert old.tick(old.next_due, WALL + old.next_due).datagrams == []
+    assert old.tick(old.next_due, WALL_START_US + old.next_due).datagrams == []
 
 
-def record_of(stage: FleetStage, by: str, name: str) -> MemberRecord:
-    return stage.members[by].table.entries[name].record
+def record_of(fleet: SimulatedFleet, by: str, name: str) -> MemberRecord:
+    return fleet.members[by].table.entries[name].record
 
 
-@pytest.mark.parametrize("span_s", [4, 20])
-def test_each_side_of_a_partition_settles_and_all_agree_once_it_heals(span_s: int) -> None:
-    stage = FleetStage(10, seed=5)
-    stage.until(stage.agree, 20 * S)
+@pytest.mark.parametrize("duration_s", [4, 20])
+def test_each_side_of_a_partition_settles_and_all_agree_once_it_heals(duration_s: int) -> None:
+    fleet = SimulatedFleet(10, seed=5)
+    fleet.until(fleet.agree, 20 * S)
     side = {f"n{number}" for number in range(5)}
-    stage.cut = lambda source, target: (source in side) != (target in side)
-    stage.run(span_s * S)
-    if span_s > 10:
-        assert stage.agree(side) and stage.agree(set(stage.members) - side)
-        count = stage.members["n0"].count_members()
+    fleet.cut = lambda source, target: (source in side) != (target in side)
+    fleet.run(duration_s * S)
+    if duration_s > 10:
+        assert fleet.agree(side) and fleet.agree(set(fleet.members) - side)
+        count = fleet.members["n0"].count_members()
         assert (count.min_members, count.max_members) == (5, 5)
-    stage.cut = lambda source, target: False
-    assert stage.until(stage.agree, 60 * S) < 20 * S
+    fleet.cut = lambda source, target: False
+    assert fleet.until(fleet.agree, 60 * S) < 20 * S
 
 
-def test_indirect_probes_cover_a_path_that_loses_one_way() -> None:
-    stage = FleetStage(8, seed=2)
-    stage.until(stage.agree, 20 * S)
-    stage.cut = lambda source, target: (source, target) == ("n1", "n2")
-    stage.run(120 * S)
-    assert stage.declared_dead() == []
+def test_indirect_probes_cover_a_path_that_fails_in_one_direction() -> None:
+    fleet = SimulatedFleet(8, seed=2)
+    fleet.until(fleet.agree, 20 * S)
+    fleet.cut = lambda source, target: (source, target) == ("n1", "n2")
+    fleet.run(120 * S)
+    assert fleet.declared_dead() == []
 
 
 @pytest.mark.parametrize(("loss", "max_deaths"), [(0.1, 0), (0.3, 0)])
 def test_lost_datagrams_cause_no_false_death(loss: float, max_deaths: int) -> None:
-    stage = FleetStage(8, seed=4, loss=loss)
-    stage.run(240 * S)
-    assert len(stage.declared_dead()) <= max_deaths
-    assert all(len(_there(stage, each)) == 8 for each in stage.members)
-
-
-def test_a_stopped_member_declares_nobody_dead_and_recovers_soon() -> None:
-    stage = FleetStage(8, seed=6)
-    stage.until(stage.agree, 20 * S)
-    stage.stop("n5")
-    stage.run(2 * S)
-    stage.resume("n5")
-    woke = stage.now
-    stage.until(stage.agree, 30 * S)
-    assert [each for each in stage.declared_dead() if each[0] >= woke and each[1] == "n5"] == []
-
-
-@pytest.mark.parametrize("ahead_ms", [10, 400, 900])  # of its end: before the member's next period, and after
-def test_a_stopped_member_gives_a_suspect_its_full_time_again(ahead_ms: int) -> None:
-    stage = FleetStage(8, seed=6)
-    stage.until(stage.agree, 20 * S)
-    stage.run(5 * S)
-    member = stage.members["n5"]
-    suspect = record_of(stage, "n5", "n6").observed_as(MemberState.SUSPECT, suspected_by="n1")
-    ping = stage.members["n1"].authenticator.encode(WALL + stage.now, Ping(0, 0, (suspect,)))
-    member.receive(stage.now, WALL + stage.now, stage.address("n1"), ping)
-    ends = next(
+    fleet = SimulatedFleet(8, seed=4, loss=loss)
+    fleet.run(240 * S)
+    assert len(fleet.declared_dead()) <= max_deaths
+    assert all(len(_live_members(fleet, each)) == 8 for each in fleet.members)
+
+
+def test_a_stopped_member_declares_nobody_dead_after_it_resumes() -> None:
+    fleet = SimulatedFleet(8, seed=6)
+    fleet.until(fleet.agree, 20 * S)
+    fleet.stop("n5")
+    fleet.run(2 * S)
+    fleet.resume("n5")
+    resumed_at = fleet.now
+    fleet.until(fleet.agree, 30 * S)
+    assert [each for each in fleet.declared_dead() if each[0] >= resumed_at and each[1] == "n5"] == []
+
+
+# The member stops this long before the suspicion ends: before its next probe interval, and after.
+@pytest.mark.parametrize("ahead_ms", [10, 400, 900])
+def test_a_stopped_member_restarts_the_timeout_of_a_suspect(ahead_ms: int) -> None:
+    fleet = SimulatedFleet(8, seed=6)
+    fleet.until(fleet.agree, 20 * S)
+    fleet.run(5 * S)
+    member = fleet.members["n5"]
+    suspect = record_of(fleet, "n5", "n6").observed_as(MemberState.SUSPECT, suspected_by="n1")
+    ping = fleet.members["n1"].authenticator.encode(WALL_START_US + fleet.now, Ping(0, 0, (suspect,)))
+    member.receive(fleet.now, WALL_START_US + fleet.now, fleet.address("n1"), ping)
+    suspicion_ends_at = next(
         at
         for at, timer in member.timers.pending()
         if isinstance(timer, SuspicionTimer) and timer.name == "n6"
     )
-    while member.next_due < ends - ahead_ms * MS:
-        member.tick(member.next_due, WALL + member.next_due)
-    # It was stopped for ten seconds.
-    woke = member.tick(ends + 10 * S, WALL + ends + 10 * S)
-    assert [each.record.state for each in woke.events if isinstance(each, MemberChanged)] == []
+    while member.next_due < suspicion_ends_at - ahead_ms * MS:
+        member.tick(member.next_due, WALL_START_US + member.next_due)
+    # The member was stopped for ten seconds.
+    output = member.tick(suspicion_ends_at + 10 * S, WALL_START_US + suspicion_ends_at + 10 * S)
+    assert [each.record.state for each in output.events if isinstance(each, MemberChanged)] == []
     assert member.health.score == member.settings.max_health_score
 
 
 def test_tables_converge_even_if_all_updates_are_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = FleetStage(8, seed=7)
-    stage.until(stage.agree, 20 * S)
-    monkeypatch.setattr(BroadcastQueue, "select", lambda *given, **how: [])
-    stage.kill("n6")
-    stage.start("n6", ["n0"])
-    stage.until(stage.agree, 60 * S)
+    fleet = SimulatedFleet(8, seed=7)
+    fleet.until(fleet.agree, 20 * S)
+    monkeypatch.setattr(BroadcastQueue, "select", lambda *args, **kwargs: [])
+    fleet.kill("n6")
+    fleet.start("n6", ["n0"])
+    fleet.until(fleet.agree, 60 * S)
 
 
 def test_a_hint_of_a_drain_reaches_all_members_once() -> None:
-    stage = FleetStage(10, seed=8)
-    stage.until(stage.agree, 20 * S)
-    stage.members["n3"].broadcast_hint(stage.now, EndpointHint("s-17", "draining", 41))
+    fleet = SimulatedFleet(10, seed=8)
+    fleet.until(fleet.agree, 20 * S)
+    fleet.members["n3"].broadcast_hint(fleet.now, EndpointHint("s-17", "draining", 41))
 
     def receivers() -> set[str]:
-        return {name for _, name, event in stage.events if isinstance(event, EndpointHint)}
+        return {name for _, name, event in fleet.events if isinstance(event, EndpointHint)}
 
-    assert stage.until(lambda: len(receivers()) == 9, 20 * S) < 5 * S
-    stage.run(20 * S)
-    assert sum(isinstance(event, EndpointHint) for _, _, event in stage.events) == 9
+    assert fleet.until(lambda: len(receivers()) == 9, 20 * S) < 5 * S
+    fleet.run(20 * S)
+    assert sum(isinstance(event, EndpointHint) for _, _, event in fleet.events) == 9
 
 
 def test_metadata_reaches_all_members_at_limited_intervals() -> None:
-    stage = FleetStage(6, seed=9)
-    stage.until(stage.agree, 20 * S)
-    stage.run(10 * S)
+    fleet = SimulatedFleet(6, seed=9)
+    fleet.until(fleet.agree, 20 * S)
+    fleet.run(10 * S)
     for step in range(50):
-        stage.members["n1"].set_metadata(stage.now, Metadata("north", step, 7))
-        stage.run(100 * MS)
-    stage.run(15 * S)
-    for member in stage.members.values():
+        fleet.members["n1"].set_metadata(fleet.now, Metadata("north", step, 7))
+        fleet.run(100 * MS)
+    fleet.run(15 * S)
+    for member in fleet.members.values():
         assert member.table.entries["n1"].record.metadata == Metadata("north", 49, 7)
-    assert stage.members["n1"].record.incarnation < 6
+    assert fleet.members["n1"].record.incarnation < 6
 
 
 def test_random_bytes_and_malformed_messages_with_a_valid_mac_change_nothing() -> None:
-    stage = FleetStage(4, seed=10)
-    stage.until(stage.agree, 20 * S)
-    member, rng = stage.members["n0"], random.Random(11)
-    liar = DatagramAuthenticator("liar", WALL, KEYS)
+    fleet = SimulatedFleet(4, seed=10)
+    fleet.until(fleet.agree, 20 * S)
+    member, rng = fleet.members["n0"], random.Random(11)
+    misbehaving_member = DatagramAuthenticator("liar", WALL_START_US, KEYS)
     before = {name: entry.record for name, entry in member.table.entries.items()}
     for _ in range(300):
-        member.receive(stage.now, WALL + stage.now, stage.address("n1"), rng.randbytes(rng.randrange(260)))
+        member.receive(
+            fleet.now, WALL_START_US + fleet.now, fleet.address("n1"), rng.randbytes(rng.randrange(260))
+        )
         body: list[object] = rng.choice(
             [[], [1], [1, 2, 3], [0, 0, [[]]], [0, 0, [["n1"]]], [[9, 9, 9], [0] * 16], ["x"]]
         )
-        data = liar.encode(WALL + stage.now, [rng.randrange(8), *body])
-        member.receive(stage.now, WALL + stage.now, stage.address("n1"), data)
+        data = misbehaving_member.encode(WALL_START_US + fleet.now, [rng.randrange(8), *body])
+        member.receive(fleet.now, WALL_START_US + fleet.now, fleet.address("n1"), data)
     assert {name: entry.record for name, entry in member.table.entries.items()} == before
     assert member.malformed_messages > 100
 
 
-def test_suspicions_end_sooner_the_more_suspect() -> None:
+def test_the_suspicion_timeout_falls_with_confirmations() -> None:
     settings = FleetSettings()
-    waits = [settings.suspicion_timeout_us(100, confirmed) for confirmed in range(5)]
-    assert waits == sorted(waits, reverse=True) and waits[0] > 2 * waits[3] and waits[3] == waits[4]
+    timeouts = [settings.suspicion_timeout_us(100, confirmed) for confirmed in range(5)]
+    assert (
+        timeouts == sorted(timeouts, reverse=True)
+        and timeouts[0] > 2 * timeouts[3]
+        and timeouts[3] == timeouts[4]
+    )
     assert settings.suspicion_timeout_us(1000, 0) > settings.suspicion_timeout_us(10, 0)
--- a/tests/test_peer_datagrams.py
+++ b/tests/test_peer_datagrams.py
@@ -11,8 +11,8 @@
 from micadeck.peer_datagrams import PeerDatagrams
 
 
-def test_peers_hear_one_another_and_nobody_else() -> None:
-    # Guards against an endpoint that never comes up: its failure is only a line in the log.
+def test_peers_receive_datagrams_only_from_each_other() -> None:
+    # Guards against a socket that is never opened, a failure that is only logged.
     async def work() -> None:
         ports = []
         for _ in range(2):
@@ -20,24 +20,24 @@
                 probe.bind((HOST, 0))
                 ports.append(probe.getsockname()[1])
         addresses: tuple[Address, ...] = tuple((HOST, port) for port in ports)
-        heard: asyncio.Queue[tuple[int, int, bytes]] = asyncio.Queue()
+        received: asyncio.Queue[tuple[int, int, bytes]] = asyncio.Queue()
 
-        def ear(me: int) -> PeerDatagrams:
+        def new_peer(me: int) -> PeerDatagrams:
             return PeerDatagrams(LoopNetwork(), addresses, None, me)
 
-        first, second = ear(0), ear(1)
-        await first.listen(addresses[0], lambda by, what: heard.put_nowait((0, by, what)))
-        await second.listen(addresses[1], lambda by, what: heard.put_nowait((1, by, what)))
+        first, second = new_peer(0), new_peer(1)
+        await first.listen(addresses[0], lambda sender, data: received.put_nowait((0, sender, data)))
+        await second.listen(addresses[1], lambda sender, data: received.put_nowait((1, sender, data)))
         assert first.send(1, b"to one")
-        assert await soon(heard.get()) == (1, 0, b"to one")
+        assert await soon(received.get()) == (1, 0, b"to one")
         assert second.send(None, b"to all")
-        assert await soon(heard.get()) == (0, 1, b"to all")
+        assert await soon(received.get()) == (0, 1, b"to all")
         assert first.send(1, b"x" * 256) and not first.send(1, b"x" * 257) and not first.send(2, b"nobody")
-        assert await soon(heard.get()) == (1, 0, b"x" * 256)
+        assert await soon(received.get()) == (1, 0, b"x" * 256)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"from a stranger", addresses[1])
         assert first.send(1, b"after it")
-        assert await soon(heard.get()) == (1, 0, b"after it")
+        assert await soon(received.get()) == (1, 0, b"after it")
         first.close()
         second.close()
 
--- a/tests/test_tasks_that_end.py
+++ b/tests/test_tasks_that_end.py
@@ -134,4 +134,4 @@
         assert all(host.member.is_settled for host in fleet.hosts)
         assert not any("dead" in text for log in fleet.logs for text in log)
 
-    fleet.play(work)
+    fleet.run_settled(work)
