--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -1,4 +1,4 @@
-"""One story of many records: what is claimed, what is not, and what is done with bad input."""
+"""Incident analysis: what is claimed and what is not, rule checks, commands, and damaged records."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import numpy as np
 import pytest
 from click.testing import CliRunner
-from test_records import watched
+from test_records import observed_harness
 
 from micadeck.cli import main
 from micadeck.incidents.archive import Archive, Start, load
@@ -42,35 +42,35 @@
 from micadeck.policy.events import ListedServer, ListKind
 from micadeck.stand_ins.incident_days import BEGIN, Day, S, play
 
-# When it went wrong
+# Detection of episodes
 
 
 @pytest.mark.parametrize("per_s", [5, 50, 2_000])
 def test_chance_alone_makes_no_claim(per_s: int) -> None:
     for seed in range(40):
-        drawn = np.random.default_rng(seed)
-        ended = drawn.poisson(per_s, 300).astype(float)
-        assert find_episodes(drawn.binomial(ended.astype(int), 0.01).astype(float), ended) == []
+        rng = np.random.default_rng(seed)
+        ended = rng.poisson(per_s, 300).astype(float)
+        assert find_episodes(rng.binomial(ended.astype(int), 0.01).astype(float), ended) == []
 
 
 @pytest.mark.parametrize(("first", "last", "share"), [(100, 130, 0.3), (60, 190, 0.08), (150, 153, 0.9)])
-def test_onset_and_end_are_found_to_the_second_or_two(first: int, last: int, share: float) -> None:
+def test_onset_and_end_are_found_within_two_seconds(first: int, last: int, share: float) -> None:
     for seed in range(20):
-        drawn = np.random.default_rng(seed)
-        ended = drawn.poisson(100, 300).astype(float)
+        rng = np.random.default_rng(seed)
+        ended = rng.poisson(100, 300).astype(float)
         shares = np.full(300, 0.005)
         shares[first:last] = share
-        (one,) = find_episodes(drawn.binomial(ended.astype(int), shares).astype(float), ended)
+        (one,) = find_episodes(rng.binomial(ended.astype(int), shares).astype(float), ended)
         assert abs(one.first - first) <= 2 and abs(one.last - last) <= 2
         assert abs(one.share - share) < 0.3 * share + 0.02
 
 
-def test_an_incident_within_an_incident_stands_out() -> None:
-    drawn = np.random.default_rng(1)
-    ended = drawn.poisson(100, 300).astype(float)
+def test_an_incident_within_an_incident_is_found() -> None:
+    rng = np.random.default_rng(1)
+    ended = rng.poisson(100, 300).astype(float)
     shares = np.full(300, 0.004)
     shares[100:200], shares[140:150] = 0.1, 0.8
-    (one,) = find_episodes(drawn.binomial(ended.astype(int), shares).astype(float), ended)
+    (one,) = find_episodes(rng.binomial(ended.astype(int), shares).astype(float), ended)
     (inner,) = one.inner
     assert abs(one.first - 100) <= 2 and abs(one.last - 200) <= 2
     assert abs(inner.first - 140) <= 2 and abs(inner.last - 150) <= 2
@@ -92,12 +92,12 @@
     return play(seed, kind)
 
 
-def onset(told: Day, story: Timeline) -> int:
-    head = story.start(story.clocks.reference).head
-    for number, data in enumerate(told.sidecars):
+def onset(recorded: Day, timeline: Timeline) -> int:
+    head = timeline.start(timeline.clocks.reference).head
+    for number, data in enumerate(recorded.sidecars):
         own = read(data).head
         if (own.sidecar, own.start) == (head.sidecar, head.start):
-            return told.offset_of[number](BEGIN + int(told.script.onset * S))
+            return recorded.offset_of[number](BEGIN + int(recorded.script.onset * S))
     raise AssertionError
 
 
@@ -113,39 +113,40 @@
         ("lag", "sidecar lags"),
     ],
 )
-def test_a_scripted_day_s_story_matches_its_script(kind: str, cause: str) -> None:
-    told = day(2, kind)
-    story = build_timeline(told.archive())
-    (one,) = [each for each in story.incidents if each.within is None]
-    assert abs(one.onset - onset(told, story)) <= one.uncertainty
-    assert one.causes[0].kind == cause and one.causes[0].where.split("@")[0] == told.script.where
+def test_a_scripted_day_s_incident_has_the_scripted_onset_and_cause(kind: str, cause: str) -> None:
+    recorded = day(2, kind)
+    timeline = build_timeline(recorded.archive())
+    (one,) = [each for each in timeline.incidents if each.within is None]
+    assert abs(one.onset - onset(recorded, timeline)) <= one.uncertainty
+    assert one.causes[0].kind == cause and one.causes[0].where.split("@")[0] == recorded.script.where
     assert one.causes[0].evidence_for and one.has_cause
 
 
 @pytest.mark.parametrize("kind", ["calm", "drain", "restart"])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_on_a_day_without_trouble_nothing_is_claimed(kind: str, seed: int) -> None:
-    story = build_timeline(day(seed, kind).archive())
-    assert story.incidents == [] and not story.unlinked_incidents and story.rules.violations == []
-    assert "No incident is claimed" in html(story)
-
-
-def test_records_that_lack_are_missing_and_not_quiet() -> None:
-    told = day(2, "zone")
-    whole, story = build_timeline(told.archive()), build_timeline(told.archive(missing=0.3, seed=4))
-    assert whole.series.not_reporting.sum() == 0 < story.series.not_reporting.sum()
-    gap = next(start for start in story.archive.starts if start.missing)
-    number = story.archive.starts.index(gap)
-    since, until = gap.missing[0]
-    middle = story.clocks.to_common(number, (since + until) // 2)
+def test_on_a_day_without_faults_no_incident_is_claimed(kind: str, seed: int) -> None:
+    timeline = build_timeline(day(seed, kind).archive())
+    assert timeline.incidents == [] and not timeline.unlinked_incidents and timeline.rules.violations == []
+    assert "No incident is claimed" in html(timeline)
+
+
+def test_missing_records_are_not_taken_for_idle_time() -> None:
+    recorded = day(2, "zone")
+    complete = build_timeline(recorded.archive())
+    timeline = build_timeline(recorded.archive(missing=0.3, seed=4))
+    assert complete.series.not_reporting.sum() == 0 < timeline.series.not_reporting.sum()
+    truncated = next(start for start in timeline.archive.starts if start.missing)
+    number = timeline.archive.starts.index(truncated)
+    since, until = truncated.missing[0]
+    middle = timeline.clocks.to_common(number, (since + until) // 2)
     assert middle is not None
-    assert until - since < 2 * S or story.states.at(number, "s-0", middle.at) == UNKNOWN
-    (one,) = [each for each in story.incidents if each.within is None]
+    assert until - since < 2 * S or timeline.states.at(number, "s-0", middle.at) == UNKNOWN
+    (one,) = [each for each in timeline.incidents if each.within is None]
     assert one.causes[0].kind == "zone" and one.missing > 0.0
-    assert any("records lack" in each for each in story.rules.undetermined)
+    assert any("records lack" in each for each in timeline.rules.undetermined)
 
 
-# Records made by hand
+# Hand-written records
 
 
 def start(name: str, records: list[Record], at: int = 0, repeat: str = "unsafe") -> Start:
@@ -158,8 +159,8 @@
     return Span(at, at + S, at + S, 0, 1, None, 0.0, None, [counts], list(servers), 0)
 
 
-def state(at: int, server: str, held: str) -> State:
-    return State(at, server, held, "list", "east", 1, True)
+def state(at: int, server: str, name: str) -> State:
+    return State(at, server, name, "list", "east", 1, True)
 
 
 def count(server: str, last_sent_at: int, sent: int = 1) -> ServerCount:
@@ -169,67 +170,67 @@
 ENDED = Phase(9 * S, "ended")
 
 
-def test_a_send_past_the_grace_of_a_drain_is_named_with_both_records() -> None:
-    drains, late = state(2 * S, "a", "draining"), span(4 * S, servers=(count("a", 4 * S + 100),))
-    good: list[Record] = [state(0, "a", "ready"), span(0, servers=(count("a", 500_000),)), drains]
+def test_a_send_after_the_drain_grace_is_reported_with_both_records() -> None:
+    draining, late_send = state(2 * S, "a", "draining"), span(4 * S, servers=(count("a", 4 * S + 100),))
+    good: list[Record] = [state(0, "a", "ready"), span(0, servers=(count("a", 500_000),)), draining]
     in_grace = span(2 * S, servers=(count("a", 2 * S + 400_000),))
     assert check_rules([start("n0", [*good, in_grace, ENDED])], Clocks(0)).violations == []
-    (breach,) = check_rules([start("n0", [*good, in_grace, late, ENDED])], Clocks(0)).violations
-    assert breach.rule == 3 and breach.first == (0, drains) and breach.second == (0, late)
-    back: list[Record] = [*good, state(3 * S, "a", "ready"), late, ENDED]
-    assert check_rules([start("n0", back)], Clocks(0)).violations == []
+    (violation,) = check_rules([start("n0", [*good, in_grace, late_send, ENDED])], Clocks(0)).violations
+    assert violation.rule == 3 and violation.first == (0, draining) and violation.second == (0, late_send)
+    readmitted: list[Record] = [*good, state(3 * S, "a", "ready"), late_send, ENDED]
+    assert check_rules([start("n0", readmitted)], Clocks(0)).violations == []
 
 
-def test_an_unsafe_request_that_may_have_run_at_two_servers_is_named_across_sidecars() -> None:
+def test_a_non_idempotent_request_run_at_two_servers_is_reported_across_sidecars() -> None:
     one = Attempt(S, b"id", "pay", 0, "a", 2 * S, "dropped", True)
     two = Attempt(3 * S, b"id", "pay", 0, "b", 4 * S, "dropped", True)
     never = Attempt(3 * S, b"id", "pay", 0, "b", 4 * S, "dial_failed", False)
-    (breach,) = check_rules([start("n0", [one, ENDED]), start("n1", [two, ENDED])], Clocks(0)).violations
-    assert breach.rule == 2 and breach.first == (0, one) and breach.second == (1, two)
+    (violation,) = check_rules([start("n0", [one, ENDED]), start("n1", [two, ENDED])], Clocks(0)).violations
+    assert violation.rule == 2 and violation.first == (0, one) and violation.second == (1, two)
     assert check_rules([start("n0", [one, ENDED]), start("n1", [never, ENDED])], Clocks(0)).violations == []
     safe = [start("n0", [one, ENDED], repeat="safe"), start("n1", [two, ENDED], repeat="safe")]
     assert check_rules(safe, Clocks(0)).violations == []
 
 
-def test_two_final_answers_are_named_and_what_breaks_off_can_t_be_told() -> None:
+def test_two_final_answers_are_reported_and_truncated_records_are_undetermined() -> None:
     ends: list[Record] = [
         End(2 * S, b"id", "pay", S, "failed", False, 1),
         End(3 * S, b"id", "pay", S, "served", True, 1),
     ]
     verdict = check_rules([start("n0", list(ends))], Clocks(0))
-    (breach,) = verdict.violations
-    assert breach.rule == 1 and any("break off" in each for each in verdict.undetermined)
+    (violation,) = verdict.violations
+    assert violation.rule == 1 and any("break off" in each for each in verdict.undetermined)
     later: list[Record] = [
         ends[0],
         End(6 * S, b"id", "pay", 5 * S, "served", True, 1),
         ENDED,
-    ]  # the client asked again
+    ]  # the client sent the request again
     assert check_rules([start("n0", list(later))], Clocks(0)).violations == []
 
 
-def test_a_cause_that_explains_too_little_is_not_known() -> None:
-    drawn = random.Random(3)
+def test_an_incident_without_a_sufficient_cause_has_none() -> None:
+    rng = random.Random(3)
     starts = []
     for number in range(4):
         records: list[Record] = [state(0, f"s-{each}", "ready") for each in range(6)]
         for second in range(120):
-            failed = drawn.randrange(2, 5) if 60 <= second < 90 else 0
+            failed = rng.randrange(2, 5) if 60 <= second < 90 else 0
             servers = tuple(count(f"s-{each}", second * S, 3) for each in range(6))
             records.append(span(second * S, 12, failed, servers))
         starts.append(start(f"n{number}", records))
-    story = build_timeline(Archive(starts, []))
-    assert story.clocks.unlinked  # they share nothing: each is told alone
-    alone = [each for several in story.unlinked_incidents.values() for each in several] + story.incidents
-    assert alone and all(not each.causes for each in alone)
-    assert "cause not known" in html(story)
+    timeline = build_timeline(Archive(starts, []))
+    assert timeline.clocks.unlinked  # they share no events: each is analysed on its own
+    unlinked = [each for found in timeline.unlinked_incidents.values() for each in found] + timeline.incidents
+    assert unlinked and all(not each.causes for each in unlinked)
+    assert "cause not known" in html(timeline)
 
 
 # The commands
 
 
-def folder(told: Day, path: Path) -> Path:
+def write_records(recorded: Day, path: Path) -> Path:
     path.mkdir()
-    for data in told.sidecars:
+    for data in recorded.sidecars:
         head = read(data).head
         (path / str(SegmentName(head.start, head.segment, head.sidecar))).write_bytes(data)
     return path
@@ -239,100 +240,101 @@
     return CliRunner().invoke(main, ["incident", *map(str, given)])
 
 
-def test_the_commands_tell_list_and_report(tmp_path: Path) -> None:
-    told = folder(day(2, "zone"), tmp_path / "day")
-    assert run("check", told).exit_code == 0
-    listed = run("list", told)
+def test_the_check_list_show_and_report_commands(tmp_path: Path) -> None:
+    records = write_records(day(2, "zone"), tmp_path / "day")
+    assert run("check", records).exit_code == 0
+    listed = run("list", records)
     assert listed.exit_code == 0 and "zone" in listed.output
-    (plain,) = [each for each in json.loads(run("show", "--json", told).output) if each["within"] is None]
+    (plain,) = [each for each in json.loads(run("show", "--json", records).output) if each["within"] is None]
     assert plain["causes"][0]["kind"] == "zone" and plain["causes"][0]["for"]
-    assert run("list", told, "--to", "2001-01-01T00:00:00").output.startswith("no incident")
-    assert run("list", told, "--from", "yesterday").exit_code == 2
+    assert run("list", records, "--to", "2001-01-01T00:00:00").output.startswith("no incident")
+    assert run("list", records, "--from", "yesterday").exit_code == 2
     page = tmp_path / "report.html"
-    assert run("report", told, "-o", page).exit_code == 0
+    assert run("report", records, "-o", page).exit_code == 0
     text = page.read_text()
     assert "zone" in text and not re.search(r"<(script|link|img)[^>]*(src|href)=.http", text)
-    assert run("report", told, "-o", tmp_path / "no" / "where.html").exit_code == 2
+    assert run("report", records, "-o", tmp_path / "no" / "where.html").exit_code == 2
 
 
-def test_bad_files_are_named_with_their_offset_and_the_rest_is_shown(tmp_path: Path) -> None:
-    told = folder(day(2, "zone"), tmp_path / "day")
-    files = sorted(told.iterdir())
+def test_damaged_files_are_reported_with_their_offset_and_the_rest_is_read(tmp_path: Path) -> None:
+    records = write_records(day(2, "zone"), tmp_path / "day")
+    files = sorted(records.iterdir())
     files[0].write_bytes(files[0].read_bytes()[:-7])
     files[1].write_bytes(b"no records at all")
-    shutil.copy(files[2], told / "copy")
-    checked = run("check", told)
+    shutil.copy(files[2], records / "copy")
+    checked = run("check", records)
     assert checked.exit_code == 1
     for word in ("cut", "foreign", "twice", "offset 0", "it breaks off"):
         assert word in checked.output
-    assert "zone" in run("list", told).output
+    assert "zone" in run("list", records).output
     assert run("check", tmp_path / "nowhere").exit_code == 2
     empty = tmp_path / "empty"
     empty.mkdir()
     assert run("list", empty).exit_code == 2 and "no records were found" in run("list", empty).output
 
 
-def test_text_from_outside_is_no_markup(tmp_path: Path) -> None:
-    nasty = "<script>alert(1)</script>[red]\x1b[2J"
-    records: list[Record] = [state(0, nasty, "ready")]
+def test_untrusted_text_is_escaped_in_html_and_terminal_output(tmp_path: Path) -> None:
+    untrusted = "<script>alert(1)</script>[red]\x1b[2J"
+    records: list[Record] = [state(0, untrusted, "ready")]
     for second in range(60):
         failed = 9 if 30 <= second < 45 else 0
-        bad = ServerCount(nasty, 10, second * S, [10 - failed, failed])
+        bad = ServerCount(untrusted, 10, second * S, [10 - failed, failed])
         records.append(span(second * S, 10 - failed, failed, (bad, count("b", second * S, 10))))
-    records.append(End(31 * S, nasty.encode(), "pay", 30 * S, "failed", True, 1))
-    told = start("n0", records)
-    page = html(build_timeline(Archive([told], [])))
+    records.append(End(31 * S, untrusted.encode(), "pay", 30 * S, "failed", True, 1))
+    recorded = start("n0", records)
+    page = html(build_timeline(Archive([recorded], [])))
     assert "<script>alert" not in page and "&lt;script&gt;alert" in page
     path = tmp_path / str(SegmentName("0" * 16, 0, "n0"))
     encoder = Encoder()
-    path.write_bytes(MAGIC + b"".join(encoder.frame(each) for each in told.records))
-    assert load([path]).starts[0].records == told.records
+    path.write_bytes(MAGIC + b"".join(encoder.frame(each) for each in recorded.records))
+    assert load([path]).starts[0].records == recorded.records
     shown = run("show", path).output + run("list", path).output
     assert "[red]" in shown and "\\x1b[2J" in shown and "\x1b" not in shown
 
 
-# A fleet of many
+# Large fleets
 
 
-def fleet(count: int, hurt: range, seconds: int = 120) -> list[Start]:
-    """Sidecars that share a list; those in `hurt` fail four in ten from the 60th to the 75th second."""
-    drawn = random.Random(count)
+def fleet(count: int, failing_sidecars: range, seconds: int = 120) -> list[Start]:
+    """Sidecars that share a list; those in `failing_sidecars` fail four in ten in seconds 60 to 75."""
+    rng = random.Random(count)
     starts = []
     for number in range(count):
-        offset = drawn.randrange(-7_000, 7_000) * S
+        offset = rng.randrange(-7_000, 7_000) * S
         records: list[Record] = [state(offset, "a", "ready"), state(offset, "b", "ready")]
         for second in range(seconds):
             now = offset + second * S
             if second % 20 == 0:
-                heard = now + drawn.randrange(300_000)
-                records.append(Listed(heard, second // 20 + 1, "changes" if second else "complete", 1))
-            failed = 4 if number in hurt and 60 <= second < 75 else 0
+                received_at = now + rng.randrange(300_000)
+                records.append(Listed(received_at, second // 20 + 1, "changes" if second else "complete", 1))
+            failed = 4 if number in failing_sidecars and 60 <= second < 75 else 0
             attempts = ServerCount("a", 10, now, [10 - failed, failed])
             records.append(span(now, 10 - failed, failed, (attempts,)))
         starts.append(start(f"n{number}", [*records, Phase(offset + seconds * S, "ended")], offset))
     return starts
 
 
-def test_of_two_hundred_sidecars_twenty_suffice_to_claim_an_incident() -> None:
-    story = build_timeline(Archive(fleet(200, range(20)), []))
-    (one,) = story.incidents
-    assert len(story.linked) == 200 and 13 * S <= one.end - one.onset <= 17 * S
+def test_twenty_failing_sidecars_of_two_hundred_make_an_incident() -> None:
+    timeline = build_timeline(Archive(fleet(200, range(20)), []))
+    (one,) = timeline.incidents
+    assert len(timeline.linked) == 200 and 13 * S <= one.end - one.onset <= 17 * S
     assert {number for number, count in one.impact.by_sidecar.items() if count} == set(range(20))
-    reference = story.start(story.clocks.reference).head.at
+    reference = timeline.start(timeline.clocks.reference).head.at
     assert abs(one.onset - (reference + 60 * S)) <= one.uncertainty
     assert build_timeline(Archive(fleet(30, range(0)), [])).incidents == []
 
 
-def test_two_starts_of_one_name_are_two_and_one_that_broke_off_is_said_to() -> None:
-    story = build_timeline(day(2, "restart").archive())
-    names = [each.head.sidecar for each in story.archive.starts]
+def test_restarts_under_one_name_are_separate_and_unclean_ends_are_reported() -> None:
+    timeline = build_timeline(day(2, "restart").archive())
+    names = [each.head.sidecar for each in timeline.archive.starts]
     assert len(names) == 9 and len(set(names)) == 6
-    broke = [number for number, each in story.runs.items() if not each.ended_cleanly]
-    assert len(broke) == len(story.archive.starts)  # the script kills three, and the day ends for the rest
-    assert sum("break off" in each for each in story.rules.undetermined) == 9
+    unclean = [number for number, each in timeline.runs.items() if not each.ended_cleanly]
+    # The script kills three sidecars, and the others still run when the day ends.
+    assert len(unclean) == len(timeline.archive.starts)
+    assert sum("break off" in each for each in timeline.rules.undetermined) == 9
 
 
-def test_a_partition_in_which_each_half_holds_the_other_s_servers_for_dead_is_disagreement() -> None:
+def test_a_partition_where_each_half_ejects_a_different_server_is_a_disagreement() -> None:
     starts = fleet(6, range(0))
     for number, each in enumerate(starts):
         at = each.head.at + 40 * S
@@ -340,53 +342,57 @@
         ejected = State(at, lost, "ejected", "silent", "east", 1, True)
         each.records.append(ejected)
         each.records.sort(key=lambda record: getattr(record, "until", record.at))
-    story = build_timeline(Archive(starts, []))
-    when = story.start(story.clocks.reference).head.at + 100 * S
+    timeline = build_timeline(Archive(starts, []))
+    when = timeline.start(timeline.clocks.reference).head.at + 100 * S
     for server in ("a", "b"):
-        view = story.states.consensus(server, when, story.linked)
-        assert view.disagrees and view.counts == {"ready": 3, "ejected": 3}
-    before = story.states.consensus("a", when - 80 * S, story.linked)
+        consensus = timeline.states.consensus(server, when, timeline.linked)
+        assert consensus.disagrees and consensus.counts == {"ready": 3, "ejected": 3}
+    before = timeline.states.consensus("a", when - 80 * S, timeline.linked)
     assert not before.disagrees and before.state == "ready"
-    assert [each.disagreement for each in ConsoleModel(story).rows(100)] == ["3 ready, 3 ejected"] * 2
+    assert [each.disagreement for each in ConsoleModel(timeline).rows(100)] == ["3 ready, 3 ejected"] * 2
 
 
-def test_a_process_that_took_over_a_server_s_name_is_another() -> None:
-    scene, observer = watched()
-    scene.servers([ListedServer("a", started_at=1)])
-    scene.servers([ListedServer("a", started_at=9_000_000)], ListKind.CHANGES)
-    told = [each for each in observer.take(scene.now, 0, 0) if isinstance(each, State)]
-    assert [(each.server, each.started_at) for each in told] == [("a", 1), ("a", 9_000_000)]
+def test_a_new_process_under_a_server_s_name_is_a_new_start() -> None:
+    harness, observer = observed_harness()
+    harness.servers([ListedServer("a", started_at=1)])
+    harness.servers([ListedServer("a", started_at=9_000_000)], ListKind.CHANGES)
+    states = [each for each in observer.take(harness.now, 0, 0) if isinstance(each, State)]
+    assert [(each.server, each.started_at) for each in states] == [("a", 1), ("a", 9_000_000)]
 
 
-def test_segments_that_were_rotated_away_leave_a_story_of_what_is_there(tmp_path: Path) -> None:
+def test_after_rotation_the_timeline_covers_the_remaining_segments(tmp_path: Path) -> None:
     encoder, paths = Encoder(), []
     for number in range(4):
         at = number * 60 * S
         head = Head(1, "n0", "0" * 16, number, at, at, [Kind("pay", "safe", S, 2 * S)], 0, 0)
-        more = [span(at + second * S, 10, 4 if number == 3 and second > 30 else 0) for second in range(60)]
+        spans = [span(at + second * S, 10, 4 if number == 3 and second > 30 else 0) for second in range(60)]
         path = tmp_path / str(SegmentName("0" * 16, number, "n0"))
-        every: list[Record] = [head, state(at, "a", "ready"), *more]
-        path.write_bytes(MAGIC + b"".join(map(encoder.frame, every)))
+        records: list[Record] = [head, state(at, "a", "ready"), *spans]
+        path.write_bytes(MAGIC + b"".join(map(encoder.frame, records)))
         paths.append(path)
     for path in paths[:2]:
         path.unlink()
-    story = build_timeline(load([tmp_path]))
-    assert story.series.seconds == 120 and len(story.incidents) == 1 and not story.archive.starts[0].missing
+    timeline = build_timeline(load([tmp_path]))
+    assert (
+        timeline.series.seconds == 120
+        and len(timeline.incidents) == 1
+        and not timeline.archive.starts[0].missing
+    )
 
 
-def test_files_whose_spans_can_t_be_read_claim_nothing_and_are_told_in_a_few_lines(tmp_path: Path) -> None:
+def test_unreadable_spans_claim_no_incident_and_are_summarized_in_four_lines(tmp_path: Path) -> None:
     encoder = Encoder()
     head = Head(1, "n0", "0" * 16, 0, 0, 0, [], 0, 0)
-    every: list[Record] = [head, state(0, "a", "ejected"), state(5, "b", "ready")]
-    every += [span(second * S) for second in range(30)]
-    data = bytearray(MAGIC + b"".join(map(encoder.frame, every)))
+    records: list[Record] = [head, state(0, "a", "ejected"), state(5, "b", "ready")]
+    records += [span(second * S) for second in range(30)]
+    data = bytearray(MAGIC + b"".join(map(encoder.frame, records)))
     at = len(MAGIC)
-    for number in range(len(every)):
+    for number in range(len(records)):
         length = int.from_bytes(data[at + 4 : at + 8], "little")
         if number > 2:
             data[at + 12] ^= 0xFF
         at += 12 + length
     (tmp_path / "n0.records").write_bytes(bytes(data))
-    story = build_timeline(load([tmp_path]))
-    assert story.incidents == [] and sum("n0.records" in each for each in story.unknowns) == 4
-    assert "No records that can be laid on one clock" in html(story)
+    timeline = build_timeline(load([tmp_path]))
+    assert timeline.incidents == [] and sum("n0.records" in each for each in timeline.unknowns) == 4
+    assert "No records that can be laid on one clock" in html(timeline)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Records: what is written is read back, whatever a crash or a disk left of it."""
+"""Records: they are read back as written, also after a crash or disk damage."""
 
 from __future__ import annotations
 
@@ -27,80 +27,80 @@
 from micadeck.policy.outcomes import Outcome
 
 
-class Looks:
-    """The engine's part: names of requests, and figures."""
+class EngineStub:
+    """Stands in for the engine: request ids and statistics."""
 
-    def __init__(self, scene: Stage) -> None:
-        self.statistics = scene.balancer.statistics
+    def __init__(self, harness: Stage) -> None:
+        self.statistics = harness.balancer.statistics
 
     def request_id(self, request: int) -> bytes:
         return b"id-%d" % request
 
 
-def watched(**changes: Any) -> tuple[Stage, Observer]:
-    scene = Stage(settings(**changes))
-    observer = Observer(scene.balancer, scene.balancer._context.settings, Looks(scene), "n0", "00")
-    scene.balancer = observer  # type: ignore[assignment]
-    return scene, observer
+def observed_harness(**changes: Any) -> tuple[Stage, Observer]:
+    harness = Stage(settings(**changes))
+    observer = Observer(harness.balancer, harness.balancer._context.settings, EngineStub(harness), "n0", "00")
+    harness.balancer = observer  # type: ignore[assignment]
+    return harness, observer
 
 
-def test_plain_requests_are_counted_and_others_have_records_of_their_own() -> None:
-    scene, observer = watched()
-    scene.servers(["a", "b", "c"])
+def test_first_try_successes_are_counted_and_other_requests_have_records() -> None:
+    harness, observer = observed_harness()
+    harness.servers(["a", "b", "c"])
     for _ in range(20):
-        request = scene.request("look")
-        scene.wait(10 * MS)
-        scene.end(request)
-    request = scene.request("pay")
-    scene.wait(10 * MS)
-    scene.end(request, Outcome.CONNECT_FAILED)
-    scene.end(request, Outcome.CONNECTION_LOST)
-    told = observer.take(scene.now, 0, 0)
-    span = told[-1]
+        request = harness.request("look")
+        harness.wait(10 * MS)
+        harness.end(request)
+    request = harness.request("pay")
+    harness.wait(10 * MS)
+    harness.end(request, Outcome.CONNECT_FAILED)
+    harness.end(request, Outcome.CONNECTION_LOST)
+    records = observer.take(harness.now, 0, 0)
+    span = records[-1]
     assert isinstance(span, Span)
     counts = {each.name: each for each in span.classes}
     assert (counts["look"].arrived, counts["look"].served, len(unpack_times(counts["look"]))) == (20, 20, 20)
     assert (counts["pay"].arrived, counts["pay"].failed) == (1, 1)
     assert sum(each.sent for each in span.servers) == 22
-    attempts = [each for each in told if isinstance(each, Attempt)]
+    attempts = [each for each in records if isinstance(each, Attempt)]
     assert [(each.number, each.outcome, each.may_have_run) for each in attempts] == [
         (0, "dial_failed", False),
         (1, "dropped", True),
     ]
-    (end,) = [each for each in told if isinstance(each, End)]
+    (end,) = [each for each in records if isinstance(each, End)]
     assert (end.how, end.may_have_run, end.attempts, end.ident) == ("failed", True, 2, attempts[0].ident)
-    assert observer.take(scene.now, 0, 0)[:-1] == []  # nothing is told twice
+    assert observer.take(harness.now, 0, 0)[:-1] == []  # no record is returned twice
 
 
 @played
-async def test_a_defect_of_the_records_ends_them_and_costs_no_request(tmp_path: Path) -> None:
-    """Against a recording whose own defect takes the decisions' actions from the engine."""
-    async with stage(OK, ERROR, given={"records": str(tmp_path)}) as scene:
-        engine = scene.sidecar._runtime.engine
+async def test_an_error_in_recording_ends_it_and_fails_no_request(tmp_path: Path) -> None:
+    """An exception in the observer could keep the balancer's actions from the engine."""
+    async with stage(OK, ERROR, given={"records": str(tmp_path)}) as harness:
+        engine = harness.sidecar._runtime.engine
         with mock.patch.object(engine, "request_id", side_effect=ZeroDivisionError):
             for _ in range(20):
-                assert (await scene.ask("check")).status == 200
-        await until(lambda: scene.log[-1] == "records: recording ends: ZeroDivisionError()")
-        assert not [line for line in scene.log if "internal error" in line]
+                assert (await harness.ask("check")).status == 200
+        await until(lambda: harness.log[-1] == "records: recording ends: ZeroDivisionError()")
+        assert not [line for line in harness.log if "internal error" in line]
 
 
-def test_states_of_servers_are_told_as_they_change_and_again_at_the_head_of_each_segment() -> None:
-    scene, observer = watched()
-    scene.servers(["a", "b", "c"])
+def test_server_states_are_recorded_on_change_and_at_the_head_of_each_segment() -> None:
+    harness, observer = observed_harness()
+    harness.servers(["a", "b", "c"])
     for _ in range(10):
-        requests = [scene.request() for _ in range(9)]
-        scene.wait(10 * MS)
+        requests = [harness.request() for _ in range(9)]
+        harness.wait(10 * MS)
         for request in requests:
-            if scene.target(request) == "a":
-                scene.end(request, Outcome.ERROR)  # and goes to another
-            scene.end(request)
-    scene.drain("b")
-    scene.drain("c", ServerState.REMOVED)
-    told = [each for each in observer.take(scene.now, 0, 0) if isinstance(each, State)]
-    assert [each.server for each in told[:3] if each.state == "ready"] == ["a", "b", "c"]
-    assert ("a", "ejected", "error") in [(each.server, each.state, each.why) for each in told]
-    assert [(each.server, each.state) for each in told[-2:]] == [("b", "draining"), ("c", "gone")]
-    head, *again = observer.head(scene.now, 7, 3)
+            if harness.target(request) == "a":
+                harness.end(request, Outcome.ERROR)  # retried on another server
+            harness.end(request)
+    harness.drain("b")
+    harness.drain("c", ServerState.REMOVED)
+    records = [each for each in observer.take(harness.now, 0, 0) if isinstance(each, State)]
+    assert [each.server for each in records[:3] if each.state == "ready"] == ["a", "b", "c"]
+    assert ("a", "ejected", "error") in [(each.server, each.state, each.why) for each in records]
+    assert [(each.server, each.state) for each in records[-2:]] == [("b", "draining"), ("c", "gone")]
+    head, *again = observer.head(harness.now, 7, 3)
     assert isinstance(head, Head) and head.segment == 3 and head.wall == 7
     assert {each.server: each.state for each in again if isinstance(each, State)} == {
         "a": "ejected",
@@ -108,52 +108,52 @@
     }
 
 
-def test_an_outage_leaves_out_records_and_says_how_many() -> None:
-    scene, observer = watched()
-    scene.servers(["a", "b", "c"])
+def test_attempt_records_are_capped_in_an_outage_and_omissions_counted() -> None:
+    harness, observer = observed_harness()
+    harness.servers(["a", "b", "c"])
     for _ in range(MAX_ATTEMPT_RECORDS + 50):
-        request = scene.request("pay")
-        if scene.sends(request):
-            scene.end(request, Outcome.CONNECTION_LOST)
-    told = observer.take(scene.now, 0, 0)
-    attempts = sum(isinstance(each, Attempt) for each in told)
-    assert attempts <= MAX_ATTEMPT_RECORDS and isinstance(told[-1], Span)
-    sent = sum(each.sent for each in told[-1].servers)
-    assert attempts + told[-1].omitted == sent > MAX_ATTEMPT_RECORDS
+        request = harness.request("pay")
+        if harness.sends(request):
+            harness.end(request, Outcome.CONNECTION_LOST)
+    records = observer.take(harness.now, 0, 0)
+    attempts = sum(isinstance(each, Attempt) for each in records)
+    assert attempts <= MAX_ATTEMPT_RECORDS and isinstance(records[-1], Span)
+    sent = sum(each.sent for each in records[-1].servers)
+    assert attempts + records[-1].omitted == sent > MAX_ATTEMPT_RECORDS
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_over_drawn_days_every_attempt_and_every_end_is_accounted_for(seed: int) -> None:
-    drawn = random.Random(seed)
-    scene, observer = watched()
-    scene.servers([f"s-{number}" for number in range(6)])
+def test_every_attempt_and_every_end_of_random_days_is_accounted_for(seed: int) -> None:
+    rng = random.Random(seed)
+    harness, observer = observed_harness()
+    harness.servers([f"s-{number}" for number in range(6)])
     open_requests: list[int] = []
-    told: list[Record] = []
+    records: list[Record] = []
     for number in range(600):
-        scene.wait(drawn.randrange(1, 20) * MS)
-        open_requests.append(scene.request(drawn.choice(["look", "pay", "amend"])))
-        while open_requests and drawn.random() < 0.6:
+        harness.wait(rng.randrange(1, 20) * MS)
+        open_requests.append(harness.request(rng.choice(["look", "pay", "amend"])))
+        while open_requests and rng.random() < 0.6:
             request = open_requests.pop(0)
-            if scene.sends(request):
-                bad = drawn.choice([Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.FULL])
-                scene.end(request, bad if drawn.random() < 0.3 else Outcome.DELIVERED)
+            if harness.sends(request):
+                bad = rng.choice([Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.FULL])
+                harness.end(request, bad if rng.random() < 0.3 else Outcome.DELIVERED)
         if number % 100 == 99:
-            told += observer.take(scene.now, 0, 0)
-    scene.wait(20 * S)
-    told += observer.take(scene.now, 0, 0)
-    spans = [each for each in told if isinstance(each, Span)]
+            records += observer.take(harness.now, 0, 0)
+    harness.wait(20 * S)
+    records += observer.take(harness.now, 0, 0)
+    spans = [each for each in records if isinstance(each, Span)]
     classes = [each for span in spans for each in span.classes]
     ended = sum(each.served + each.refused + each.failed for each in classes)
     assert sum(each.arrived for each in classes) == 600 == ended
-    assert sum(each.sent for span in spans for each in span.servers) == len(scene.sends())
-    by_request = Counter(each.ident for each in told if isinstance(each, Attempt))
-    for end in (each for each in told if isinstance(each, End)):
-        if int(end.ident[3:]) not in observer._open:  # those have an attempt out that never ends here
+    assert sum(each.sent for span in spans for each in span.servers) == len(harness.sends())
+    by_request = Counter(each.ident for each in records if isinstance(each, Attempt))
+    for end in (each for each in records if isinstance(each, End)):
+        if int(end.ident[3:]) not in observer._open:  # open requests have an attempt that never ends here
             assert by_request[end.ident] >= end.attempts
             assert end.how != "served" or end.attempts > 1
 
 
-# The bytes
+# The file format
 
 
 def segment(count: int = 40) -> bytes:
@@ -163,46 +163,48 @@
     return MAGIC + b"".join(encoder.frame(each) for each in [head, *more])
 
 
-def test_a_segment_cut_at_any_byte_is_read_to_its_last_whole_record() -> None:
+def test_a_segment_truncated_at_any_byte_is_read_to_its_last_complete_record() -> None:
     data = segment()
-    whole = read(data)
-    assert not whole.damages and whole.length == len(data)
+    complete = read(data)
+    assert not complete.damages and complete.length == len(data)
     last = 0
     for length in range(len(data)):
         try:
             part = read(data[:length])
-        except SegmentError as fault:
-            assert "offset" in str(fault) and length < 120
+        except SegmentError as error:
+            assert "offset" in str(error) and length < 120
             continue
-        assert part.records == whole.records[: len(part.records)] and len(part.records) >= last
+        assert part.records == complete.records[: len(part.records)] and len(part.records) >= last
         assert part.length <= length and (part.length == length) == (not part.damages)
         last = len(part.records)
-    assert last == len(whole.records) - 1
+    assert last == len(complete.records) - 1
 
 
-def test_a_bit_flipped_at_any_byte_spoils_what_it_is_in_and_nothing_before_it() -> None:
+def test_a_flipped_bit_is_detected_and_no_altered_record_is_read() -> None:
     data = segment()
-    whole = read(data).records
+    undamaged = read(data).records
     for at in range(len(data)):
-        spoilt = data[:at] + bytes((data[at] ^ 0x10,)) + data[at + 1 :]
+        damaged = data[:at] + bytes((data[at] ^ 0x10,)) + data[at + 1 :]
         try:
-            part = read(spoilt)
+            part = read(damaged)
         except SegmentError:
             assert at < 120
             continue
-        assert part.damages and set(map(repr, part.records)) < set(map(repr, whole))
+        assert part.damages and set(map(repr, part.records)) < set(map(repr, undamaged))
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_any_bytes_are_read_or_rejected_with_an_offset(data: bytes) -> None:
     for tried in (data, MAGIC + data, segment(3) + data):
         try:
             read(tried)
-        except SegmentError as fault:
-            assert str(fault).startswith("offset ")
+        except SegmentError as error:
+            assert str(error).startswith("offset ")
 
 
-def test_a_newer_format_is_named_and_its_further_fields_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_newer_format_is_reported_and_unknown_trailing_fields_are_ignored(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     import msgspec
 
     raw = msgspec.msgpack.encode([0, 1, "n0", "aa", 0, 10, 20, [], 5, 6, "a field of tomorrow"])
@@ -213,10 +215,10 @@
         read(segment())
 
 
-# Segments on a disk
+# Segments on disk
 
 
-def test_old_segments_go_and_the_one_at_hand_stays() -> None:
+def test_rotation_deletes_old_segments_and_keeps_the_current_one() -> None:
     rotation = Rotation(Limits(max_bytes=1000, segment_bytes=200), "n 0", "0" * 15 + "b")
     assert rotation.is_due(0)
     names = []
@@ -224,7 +226,7 @@
         name = rotation.begin(0)
         assert not rotation.is_due(0)
         rotation.add_written(250)
-        assert rotation.is_due(0)  # it is full
+        assert rotation.is_due(0)  # the segment is full
         names.append(str(name))
         assert parse(str(name)) == name
     older = str(SegmentName("0" * 15 + "a", 7, "n_0"))
@@ -241,14 +243,14 @@
 
 
 @played
-async def test_a_sidecar_records_and_its_records_tell_what_happened(tmp_path: Path) -> None:
-    async def fails_some(heard: Heard) -> bytes:
-        return ERROR if heard.headers["request-class"] == "lodge" else OK
+async def test_a_sidecar_s_records_match_its_requests(tmp_path: Path) -> None:
+    async def fail_lodge(request: Heard) -> bytes:
+        return ERROR if request.headers["request-class"] == "lodge" else OK
 
-    async with stage(fails_some, given={"records": str(tmp_path / "in" / "here")}) as scene:
+    async with stage(fail_lodge, given={"records": str(tmp_path / "in" / "here")}) as harness:
         for _ in range(30):
-            assert (await scene.ask("check")).status == 200
-        assert (await scene.ask("lodge", Request_Id="00000000000000aa")).status == 502
+            assert (await harness.ask("check")).status == 200
+        assert (await harness.ask("lodge", Request_Id="00000000000000aa")).status == 502
     archive = load([tmp_path])
     (start,) = archive.starts
     assert [each.found for each in archive.files] == [FileStatus.INTACT]
@@ -261,24 +263,24 @@
 
 
 @played
-async def test_a_folder_that_vanishes_or_is_a_file_stops_no_request(
+async def test_a_records_folder_that_vanishes_or_is_a_file_fails_no_request(
     tmp_path: Path,
 ) -> None:
     (tmp_path / "file").write_text("")
-    async with stage(OK, given={"records": str(tmp_path / "file" / "in")}) as scene:
-        assert (await scene.ask()).status == 200
-        assert any(each.startswith("records: no recording: ") for each in scene.log)
-    folder = tmp_path / "gone"
-    async with stage(OK, given={"records": str(folder)}) as scene:
-        shutil.rmtree(folder)
-        assert (await scene.ask()).status == 200
-        writer = scene.sidecar._runtime.recording._writer
+    async with stage(OK, given={"records": str(tmp_path / "file" / "in")}) as harness:
+        assert (await harness.ask()).status == 200
+        assert any(each.startswith("records: no recording: ") for each in harness.log)
+    path = tmp_path / "gone"
+    async with stage(OK, given={"records": str(path)}) as harness:
+        shutil.rmtree(path)
+        assert (await harness.ask()).status == 200
+        writer = harness.sidecar._runtime.recording._writer
         await until(lambda: writer.has_failed)
-        assert (await scene.ask()).status == 200
-        assert len([each for each in scene.log if each.startswith("records: recording ends: ")]) == 1
+        assert (await harness.ask()).status == 200
+        assert len([each for each in harness.log if each.startswith("records: recording ends: ")]) == 1
 
 
-def test_segments_that_are_missing_twice_or_foreign_are_told_apart(tmp_path: Path) -> None:
+def test_missing_duplicate_truncated_and_foreign_segments_are_distinguished(tmp_path: Path) -> None:
     encoder = Encoder()
 
     def write(number: int, count: int, name: str = "n0") -> Path:
@@ -303,13 +305,13 @@
         FileStatus.FOREIGN: 1,
     }
     (start,) = archive.starts
-    assert start.missing == [(9, 2_000)]  # the second is missing, and nothing is made up for it
+    assert start.missing == [(9, 2_000)]  # the second segment's time range
     with pytest.raises(OSError):
         load([tmp_path / "nowhere"])
 
 
 @pytest.mark.parametrize(("keys", "named"), [({"records": 5}, "records"), ({"records_mb": 1}, "records_mb")])
-def test_a_bad_key_is_named(keys: dict[str, Any], named: str, tmp_path: Path) -> None:
+def test_an_invalid_key_is_named_in_the_error(keys: dict[str, Any], named: str, tmp_path: Path) -> None:
     from test_program import GOOD
 
     from micadeck.config import ConfigError
@@ -321,12 +323,12 @@
         load_config({"BALANCER_CONFIG": str(path)})
 
 
-def test_the_writer_leaves_out_what_a_slow_disk_can_t_take(tmp_path: Path) -> None:
+def test_the_writer_drops_records_when_a_slow_disk_falls_behind(tmp_path: Path) -> None:
     from micadeck.incidents.writer import Writer
 
-    said: list[str] = []
-    writer = Writer(tmp_path, Rotation(Limits(), "n0", "0" * 16), said.append)
-    writer._pending_bytes = 5 << 20  # as if so much waited
+    log: list[str] = []
+    writer = Writer(tmp_path, Rotation(Limits(), "n0", "0" * 16), log.append)
+    writer._pending_bytes = 5 << 20  # as if this much were waiting to be written
     assert not writer.put(b"x") and writer.put(b"begin", SegmentName("0" * 16, 0, "n0"))
     writer.close()
-    assert said == [] and len(list(tmp_path.iterdir())) == 1
+    assert log == [] and len(list(tmp_path.iterdir())) == 1
