--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -1,9 +1,9 @@
-"""Peak memory of the daemon while large bodies go both ways, and how quick it is beside a direct connection.
+"""Peak memory of the daemon with large bodies both ways, and its speed against a direct connection.
 
     python benchmarks/bodies.py [--bodies 10] [--mb 32] [--memory-mb 80]
 
-Every body goes at once: so many requests with a body each, each answered with one as large. Half of the
-clients read slowly. A second round has one client alone, through the daemon and directly, pair by pair.
+All requests run at once, each with a body and a response of the same size; half of the clients read slowly.
+A second round measures one client, through the daemon and directly in pairs.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 import uvloop
 
 _PIECE = b"x" * (64 << 10)
-_SLOW_S = 0.002  # a slow client rests so long after each piece
+_SLOW_S = 0.002  # a slow client's pause after each piece
 
 
 def head(number: int, size: int) -> bytes:
@@ -31,27 +31,27 @@
     )
 
 
-async def drop(reader: asyncio.StreamReader, size: int, rest_s: float = 0.0) -> None:
+async def discard(reader: asyncio.StreamReader, size: int, pause_s: float = 0.0) -> None:
     while size:
-        got = len(await reader.read(min(size, len(_PIECE))))
-        if not got:
+        count = len(await reader.read(min(size, len(_PIECE))))
+        if not count:
             raise RuntimeError(f"it broke off with {size} bytes to come")
-        size -= got
-        if rest_s:
-            await asyncio.sleep(rest_s)
+        size -= count
+        if pause_s:
+            await asyncio.sleep(pause_s)
 
 
-async def fill(writer: asyncio.StreamWriter, size: int) -> None:
+async def write_body(writer: asyncio.StreamWriter, size: int) -> None:
     for _ in range(size // len(_PIECE)):
         writer.write(_PIECE)
         await writer.drain()
 
 
 async def read_size(reader: asyncio.StreamReader) -> int:
-    told = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
-    if not told.startswith(("post", "http/1.1 200")):
-        raise RuntimeError(told.splitlines()[0])
-    found = re.search(r"content-length: (\d+)", told)
+    head_text = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
+    if not head_text.startswith(("post", "http/1.1 200")):
+        raise RuntimeError(head_text.splitlines()[0])
+    found = re.search(r"content-length: (\d+)", head_text)
     assert found is not None
     return int(found[1])
 
@@ -60,58 +60,58 @@
     try:
         while True:
             size = await read_size(reader)
-            await drop(reader, size)
+            await discard(reader, size)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
-            await fill(writer, size)
+            await write_body(writer, size)
     except (asyncio.IncompleteReadError, ConnectionError):
         writer.close()
 
 
-async def ask(port: int, number: int, size: int, rest_s: float = 0.0) -> float:
-    """Send a body and take one; the seconds that it took."""
+async def exchange(port: int, number: int, size: int, pause_s: float = 0.0) -> float:
+    """Send a body and read one; return the seconds."""
     began = time.perf_counter()
     reader, writer = await asyncio.open_connection(rig.HOST, port)
     writer.write(head(number, size))
-    await fill(writer, size)
-    await drop(reader, await read_size(reader), rest_s)
+    await write_body(writer, size)
+    await discard(reader, await read_size(reader), pause_s)
     writer.close()
     return time.perf_counter() - began
 
 
-def memory_mb(pid: int, what: str) -> float:
-    """What it holds now (`VmRSS`), or the most that it ever held (`VmHWM`)."""
-    told = Path(f"/proc/{pid}/status").read_text()
-    found = re.search(rf"{what}:\s+(\d+) kB", told)
+def memory_mb(pid: int, field: str) -> float:
+    """Resident memory now (`VmRSS`) or at its peak (`VmHWM`)."""
+    status = Path(f"/proc/{pid}/status").read_text()
+    found = re.search(rf"{field}:\s+(\d+) kB", status)
     assert found is not None
     return int(found[1]) / 1024
 
 
-async def play(options: argparse.Namespace, core: int) -> None:
+async def measure(options: argparse.Namespace, core: int) -> None:
     size = options.mb << 20
     server = await asyncio.start_server(serve, rig.HOST, 0)
     server_port = server.sockets[0].getsockname()[1]
-    given = rig.configuration([f"{rig.HOST}:{server_port}"])
-    given["limits"] = {"memory_mb": options.memory_mb, "sockets": 512}
+    config = rig.configuration([f"{rig.HOST}:{server_port}"])
+    config["limits"] = {"memory_mb": options.memory_mb, "sockets": 512}
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(given))
+        path.write_text(json.dumps(config))
         env = {"BALANCER_CONFIG": str(path), "PYTHONPATH": str(rig.ROOT)}
         with rig.process(core, sys.executable, "-m", "micadeck", env=env) as child:
             line = await asyncio.to_thread(child.stderr.readline)
-            told = re.search(r"serves on .*?:(\d+)", line)
-            assert told is not None, line
-            port = int(told[1])
-            await ask(port, 1, 1 << 20)
+            match = re.search(r"serves on .*?:(\d+)", line)
+            assert match is not None, line
+            port = int(match[1])
+            await exchange(port, 1, 1 << 20)
             before = memory_mb(child.pid, "VmRSS")
-            slow = [_SLOW_S * (number % 2) for number in range(options.bodies)]
+            pauses_s = [_SLOW_S * (number % 2) for number in range(options.bodies)]
             await asyncio.gather(
-                *(ask(port, 10 + number, size, rest_s) for number, rest_s in enumerate(slow))
+                *(exchange(port, 10 + number, size, pause_s) for number, pause_s in enumerate(pauses_s))
             )
             after = memory_mb(child.pid, "VmHWM")
             ratios = []
             for number in range(5):
-                direct = await ask(server_port, 100 + number, size)
-                ratios.append(await ask(port, 200 + number, size) / direct)
+                direct = await exchange(server_port, 100 + number, size)
+                ratios.append(await exchange(port, 200 + number, size) / direct)
     total = 2 * options.bodies * options.mb
     share = (after - before) / options.memory_mb
     print(f"{options.bodies} bodies of {options.mb} MB each way, {total} MB in all:")
@@ -133,7 +133,7 @@
         raise SystemExit("two cores are needed: for the daemon, and for its clients and servers")
     rig.pin({cores[0]})
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(play(options, cores[1]))
+        runner.run(measure(options, cores[1]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/byte_relay.py
+++ b/benchmarks/byte_relay.py
@@ -1,4 +1,4 @@
-"""The least that a hop can cost any protocol: bytes from one socket to another, on uvloop, unseen.
+"""The minimal cost of a hop for any protocol: uvloop copies bytes between sockets, unparsed.
 
 `python benchmarks/byte_relay.py ADDRESS` prints its port and relays until it is killed.
 """
@@ -11,11 +11,11 @@
 import uvloop
 
 
-class _End(asyncio.Protocol):
+class _Side(asyncio.Protocol):
     def __init__(self) -> None:
-        self.other: _End | None = None
+        self.other: _Side | None = None
         self.transport: asyncio.Transport | None = None
-        self._early = b""
+        self._pending = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
@@ -24,13 +24,13 @@
         if self.other is not None and self.other.transport is not None:
             self.other.transport.write(data)
         else:
-            self._early += data
+            self._pending += data
 
-    def join(self, other: _End) -> None:
+    def join(self, other: _Side) -> None:
         self.other, other.other = other, self
-        for one, two in ((self, other), (other, self)):
-            if one._early and two.transport is not None:
-                two.transport.write(one._early)
+        for source, target in ((self, other), (other, self)):
+            if source._pending and target.transport is not None:
+                target.transport.write(source._pending)
 
     def pause_writing(self) -> None:
         if self.other is not None and self.other.transport is not None:
@@ -45,7 +45,7 @@
             self.other.transport.close()
 
 
-class _Client(_End):
+class _Client(_Side):
     def __init__(self, host: str, port: int) -> None:
         super().__init__()
         self._address = (host, port)
@@ -55,7 +55,7 @@
         self._task = asyncio.get_running_loop().create_task(self._dial())
 
     async def _dial(self) -> None:
-        _, server = await asyncio.get_running_loop().create_connection(_End, *self._address)
+        _, server = await asyncio.get_running_loop().create_connection(_Side, *self._address)
         self.join(server)
 
 
--- a/benchmarks/consul_lists.py
+++ b/benchmarks/consul_lists.py
@@ -1,10 +1,9 @@
-"""What membership from Consul costs, and how soon a flip there is heeded: `make bench-consul`.
+"""The cost of membership from Consul, and how soon a change takes effect: `make bench-consul`.
 
-    python benchmarks/consul.py [--seconds 20] [--sizes 100,1000,5000]
+    python benchmarks/consul_lists.py [--seconds 20] [--sizes 100,1000,5000]
 
-Three parts, each on processes of their own: a daemon under load while nodes flip to maintenance and back,
-from the flip to the last request that the node got; lists of several lengths, and one change in each; a
-daemon's sources at rest.
+Three parts in separate processes: the time from a node's maintenance flip to its last request, on a daemon
+under load; lists of several lengths, and single changes in each; an idle daemon's sources.
 """
 
 from __future__ import annotations
@@ -46,11 +45,11 @@
 
 
 def put(address: str, path: str, body: Any = None) -> float:
-    """A change in Consul; give when it was made."""
-    line = http.client.HTTPConnection(address)
-    line.request("PUT", path, json.dumps(body))
-    line.getresponse().read()
-    line.close()
+    """Make a change in Consul; return its time."""
+    connection = http.client.HTTPConnection(address)
+    connection.request("PUT", path, json.dumps(body))
+    connection.getresponse().read()
+    connection.close()
     return time.monotonic()
 
 
@@ -64,7 +63,7 @@
     return {**given, "consul": str(path)}
 
 
-# From a flip to the last send
+# Time from a flip to the last send
 
 
 def flips(seconds: float) -> None:
@@ -95,16 +94,16 @@
         drained = asyncio.run(_under_load(port, address, list(servers), seconds))
         world.stdin.write('{"do": "heard"}\n')
         world.stdin.flush()
-        heard = json.loads(world.stdout.readline())["heard"]
+        arrivals = json.loads(world.stdout.readline())["heard"]
     spans = []
     for name, begin, end in drained:
         last = max(
-            (each["at"] for each in heard if each["server"] == name and each["at"] < end), default=begin
+            (each["at"] for each in arrivals if each["server"] == name and each["at"] < end), default=begin
         )
         spans.append(max(last - begin, 0.0))
     spans.sort()
     print(
-        f"{len(heard)} requests, {len(spans)} flips: from the flip to the last send "
+        f"{len(arrivals)} requests, {len(spans)} flips: from the flip to the last send "
         f"p50 {spans[len(spans) // 2] * 1e3:.1f} ms, p99 {spans[int(len(spans) * 0.99)] * 1e3:.1f} ms, "
         f"longest {spans[-1] * 1e3:.1f} ms, of 500 ms allowed"
     )
@@ -113,15 +112,15 @@
 async def _under_load(
     port: int, address: str, names: list[str], seconds: float
 ) -> list[tuple[str, float, float]]:
-    chance, until = random.Random(1), time.monotonic() + seconds
+    rng, until = random.Random(1), time.monotonic() + seconds
     drained: list[tuple[str, float, float]] = []
 
-    async def ask(number: int) -> None:
+    async def send_requests(number: int) -> None:
         reader, writer = await asyncio.open_connection(rig.HOST, port)
-        turn = 0
+        count = 0
         while time.monotonic() < until:
-            turn += 1
-            ident = f"{number:04x}{turn:012x}"
+            count += 1
+            ident = f"{number:04x}{count:012x}"
             writer.write(
                 f"GET /x HTTP/1.1\r\nHost: x\r\nRequest-Id: {ident}\r\nRequest-Class: check\r\n"
                 "Request-Timeout: 2.0\r\n\r\n".encode()
@@ -131,12 +130,12 @@
             await reader.readexactly(length)
         writer.close()
 
-    # Each flips its own third of the nodes, so that no two meet at one.
+    # Each task flips its own third of the nodes, so that no node is flipped by two.
     thirds = [names[number::3] for number in range(3)]
 
-    async def flip_of(some: list[str]) -> None:
+    async def flip_nodes(nodes: list[str]) -> None:
         while time.monotonic() < until - 1.0:
-            name = chance.choice(some)
+            name = rng.choice(nodes)
             path = f"/v1/agent/service/maintenance/{name}?enable="
             begin = await asyncio.to_thread(put, address, path + "true")
             await asyncio.sleep(0.6)
@@ -144,18 +143,20 @@
             await asyncio.to_thread(put, address, path + "false")
             await asyncio.sleep(0.1)
 
-    await asyncio.gather(*(ask(number) for number in range(12)), *(flip_of(some) for some in thirds))
+    await asyncio.gather(
+        *(send_requests(number) for number in range(12)), *(flip_nodes(nodes) for nodes in thirds)
+    )
     return drained
 
 
-# What a list and a change in it cost
+# Cost of a list and of a change in it
 
 
-class Held:
-    """How long the event loop is held up at most, seen by a task that comes round in every turn."""
+class LoopStalls:
+    """The longest event loop stall, seen by a task that runs in every iteration."""
 
     def __init__(self) -> None:
-        self.longest = 0.0
+        self.max_s = 0.0
         self._task = asyncio.get_running_loop().create_task(self._watch())
 
     async def _watch(self) -> None:
@@ -163,11 +164,11 @@
         while True:
             await asyncio.sleep(0)
             now = time.perf_counter()
-            self.longest, before = max(self.longest, now - before), now
+            self.max_s, before = max(self.max_s, now - before), now
 
-    def taken(self) -> float:
-        longest, self.longest = self.longest, 0.0
-        return longest
+    def reset(self) -> float:
+        max_s, self.max_s = self.max_s, 0.0
+        return max_s
 
 
 def resident_mb() -> float:
@@ -175,47 +176,47 @@
     return pages * resource.getpagesize() / 1e6
 
 
-class Spent:
-    """Seconds that calls of one kind took."""
+class CallTimer:
+    """Total seconds of calls of one method."""
 
     def __init__(self, owner: Any, name: str) -> None:
         self.seconds = 0.0
-        plain = getattr(owner, name)
+        original = getattr(owner, name)
 
         def timed(*given: Any, **named: Any) -> Any:
             began = time.perf_counter()
             try:
-                return plain(*given, **named)
+                return original(*given, **named)
             finally:
                 self.seconds += time.perf_counter() - began
 
         setattr(owner, name, timed)
 
-    def taken(self) -> float:
+    def reset(self) -> float:
         seconds, self.seconds = self.seconds, 0.0
         return seconds
 
 
 async def _cost(size: int) -> dict[str, float]:
     with consul(2, size) as address, tempfile.TemporaryDirectory() as folder:
-        reading = Spent(ServiceView, "take_change")
-        telling = Spent(sources_module.EndpointSources, "_publish")
+        read_timer = CallTimer(ServiceView, "take_change")
+        publish_timer = CallTimer(sources_module.EndpointSources, "_publish")
         runtime = Runtime(parse(config(folder, address, spread_s=0)), LoopNetwork(), lambda _: None)
         assert runtime.sources is not None
         runtime.sources.on_partial_list = gc.freeze  # as the daemon does
-        merge, held = runtime.sources.merge, Held()
+        merge, stalls = runtime.sources.merge, LoopStalls()
         before = resident_mb()
         began = time.perf_counter()
         await runtime.start()
         while len(merge.snapshot().entries) < size:
             await asyncio.sleep(0.01)
-        measured = {"s until listed": time.perf_counter() - began, "ms held, list": held.taken() * 1e3}
+        measured = {"s until listed": time.perf_counter() - began, "ms held, list": stalls.reset() * 1e3}
         measured["MB more"] = resident_mb() - before
         await asyncio.sleep(0.5)
-        spans, told = [], []
+        latencies_s, busy_s = [], []
         for turn in range(20):
-            reading.taken()
-            telling.taken()
+            read_timer.reset()
+            publish_timer.reset()
             version = merge.version
             enable = "true" if turn % 2 == 0 else "false"
             began = await asyncio.to_thread(
@@ -223,24 +224,24 @@
             )
             while merge.version == version and time.monotonic() < began + 10:
                 await asyncio.sleep(0)
-            spans.append(time.monotonic() - began)
-            told.append(reading.taken() + telling.taken())
+            latencies_s.append(time.monotonic() - began)
+            busy_s.append(read_timer.reset() + publish_timer.reset())
             await asyncio.sleep(0.3)
-        measured["ms held, change"] = held.taken() * 1e3
-        measured["ms from change to told"] = sorted(spans)[10] * 1e3
-        measured["ms of it in merge and decisions"] = sorted(told)[10] * 1e3
+        measured["ms held, change"] = stalls.reset() * 1e3
+        measured["ms from change to told"] = sorted(latencies_s)[10] * 1e3
+        measured["ms of it in merge and decisions"] = sorted(busy_s)[10] * 1e3
         runtime.engine.close()
     return measured
 
 
-async def _rest(seconds: float) -> None:
+async def _idle(seconds: float) -> None:
     calls, size = 0, 0
-    plain = decompressed
+    original = decompressed
 
     def counted(response: Any) -> Iterator[bytes]:
         nonlocal calls, size
-        calls, size = calls + 1, size + len(response.body) + 250  # with the head
-        return plain(response)
+        calls, size = calls + 1, size + len(response.body) + 250  # including the head
+        return original(response)
 
     setattr(client_module, "decompressed", counted)  # noqa: B010
     wait_s = 2.0
@@ -271,12 +272,12 @@
             return
         flips(options.seconds)
         for size in options.sizes.split(","):
-            told = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, __file__, "--size", size], stdout=subprocess.PIPE, text=True, check=True
             )
-            figures = json.loads(told.stdout)
-            print(f"{size} instances: " + ", ".join(f"{value:.2f} {name}" for name, value in figures.items()))
-        runner.run(_rest(options.seconds))
+            costs = json.loads(result.stdout)
+            print(f"{size} instances: " + ", ".join(f"{value:.2f} {name}" for name, value in costs.items()))
+        runner.run(_idle(options.seconds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/daemon_cpu.py
+++ b/benchmarks/daemon_cpu.py
@@ -1,10 +1,10 @@
-"""CPU of the daemon for each request, this tree against another checkout, side by side in one run.
+"""The daemon's CPU time per request, this tree against another checkout in one run.
 
     python benchmarks/daemon_cpu.py DIRECTORY [--rounds 201] [--requests 500] [--records]
 
 DIRECTORY holds another revision (`git worktree add DIRECTORY REVISION`); both run on the same interpreter and
-on the same core, in turn: on cores of their own, a tree against itself gave 1.03.  With --records this tree's
-daemon records what happens, and the bytes that this takes are told.
+alternate on one core: on separate cores, a tree against itself gave 1.03.  With --records this tree's daemon
+writes records, and their size is printed.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 
 def cost_us(port: int, pid: int, requests: int) -> float:
-    """CPU microseconds of the daemon for each request of one load."""
+    """CPU microseconds per request of one load."""
     before = rig.cpu_s(pid)
     load = rig.Load(16, requests)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
 
-        async def play() -> None:
+        async def run_load() -> None:
             await load.run(port)
 
-        runner.run(play())
+        runner.run(run_load())
     if load.not_served or load.broken:
         raise RuntimeError(f"{load.not_served} not served, {load.broken} connections broken")
     return (rig.cpu_s(pid) - before) * 1e6 / requests
@@ -52,23 +52,23 @@
     ):
         costs: tuple[list[float], list[float]] = ([], [])
 
-        def here() -> float:
+        def measure_this() -> float:
             costs[0].append(cost_us(port, pid, options.requests))
             return costs[0][-1]
 
-        def there() -> float:
+        def measure_other() -> float:
             costs[1].append(cost_us(other_port, other_pid, options.requests))
             return costs[1][-1]
 
-        ratios = rig.in_turn(here, there, options.rounds)
+        ratios = rig.paired_ratios(measure_this, measure_other, options.rounds)
         written = sum(each.stat().st_size for each in Path(folder).iterdir())
     print(f"this tree  {rig.median(costs[0]):7.1f} us of CPU a request (median)")
     print(f"the other  {rig.median(costs[1]):7.1f} us")
     spread = f"{min(ratios):.3f} to {max(ratios):.3f}, {len(ratios)} pairs"
     print(f"ratio      {rig.median(ratios):7.3f} ({spread})")
     if options.records:
-        each = written / (options.rounds + 1) / options.requests
-        print(f"records    {each * 1000:7.0f} bytes a thousand requests")
+        bytes_per_request = written / (options.rounds + 1) / options.requests
+        print(f"records    {bytes_per_request * 1000:7.0f} bytes a thousand requests")
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,6 +1,6 @@
-"""How long members take to agree, and what it costs: `python benchmarks/fleet_view.py [SIZE ...]`.
+"""Time until members agree, and its cost: `python benchmarks/fleet_view.py [SIZE ...]`.
 
-Members on a virtual clock with delays of 0.5 to 20 ms, no sockets; what it prints is in docs/design/fleet.md.
+Members on a virtual clock with delays of 0.5 to 20 ms, no sockets; the results are in docs/design/fleet.md.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from fleet_stage import FleetStage, S
 
 RUNS = {8: 200, 50: 10, 200: 3}
-ALL_S = 120
+CONVERGENCE_LIMIT_S = 120
 
 
 def spread(waits_us: Sequence[int]) -> str:
-    """The median, the 99th percentile and the longest, in seconds."""
+    """The median, 99th percentile and maximum, in seconds."""
     ordered = [each / S for each in sorted(waits_us)]
     return f"{ordered[len(ordered) // 2]:5.2f} {ordered[int(len(ordered) * 0.99)]:5.2f} {ordered[-1]:5.2f}"
 
@@ -29,45 +29,45 @@
     return (source in side) != (target in side)
 
 
-def settle(count: int, runs: int) -> None:
-    """After a crash, a join under the same name, a leave, and a cut of 10 s that heals."""
+def convergence_times(count: int, runs: int) -> None:
+    """Print them after a crash, a rejoin, a leave, and a partition of 10 s."""
     waits: dict[str, list[int]] = {"crash": [], "join": [], "leave": [], "heal": []}
     for seed in range(runs):
         stage = FleetStage(count, seed=seed)
-        stage.until(stage.agree, ALL_S * S)
+        stage.until(stage.agree, CONVERGENCE_LIMIT_S * S)
         stage.run(2 * S)
         name = f"n{count // 2}"
         stage.kill(name)
-        waits["crash"].append(stage.until(stage.agree, ALL_S * S))
+        waits["crash"].append(stage.until(stage.agree, CONVERGENCE_LIMIT_S * S))
         stage.start(name, ["n0"])
-        waits["join"].append(stage.until(stage.agree, ALL_S * S))
+        waits["join"].append(stage.until(stage.agree, CONVERGENCE_LIMIT_S * S))
         stage.leave(name)
-        waits["leave"].append(stage.until(stage.agree, ALL_S * S))
+        waits["leave"].append(stage.until(stage.agree, CONVERGENCE_LIMIT_S * S))
         side = set(list(stage.members)[: count // 2])
         stage.cut = partial(_is_cut, side)
         stage.run(10 * S)
         stage.cut = lambda source, target: False
-        waits["heal"].append(stage.until(stage.agree, ALL_S * S))
-    for what, each in waits.items():
-        print(f"{count:5} members, {what:5}: p50 p99 max {spread(each)} s ({runs} runs)")
+        waits["heal"].append(stage.until(stage.agree, CONVERGENCE_LIMIT_S * S))
+    for event, times_us in waits.items():
+        print(f"{count:5} members, {event:5}: p50 p99 max {spread(times_us)} s ({runs} runs)")
 
 
 def idle_cost(count: int, seconds: int) -> None:
-    """Measure what a member sends once all agree."""
+    """Print a member's traffic once all agree."""
     stage = FleetStage(count, seed=1)
-    stage.until(stage.agree, ALL_S * S)
+    stage.until(stage.agree, CONVERGENCE_LIMIT_S * S)
     stage.run(120 * S if count <= 50 else 0)
     sent, size, began = sum(stage.sent.values()), stage.bytes, time.process_time()
     stage.run(seconds * S)
-    each = count * seconds
-    cpu = (time.process_time() - began) / each
+    member_s = count * seconds
+    cpu = (time.process_time() - began) / member_s
     print(
-        f"{count:5} members at rest: {(sum(stage.sent.values()) - sent) / each:.2f} datagrams and "
-        f"{(stage.bytes - size) / each:.0f} bytes a second, {cpu * 1e6:.0f} us of CPU (with the stage)"
+        f"{count:5} members at rest: {(sum(stage.sent.values()) - sent) / member_s:.2f} datagrams and "
+        f"{(stage.bytes - size) / member_s:.0f} bytes a second, {cpu * 1e6:.0f} us of CPU (with the stage)"
     )
 
 
-def lossy(loss: float, seconds: int) -> None:
+def false_deaths(loss: float, seconds: int) -> None:
     stage = FleetStage(8, seed=3, loss=loss)
     stage.run(seconds * S)
     deaths = {(name, at // (10 * S)) for at, _, name in stage.declared_dead()}
@@ -77,10 +77,10 @@
 def main() -> None:
     sizes = [int(each) for each in sys.argv[1:]] or [8, 50]
     for count in sizes:
-        settle(count, RUNS.get(count, 1))
+        convergence_times(count, RUNS.get(count, 1))
         idle_cost(count, 60 if count <= 50 else 5)
-    lossy(0.1, 3600)
-    lossy(0.3, 3600)
+    false_deaths(0.1, 3600)
+    false_deaths(0.3, 3600)
 
 
 if __name__ == "__main__":
--- a/benchmarks/incidents.py
+++ b/benchmarks/incidents.py
@@ -1,11 +1,11 @@
-"""Scripted days against the story that their records tell: what is found, when, and why.
+"""Scripted days against the incidents found in their records: onset and cause.
 
     python benchmarks/incidents.py [--days 200] [--first 1000] [--missing 0,0.1,0.3,0.6]
 
-Days are drawn from seeds, all kinds of trouble in turn, and some without any.  An incident is found if its
-onset is told within five seconds of the script's; its cause is right if the first that is named is the
-script's, in its place.  The baseline adds up failures by each sidecar's own clock and blames the server with
-the most.  Seeds below 1000 were used to settle the constants.
+Days are drawn from seeds, with all kinds of faults in turn and some without.  An incident counts as found
+if its onset is within five seconds of the script's; its cause is right if the first cause is the script's,
+at its place.  The baseline sums failures by each sidecar's own clock and blames the server with the most.
+Seeds below 1000 were used to tune the constants.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from micadeck.incidents.timeline import Timeline, build_timeline
 from micadeck.stand_ins.incident_days import BEGIN, QUIET, TROUBLES, Day, S, play
 
-NEAR_S = 5.0
+ONSET_TOLERANCE_S = 5.0
 BASELINE_SHARE, BASELINE_S = 0.02, 2
 KINDS = {
     "crash": "server crashed",
@@ -39,28 +39,32 @@
 
 
 @dataclass(frozen=True)
-class Told:
-    """What was made of one day."""
+class DayResult:
+    """The analysis of one day."""
 
     kind: str
     missing: float
-    claimed: int  # incidents, those within others not counted
-    errors_s: tuple[float, ...]  # of the onsets, of those that are near
+    claimed: int  # incidents that are not within others
+    errors_s: tuple[float, ...]  # of the onsets within the tolerance
     is_right: bool
     baseline_claimed: int
     baseline_near: bool
     baseline_right: bool
-    within_doubt: bool  # the script's onset lies within the interval that is told
+    within_uncertainty: bool  # the script's onset lies within the stated interval
 
 
-def judge(seed: int, kind: str, missing: float) -> Told:
+def judge(seed: int, kind: str, missing: float) -> DayResult:
     day = play(seed, kind)
     archive = day.archive(missing, seed)
-    story = build_timeline(archive)
+    timeline = build_timeline(archive)
     script = day.script
-    onset = _on_reference(day, story)
-    outer = [each for each in story.incidents if each.within is None]
-    near = [each for each in outer if abs(each.onset - onset) <= NEAR_S * S] if kind in TROUBLES else []
+    onset = _on_reference(day, timeline)
+    outer = [each for each in timeline.incidents if each.within is None]
+    near = (
+        [each for each in outer if abs(each.onset - onset) <= ONSET_TOLERANCE_S * S]
+        if kind in TROUBLES
+        else []
+    )
     first = near[0].causes[0] if near and near[0].causes else None
     where = first.where.split("@")[0] if first else ""
     right = (
@@ -68,8 +72,8 @@
     )
     claims, blamed = _baseline(archive)
     wall = BEGIN + int(script.onset * S)
-    baseline_near = kind in TROUBLES and any(abs(each - wall) <= NEAR_S * S for each in claims)
-    return Told(
+    baseline_near = kind in TROUBLES and any(abs(each - wall) <= ONSET_TOLERANCE_S * S for each in claims)
+    return DayResult(
         kind,
         missing,
         len(outer),
@@ -82,12 +86,12 @@
     )
 
 
-def _on_reference(day: Day, story: Timeline) -> int:
-    """The script's onset on the story's clock."""
+def _on_reference(day: Day, timeline: Timeline) -> int:
+    """The script's onset on the timeline's clock."""
     true = BEGIN + int(day.script.onset * S)
-    if not story.archive.starts:
+    if not timeline.archive.starts:
         return true
-    head = story.archive.starts[story.clocks.reference].head
+    head = timeline.archive.starts[timeline.clocks.reference].head
     for number, data in enumerate(day.sidecars):
         if head.start.encode() in data[:200] and head.sidecar.encode() in data[:200]:
             return day.offset_of[number](true)
@@ -95,10 +99,10 @@
 
 
 def _baseline(archive: Archive) -> tuple[list[int], str]:
-    """A threshold on failures by each sidecar's own clock; the server with most bad attempts."""
+    """A threshold on failures by each sidecar's own clock; the server with the most bad attempts."""
     bad: dict[int, float] = defaultdict(float)
     ended: dict[int, float] = defaultdict(float)
-    blame: dict[str, int] = defaultdict(int)
+    bad_attempts: dict[str, int] = defaultdict(int)
     for start in archive.starts:
         for each in start.records:
             if isinstance(each, Span):
@@ -107,7 +111,7 @@
                     bad[second] += one.refused + one.failed + one.late
                     ended[second] += one.served + one.refused + one.failed
                 for server in each.servers:
-                    blame[server.server] += count_bad_attempts(server.ended)
+                    bad_attempts[server.server] += count_bad_attempts(server.ended)
     claims: list[int] = []
     run = 0
     last = None
@@ -117,25 +121,26 @@
         last = second
         if run == BASELINE_S and not (claims and second * S - claims[-1] < 20 * S):
             claims.append((second - BASELINE_S + 1) * S)
-    return claims, max(blame, key=lambda each: blame[each]) if blame else ""
+    return claims, max(bad_attempts, key=lambda each: bad_attempts[each]) if bad_attempts else ""
 
 
-def _row(name: str, told: list[Told]) -> str:
-    troubles = [each for each in told if each.kind in TROUBLES]
+def _row(name: str, results: list[DayResult]) -> str:
+    troubles = [each for each in results if each.kind in TROUBLES]
     found = sum(bool(each.errors_s) for each in troubles)
-    claimed = sum(each.claimed for each in told)
+    claimed = sum(each.claimed for each in results)
     right = sum(each.is_right for each in troubles)
     errors = sorted(abs(error) for each in troubles for error in each.errors_s)
     spread = (
         f"{np.median(errors):5.1f} {errors[int(0.95 * (len(errors) - 1))]:5.1f}" if errors else "    -     -"
     )
-    honest = sum(each.within_doubt for each in troubles) / max(found, 1)
+    covered = sum(each.within_uncertainty for each in troubles) / max(found, 1)
     base = sum(each.baseline_near for each in troubles)
-    base_claimed = sum(each.baseline_claimed for each in told)
+    base_claimed = sum(each.baseline_claimed for each in results)
     count = max(len(troubles), 1)
     return (
-        f"{name:10s} {len(told):5d} {found / max(claimed, 1):10.2f} {found / count:7.2f} {right / count:7.2f}"
-        f" {spread} {honest:8.2f}   {base / max(base_claimed, 1):10.2f} {base / count:7.2f}"
+        f"{name:10s} {len(results):5d} {found / max(claimed, 1):10.2f} {found / count:7.2f}"
+        f" {right / count:7.2f}"
+        f" {spread} {covered:8.2f}   {base / max(base_claimed, 1):10.2f} {base / count:7.2f}"
         f" {sum(each.baseline_right for each in troubles) / count:7.2f}"
     )
 
@@ -153,13 +158,13 @@
         "           days  precision  recall   cause   onset s (95%)  in doubt   baseline: prec. recall  cause"
     )
     with ProcessPoolExecutor(options.jobs) as pool:
-        for part in (float(each) for each in options.missing.split(",")):
-            seeds, those = [each[0] for each in days], [each[1] for each in days]
-            told = list(pool.map(judge, seeds, those, [part] * len(days), chunksize=4))
-            print(_row(f"{part:.0%} gone", told), flush=True)
-            if part == 0.0:
+        for missing in (float(each) for each in options.missing.split(",")):
+            seeds, kinds_of_days = [each[0] for each in days], [each[1] for each in days]
+            results = list(pool.map(judge, seeds, kinds_of_days, [missing] * len(days), chunksize=4))
+            print(_row(f"{missing:.0%} gone", results), flush=True)
+            if missing == 0.0:
                 for kind in kinds:
-                    print(_row(f"  {kind}", [each for each in told if each.kind == kind]), flush=True)
+                    print(_row(f"  {kind}", [each for each in results if each.kind == kind]), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -1,11 +1,10 @@
-"""What each way to the same servers adds to a direct call, in one run on pinned cores: `make bench`.
+"""Latency that each client path adds to a direct call, in one run on pinned cores: `make bench`.
 
     python benchmarks/library.py [--rounds 30] [--requests 160]
 
-The host (this process) has two cores, the servers one, the daemon and the relay one each.  All ways take
-their turn in every round, so that a drift of the machine falls on each alike.  Then a thread of the host
-spins in pure Python, and daemon and library are measured once more: that is what the interpreter's lock
-costs.
+The host (this process) has two cores, the servers one, the daemon and the relay one each.  Every round
+measures all paths, so that a drift of the machine affects all alike.  Then daemon and library are measured
+with a thread of the host spinning in pure Python: the cost of the interpreter's lock.
 """
 
 from __future__ import annotations
@@ -31,20 +30,22 @@
 from micadeck.library.request_validation import RequestOptions, to_http
 from micadeck.network import LoopNetwork
 
-Ask = Callable[[], Awaitable[None]]
-Measured = dict[str, tuple[list[float], list[float]]]  # spans of single calls, rates of callers side by side
-AT_ONCE = 16
-PAUSE_S = 0.002  # between single calls, as between those of a host that has other work
+Call = Callable[[], Awaitable[None]]
+Measured = dict[
+    str, tuple[list[float], list[float]]
+]  # latencies of single calls, rates of concurrent callers
+CONCURRENT_CALLERS = 16
+PAUSE_S = 0.002  # between single calls, as in a host with other work
 _REQUESTS = rig.requests()
 
 
-class Raw(asyncio.Protocol):
-    """The least that a client can be: one connection, one request at a time."""
+class DirectClient(asyncio.Protocol):
+    """A minimal client: one connection, one request at a time."""
 
     def __init__(self, port: int) -> None:
         self._port = port
         self._transport: asyncio.Transport | None = None
-        self._waiter: asyncio.Future[None] | None = None
+        self._answer: asyncio.Future[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport  # type: ignore[assignment]
@@ -54,63 +55,63 @@
         self._parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        assert self._waiter is not None
+        assert self._answer is not None
         if self._parser.get_status_code() == 200:
-            self._waiter.set_result(None)
+            self._answer.set_result(None)
         else:
-            self._waiter.set_exception(RuntimeError(f"status {self._parser.get_status_code()}"))
+            self._answer.set_exception(RuntimeError(f"status {self._parser.get_status_code()}"))
 
-    async def ask(self) -> None:
+    async def call(self) -> None:
         loop = asyncio.get_running_loop()
-        if self._transport is None or self._transport.is_closing():  # at rest for too long
+        if self._transport is None or self._transport.is_closing():  # closed while idle
             await loop.create_connection(lambda: self, rig.HOST, self._port)
         assert self._transport is not None
-        self._waiter = loop.create_future()
+        self._answer = loop.create_future()
         self._transport.write(next(_REQUESTS))
-        await self._waiter
+        await self._answer
 
 
-def raw(ports: list[int]) -> list[Ask]:
-    """So many connections to these ports in turn."""
-    return [Raw(ports[number % len(ports)]).ask for number in range(AT_ONCE)]
+def direct(ports: list[int]) -> list[Call]:
+    """Connections spread over these ports."""
+    return [DirectClient(ports[number % len(ports)]).call for number in range(CONCURRENT_CALLERS)]
 
 
-def by_daemon(port: int, balancer: Micadeck) -> list[Ask]:
-    """The library's call, worded for a daemon and read from it, by the package's own client connection."""
-    (kind,) = [each for each in balancer.config.settings.classes if each.name == "check"]
+def by_daemon(port: int, balancer: Micadeck) -> list[Call]:
+    """The library's call as HTTP to the daemon, over the package's own client connection."""
+    (service_class,) = [each for each in balancer.config.settings.classes if each.name == "check"]
     network = LoopNetwork()
 
-    def caller() -> Ask:
-        held: list[ClientConnection] = []
+    def caller() -> Call:
+        idle: list[ClientConnection] = []
 
-        async def ask() -> None:
-            if not held or not held[0].is_usable():
-                made = lambda: ClientConnection(network, MAX_BODY_BYTES, held.append, lambda _: None)  # noqa: E731
-                held[:] = [await network.dial(made, (rig.HOST, port))]
-            connection = held.pop()
+        async def call() -> None:
+            if not idle or not idle[0].is_usable():
+                make = lambda: ClientConnection(network, MAX_BODY_BYTES, idle.append, lambda _: None)  # noqa: E731
+                idle[:] = [await network.dial(make, (rig.HOST, port))]
+            connection = idle.pop()
             done: asyncio.Future[Response | Failure] = asyncio.get_running_loop().create_future()
-            method, target, headers = to_http(kind, RequestOptions("/api/7"))
+            method, target, headers = to_http(service_class, RequestOptions("/api/7"))
             connection.exchange(Request(method, target, headers), done.set_result)
-            how = await done
-            if not isinstance(how, Response) or how.status != 200:
-                raise RuntimeError(str(how))
+            result = await done
+            if not isinstance(result, Response) or result.status != 200:
+                raise RuntimeError(str(result))
 
-        return ask
+        return call
 
-    return [caller() for _ in range(AT_ONCE)]
+    return [caller() for _ in range(CONCURRENT_CALLERS)]
 
 
-def by_library(balancer: Micadeck) -> list[Ask]:
-    async def ask() -> None:
+def by_library(balancer: Micadeck) -> list[Call]:
+    async def call() -> None:
         answer = await balancer.request("check", "/api/7")
         if answer.kind is not Kind.SERVED:
             raise RuntimeError(answer.reason)
 
-    return [ask] * AT_ONCE
+    return [call] * CONCURRENT_CALLERS
 
 
-def by_httpx(client: httpx.AsyncClient, urls: list[str]) -> list[Ask]:
-    async def ask() -> None:
+def by_httpx(client: httpx.AsyncClient, urls: list[str]) -> list[Call]:
+    async def call() -> None:
         headers = {
             "Request-Id": f"{random.getrandbits(64):016x}",
             "Request-Class": "check",
@@ -118,34 +119,34 @@
         }
         (await client.get(random.choice(urls), headers=headers)).raise_for_status()
 
-    return [ask] * AT_ONCE
+    return [call] * CONCURRENT_CALLERS
 
 
-async def one_by_one(ask: Ask, count: int, pause_s: float) -> list[float]:
-    spans = []
+async def sequential_latencies(call: Call, count: int, pause_s: float) -> list[float]:
+    latencies = []
     for _ in range(count):
         began = time.perf_counter()
-        await ask()
-        spans.append(time.perf_counter() - began)
+        await call()
+        latencies.append(time.perf_counter() - began)
         if pause_s:
             await asyncio.sleep(pause_s)
-    return spans
+    return latencies
 
 
-async def at_once(asks: list[Ask], count: int) -> float:
-    """Requests a second, with so many callers side by side."""
+async def concurrent_rate(calls: list[Call], count: int) -> float:
+    """Requests a second of these callers running concurrently."""
 
-    async def caller(ask: Ask) -> None:
-        for _ in range(count // len(asks)):
-            await ask()
+    async def caller(call: Call) -> None:
+        for _ in range(count // len(calls)):
+            await call()
 
     began = time.perf_counter()
-    await asyncio.gather(*(caller(each) for each in asks))
-    return count // len(asks) * len(asks) / (time.perf_counter() - began)
+    await asyncio.gather(*(caller(each) for each in calls))
+    return count // len(calls) * len(calls) / (time.perf_counter() - began)
 
 
 @contextlib.contextmanager
-def spinning() -> Iterator[None]:
+def spinning_thread() -> Iterator[None]:
     is_over = threading.Event()
 
     def spin() -> None:
@@ -161,31 +162,36 @@
         thread.join()
 
 
-async def measure(ways: dict[str, list[Ask]], rounds: int, count: int, pause_s: float = PAUSE_S) -> Measured:
-    got: dict[str, tuple[list[float], list[float]]] = {name: ([], []) for name in ways}
-    for asks in ways.values():
-        await at_once(asks, count)  # warm, and not counted
+async def measure(
+    paths: dict[str, list[Call]], rounds: int, count: int, pause_s: float = PAUSE_S
+) -> Measured:
+    measured: dict[str, tuple[list[float], list[float]]] = {name: ([], []) for name in paths}
+    for calls in paths.values():
+        await concurrent_rate(calls, count)  # warm-up
     for number in range(rounds):
-        names = list(ways) if number % 2 == 0 else list(reversed(ways))
+        names = list(paths) if number % 2 == 0 else list(reversed(paths))
         for name in names:
-            got[name][0].extend(await one_by_one(ways[name][0], count, pause_s))
-            got[name][1].append(await at_once(ways[name], count))
-    return got
+            measured[name][0].extend(await sequential_latencies(paths[name][0], count, pause_s))
+            measured[name][1].append(await concurrent_rate(paths[name], count))
+    return measured
 
 
-def compare(got: Measured) -> None:
-    """Print what each way took, and added to the direct call."""
+def compare(measured: Measured) -> None:
+    """Print each path's latencies and what it adds to the direct call."""
     base = "direct, one server each"
-    direct = got[base][0]
-    print(f"| way | p50, us | p99, us | p50 added | p99 added | requests/s, {AT_ONCE} at once |")
+    base_latencies = measured[base][0]
+    print(f"| way | p50, us | p99, us | p50 added | p99 added | requests/s, {CONCURRENT_CALLERS} at once |")
     print("| --- | ---: | ---: | ---: | ---: | ---: |")
-    for name, (spans, rates) in got.items():
-        p50, p99 = rig.quantile(spans, 0.5) * 1e6, rig.quantile(spans, 0.99) * 1e6
-        more = [p50 - rig.quantile(direct, 0.5) * 1e6, p99 - rig.quantile(direct, 0.99) * 1e6]
-        added = "| | " if name == base else f"| {more[0]:.0f} | {more[1]:.0f} "
+    for name, (latencies, rates) in measured.items():
+        p50, p99 = rig.quantile(latencies, 0.5) * 1e6, rig.quantile(latencies, 0.99) * 1e6
+        added_us = [
+            p50 - rig.quantile(base_latencies, 0.5) * 1e6,
+            p99 - rig.quantile(base_latencies, 0.99) * 1e6,
+        ]
+        added = "| | " if name == base else f"| {added_us[0]:.0f} | {added_us[1]:.0f} "
         print(f"| {name} | {p50:.0f} | {p99:.0f} {added}| {rig.median(rates):.0f} |")
     for part in (0.5, 0.99):
-        ratio = rig.quantile(got["(b) library"][0], part) / rig.quantile(got["(a) daemon"][0], part)
+        ratio = rig.quantile(measured["(b) library"][0], part) / rig.quantile(measured["(a) daemon"][0], part)
         print(f"\nlibrary over daemon, p{part * 100:.0f}: {ratio:.2f}", end="")
     print()
 
@@ -196,26 +202,28 @@
     async with Micadeck(config) as balancer, httpx.AsyncClient() as plain:
         transport = AsyncMicadeckTransport(balancer)
         async with httpx.AsyncClient(transport=transport) as balanced:
-            ways = {
-                "direct, one server each": raw(ports),
+            paths = {
+                "direct, one server each": direct(ports),
                 "(a) daemon": by_daemon(daemon, balancer),
-                "(a) daemon, requests ready as bytes": raw([daemon]),
+                "(a) daemon, requests ready as bytes": direct([daemon]),
                 "(b) library": by_library(balancer),
                 "(c) httpx, micadeck's transport": by_httpx(balanced, ["http://origin.svc/api/7"]),
                 "(d) httpx, server at random": by_httpx(
                     plain, [f"http://{each}/api/7" for each in addresses]
                 ),
-                "(e) bare relay": raw([relay]),
+                "(e) bare relay": direct([relay]),
                 "(f) httpx, the daemon": by_httpx(plain, [f"http://{rig.HOST}:{daemon}/api/7"]),
             }
             print(f"single calls, {PAUSE_S * 1e3:.0f} ms apart:\n")
-            compare(await measure(ways, rounds, count))
-            few = {name: asks for name, asks in ways.items() if not name.startswith(("(c", "(d", "(e", "(f"))}
+            compare(await measure(paths, rounds, count))
+            main_paths = {
+                name: calls for name, calls in paths.items() if not name.startswith(("(c", "(d", "(e", "(f"))
+            }
             print("\nsingle calls, back to back:\n")
-            compare(await measure(few, rounds, count, 0.0))
+            compare(await measure(main_paths, rounds, count, 0.0))
             print("\nsingle calls apart, with one thread of the host spinning in pure Python:\n")
-            with spinning():
-                busy = await measure(few, max(rounds // 3, 1), max(count // 4, AT_ONCE))
+            with spinning_thread():
+                busy = await measure(main_paths, max(rounds // 3, 1), max(count // 4, CONCURRENT_CALLERS))
             compare(busy)
 
 
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,8 +1,8 @@
-"""Hostile and unlucky loads against the real daemon, one line each: its memory, its life and its service.
+"""Hostile and unlucky loads against the real daemon, a line each: memory, survival and service.
 
     python benchmarks/memory.py [--seconds 6] [--only TEXT] [--mixes 5] [--seed 1]
 
-80 MB and 640 descriptors; see docs/design/memory.md.  Exits with 1 where a load passes a bound.
+80 MB and 640 descriptors; see docs/design/memory.md.  Exits with 1 if a load exceeds a bound.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 PEAK_MB = 48.0
 SETTLED_MB = 30.0
-LEAST_DURING = 8  # served of ten, beside a load by clients alone
-TOGETHER = 3
+MIN_SERVED_DURING = 8  # of ten, during loads by clients only
+LOADS_PER_MIX = 3
 
 
-def faults(loads: Sequence[Load], played: Played) -> list[str]:
-    """Which bounds the daemon passed."""
+def exceeded_bounds(loads: Sequence[Load], played: Played) -> list[str]:
+    """The bounds that the daemon exceeded."""
     found = []
     if played.exit_code is not None:
         found.append(f"ended with {played.exit_code}")
@@ -33,14 +33,14 @@
         found.append("peak")
     if played.settled_mb > SETTLED_MB:
         found.append("not given back")
-    if all(each.side is Side.CLIENTS for each in loads) and played.served_during < LEAST_DURING:
+    if all(each.side is Side.CLIENTS for each in loads) and played.served_during < MIN_SERVED_DURING:
         found.append("no service beside")
     if played.served_after < ASKED:
         found.append("no service after")
     return found
 
 
-def told(name: str, played: Played, found: Sequence[str]) -> str:
+def result_line(name: str, played: Played, found: Sequence[str]) -> str:
     return (
         f"{name[:60]:60} idle {played.idle_mb:5.1f} peak {played.peak_mb:6.1f}"
         f" after {played.settled_mb:6.1f} MB"
@@ -48,11 +48,11 @@
     )
 
 
-def one(name: str, loads: Sequence[Load], seconds: float, settles_s: float) -> bool:
+def run_loads(name: str, loads: Sequence[Load], seconds: float, settles_s: float) -> bool:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         played = runner.run(play(*loads, seconds=seconds, settles_s=settles_s))
-    found = faults(loads, played)
-    print(told(name, played, found), flush=True)
+    found = exceeded_bounds(loads, played)
+    print(result_line(name, played, found), flush=True)
     return not found
 
 
@@ -64,15 +64,15 @@
     given.add_argument("--mixes", type=int, default=5)
     given.add_argument("--seed", type=int, default=1)
     options = given.parse_args()
-    drawn = random.Random(options.seed)
+    rng = random.Random(options.seed)
     chosen = [each for each in LOADS.values() if options.only in each.name]
-    held = [one(each.name, [each], options.seconds, options.settles) for each in chosen]
+    passed = [run_loads(each.name, [each], options.seconds, options.settles) for each in chosen]
     for number in range(options.mixes if not options.only else 0):
-        loads = drawn.sample(list(LOADS.values()), TOGETHER)
+        loads = rng.sample(list(LOADS.values()), LOADS_PER_MIX)
         print("; ".join(each.name for each in loads))
-        held.append(one(f"mix {options.seed}.{number}", loads, options.seconds, options.settles))
-    print(f"{sum(held)} of {len(held)} held")
-    sys.exit(not all(held))
+        passed.append(run_loads(f"mix {options.seed}.{number}", loads, options.seconds, options.settles))
+    print(f"{sum(passed)} of {len(passed)} held")
+    sys.exit(not all(passed))
 
 
 if __name__ == "__main__":
--- a/benchmarks/mysql_wire.py
+++ b/benchmarks/mysql_wire.py
@@ -1,10 +1,9 @@
-"""What MySQL through the sidecar costs beside a direct connection and a bare relay: `make bench-mysql`.
+"""The cost of MySQL through the sidecar against a direct connection and a bare relay: `make bench-mysql`.
 
     python benchmarks/mysql_wire.py [--rounds 12] [--statements 300]
 
-One run, each process on a core of its own, all ways in turn in every round.  Then the memory of 1,000 idle
-client sessions, and that of a result of 1 GiB that streams through.  The client is the package's own server
-connection: the same for all ways.
+One run, each process on its own core; every round measures all paths.  Then the memory of 1,000 idle client
+sessions, and of streaming a result of 1 GiB.  The client of all paths is the package's server connection.
 """
 
 from __future__ import annotations
@@ -29,21 +28,21 @@
 from micadeck.mysql.server_connection import Credentials, ServerConnection
 from micadeck.network import LoopNetwork
 
-AT_ONCE = 16
+CONNECTIONS = 16
 SELECT = b"\x03SELECT code FROM tariff"
 WIDE_ROWS = 1 << 16  # of 16 KiB: 1 GiB
-IDLE = 1_000
+IDLE_SESSIONS = 1_000
 
 
 @contextmanager
-def standin(core: int, *arguments: str) -> Iterator[str]:
+def stand_in(core: int, *arguments: str) -> Iterator[str]:
     with rig.process(core, sys.executable, "-m", "micadeck.stand_ins.mysql", *arguments) as child:
         yield child.stdout.readline().split()[-1]
 
 
 @contextmanager
 def sidecar(core: int, addresses: list[str]) -> Iterator[tuple[int, int]]:
-    """The service; give its port and process id."""
+    """The sidecar's port and process id."""
     with tempfile.TemporaryDirectory() as folder:
         secret, path = Path(folder) / "password", Path(folder) / "mysql.toml"
         secret.write_text("server-secret")
@@ -78,16 +77,16 @@
 """
         )
         with rig.process(core, sys.executable, "-m", "micadeck.mysql", "serve", str(path)) as child:
-            told = re.search(r"serves on .*?:(\d+)", child.stderr.readline())
-            if told is None:
+            match = re.search(r"serves on .*?:(\d+)", child.stderr.readline())
+            if match is None:
                 raise RuntimeError("the sidecar does not serve")
-            yield int(told[1]), child.pid
+            yield int(match[1]), child.pid
 
 
-def memory_mb(pid: int, which: str = "VmRSS") -> float:
-    told = re.search(rf"{which}:\s+(\d+)", Path(f"/proc/{pid}/status").read_text())
-    assert told is not None
-    return int(told[1]) / 1024
+def memory_mb(pid: int, field: str = "VmRSS") -> float:
+    match = re.search(rf"{field}:\s+(\d+)", Path(f"/proc/{pid}/status").read_text())
+    assert match is not None
+    return int(match[1]) / 1024
 
 
 async def connect(port: int) -> ServerConnection:
@@ -102,82 +101,83 @@
     return await ServerConnection.open(make, network, (rig.HOST, port))
 
 
-async def ask(link: ServerConnection, part: Any, text: bytes = SELECT) -> None:
-    reader = await link.exchange(text, ResponseKind.RESULT, part)
+async def execute(connection: ServerConnection, part: Any, text: bytes = SELECT) -> None:
+    reader = await connection.exchange(text, ResponseKind.RESULT, part)
     if reader.error is not None:
         raise RuntimeError(reader.error.text)
 
 
-def nothing(part: Part) -> None:
-    """Of rows that only have to come."""
+def ignore(part: Part) -> None:
+    """Discard a part."""
 
 
-async def turns(links: list[ServerConnection], count: int) -> tuple[list[float], float]:
-    """The spans of statements one after another, and the rate of all connections at once."""
-    spans = []
+async def measure(connections: list[ServerConnection], count: int) -> tuple[list[float], float]:
+    """Latencies of sequential statements, and the rate of all connections together."""
+    latencies = []
     for _ in range(count):
         began = time.perf_counter()
-        await ask(links[0], nothing)
-        spans.append(time.perf_counter() - began)
+        await execute(connections[0], ignore)
+        latencies.append(time.perf_counter() - began)
 
-    async def repeat(link: ServerConnection) -> None:
+    async def repeat(connection: ServerConnection) -> None:
         for _ in range(count // 4):
-            await ask(link, nothing)
+            await execute(connection, ignore)
 
     began = time.perf_counter()
-    await asyncio.gather(*(repeat(each) for each in links))
-    return spans, len(links) * (count // 4) / (time.perf_counter() - began)
+    await asyncio.gather(*(repeat(each) for each in connections))
+    return latencies, len(connections) * (count // 4) / (time.perf_counter() - began)
 
 
-async def speed(ways: dict[str, int], rounds: int, count: int) -> None:
-    links = {name: [await connect(port) for _ in range(AT_ONCE)] for name, port in ways.items()}
-    spans: dict[str, list[float]] = {name: [] for name in ways}
-    rates: dict[str, list[float]] = {name: [] for name in ways}
+async def compare_paths(paths: dict[str, int], rounds: int, count: int) -> None:
+    connections = {name: [await connect(port) for _ in range(CONNECTIONS)] for name, port in paths.items()}
+    latencies: dict[str, list[float]] = {name: [] for name in paths}
+    rates: dict[str, list[float]] = {name: [] for name in paths}
     for number in range(rounds + 1):
-        for name, held in links.items():
-            single, rate = await turns(held, count)
+        for name, pool in connections.items():
+            single, rate = await measure(pool, count)
             if number:  # the first round only warms up
-                spans[name] += single
+                latencies[name] += single
                 rates[name].append(rate)
-    rate_of = f"{AT_ONCE} at once, a second"
+    rate_of = f"{CONNECTIONS} at once, a second"
     print(f"{'way':10} {'p50 ms':>8} {'p99 ms':>8} {rate_of:>24} {'of direct':>10}")
     direct = statistics.median(rates["direct"])
-    for name in ways:
-        cuts = statistics.quantiles(spans[name], n=100)
+    for name in paths:
+        percentiles = statistics.quantiles(latencies[name], n=100)
         rate = statistics.median(rates[name])
-        spread = f"{cuts[49] * 1e3:8.3f} {cuts[98] * 1e3:8.3f}"
+        spread = f"{percentiles[49] * 1e3:8.3f} {percentiles[98] * 1e3:8.3f}"
         print(f"{name:10} {spread} {rate:24,.0f} {rate / direct:10.2f}")
 
 
 async def idle(port: int, pid: int) -> None:
-    for _ in range(4):  # what is made once is not the sessions'
+    for _ in range(4):  # one-time allocations do not count for the sessions
         (await connect(port)).close()
     before = memory_mb(pid)
-    links = [await connect(port) for _ in range(IDLE)]
+    connections = [await connect(port) for _ in range(IDLE_SESSIONS)]
     await asyncio.sleep(0.5)
     after = memory_mb(pid)
-    kb = (after - before) * 1024 / IDLE
-    print(f"{IDLE} idle sessions: {before:.1f} -> {after:.1f} MB, {kb:.1f} KB each")
-    for each in links:
+    kb = (after - before) * 1024 / IDLE_SESSIONS
+    print(f"{IDLE_SESSIONS} idle sessions: {before:.1f} -> {after:.1f} MB, {kb:.1f} KB each")
+    for each in connections:
         each.close()
 
 
 async def stream(port: int, pid: int) -> None:
-    link = await connect(port)
+    connection = await connect(port)
     before = memory_mb(pid, "VmHWM")
-    seen = [0, 0]
+    totals = [0, 0]
 
     def part(each: Part) -> None:
         if isinstance(each, Row):
-            seen[0] += 1
-            seen[1] += len(each.payload)
+            totals[0] += 1
+            totals[1] += len(each.payload)
 
     began = time.perf_counter()
-    await ask(link, part, b"\x03SELECT * FROM wide")
-    took = time.perf_counter() - began
+    await execute(connection, part, b"\x03SELECT * FROM wide")
+    elapsed_s = time.perf_counter() - began
     after = memory_mb(pid, "VmHWM")
     print(
-        f"a result of {seen[1] / (1 << 30):.2f} GiB in {seen[0]} rows, {seen[1] / took / 1e6:.0f} MB/s;"
+        f"a result of {totals[1] / (1 << 30):.2f} GiB in {totals[0]} rows,"
+        f" {totals[1] / elapsed_s / 1e6:.0f} MB/s;"
         f" the sidecar's peak {before:.1f} -> {after:.1f} MB"
     )
 
@@ -189,18 +189,18 @@
     given = parser.parse_args()
     cores = rig.spare_cores()
     core = [cores[number % len(cores)] for number in range(4)]
-    with ExitStack() as held:
-        canned = held.enter_context(standin(core[0], "--canned", "10", "--wide", str(WIDE_ROWS)))
-        relay = held.enter_context(
+    with ExitStack() as stack:
+        canned = stack.enter_context(stand_in(core[0], "--canned", "10", "--wide", str(WIDE_ROWS)))
+        relay = stack.enter_context(
             rig.process(core[1], sys.executable, str(rig.ROOT / "benchmarks" / "byte_relay.py"), canned)
         )
         relay_port = int(relay.stdout.readline())
-        port, pid = held.enter_context(sidecar(core[2], [canned]))
+        port, pid = stack.enter_context(sidecar(core[2], [canned]))
         rig.pin({core[3]})
-        ways = {"direct": int(canned.rpartition(":")[2]), "relay": relay_port, "sidecar": port}
+        paths = {"direct": int(canned.rpartition(":")[2]), "relay": relay_port, "sidecar": port}
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(idle(port, pid))
-            runner.run(speed(ways, given.rounds, given.statements))
+            runner.run(compare_paths(paths, given.rounds, given.statements))
             runner.run(stream(port, pid))
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,4 +1,4 @@
-"""The least that a hop can cost: a uvloop and httptools relay with no choice, no limits and no second try.
+"""The minimal cost of a hop: a uvloop and httptools relay without balancing, limits or retries.
 
 `python benchmarks/relay.py ADDRESS ...` prints its port and relays until it is killed.
 """
@@ -18,26 +18,26 @@
     def __init__(self, client: _Client) -> None:
         self._client = client
         self._parser = httptools.HttpResponseParser(self)
-        self._came = bytearray()
+        self._buffer = bytearray()
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self._came += data
+        self._buffer += data
         self._parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        self._client.transport.write(bytes(self._came))
-        self._came.clear()
+        self._client.transport.write(bytes(self._buffer))
+        self._buffer.clear()
 
 
 class _Client(asyncio.Protocol):
     def __init__(self, servers: itertools.cycle[tuple[str, int]]) -> None:
         self._address = next(servers)
         self._parser = httptools.HttpRequestParser(self)
-        self._came = bytearray()
+        self._buffer = bytearray()
         self._upstream: _Upstream | None = None
         self.transport: Any = None
 
@@ -45,7 +45,7 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self._came += data
+        self._buffer += data
         self._parser.feed_data(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -53,8 +53,8 @@
             self._upstream.transport.close()
 
     def on_message_complete(self) -> None:
-        request = bytes(self._came)
-        self._came.clear()
+        request = bytes(self._buffer)
+        self._buffer.clear()
         if self._upstream is not None:
             self._upstream.transport.write(request)
         else:
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,5 +1,4 @@
-"""What the benchmarks share: processes pinned to cores, stand-in servers, a daemon, a load, and CPU
-accounts."""
+"""Shared by the benchmarks: pinned processes, stand-in servers, a daemon, load and CPU accounting."""
 
 from __future__ import annotations
 
@@ -27,9 +26,9 @@
 
 
 def pin(cores: set[int]) -> None:
-    """Keep this process to these cores, as far as the machine has them."""
-    there = os.sched_getaffinity(0)
-    os.sched_setaffinity(0, cores & there or there)
+    """Pin this process to those of these cores that are available."""
+    available = os.sched_getaffinity(0)
+    os.sched_setaffinity(0, cores & available or available)
 
 
 def spare_cores() -> list[int]:
@@ -38,7 +37,7 @@
 
 @contextmanager
 def process(core: int, *command: str, cwd: Path = ROOT, env: dict[str, str] | None = None) -> Iterator[Any]:
-    """A child on one core; it ends when its standard input does."""
+    """A child process pinned to one core, killed on exit."""
     child = subprocess.Popen(
         command,
         cwd=cwd,
@@ -63,7 +62,7 @@
 
 
 def configuration(addresses: list[str]) -> dict[str, Any]:
-    """A daemon's configuration; its roster never answers, so the list given here is all there is."""
+    """A daemon's configuration, with a fixed endpoint list: its roster never answers."""
     listed = [
         {"id": f"s-{number}", "addr": address, "zone": "a", "cell": 1, "state": "active"}
         for number, address in enumerate(addresses)
@@ -85,7 +84,7 @@
 
 @contextmanager
 def daemon(core: int, addresses: list[str], root: Path = ROOT, **keys: Any) -> Iterator[tuple[int, int]]:
-    """A daemon of the tree at `root`, with further keys; give its port and process id."""
+    """A daemon of the tree at `root`, with further keys: its port and process id."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps({**configuration(addresses), **keys}))
@@ -95,14 +94,14 @@
             line = child.stderr.readline()
             if line.startswith("records: recording to "):
                 line = child.stderr.readline()
-            told = re.search(r"serves on .*?:(\d+)", line)
-            if told is None:
+            match = re.search(r"serves on .*?:(\d+)", line)
+            if match is None:
                 raise RuntimeError(f"the daemon does not serve: {line}")
-            yield int(told[1]), child.pid
+            yield int(match[1]), child.pid
 
 
 def cpu_s(pid: int) -> float:
-    """CPU seconds that a process has used, with all its threads: exact where the kernel tells."""
+    """CPU seconds of a process with all its threads; exact where the kernel has schedstat."""
     exact = list(Path(f"/proc/{pid}/task").glob("*/schedstat"))
     if exact:
         return sum(int(each.read_text().split()[0]) for each in exact) / 1e9
@@ -110,18 +109,18 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-class _Caller(asyncio.Protocol):
-    """One connection that asks again as soon as it is answered."""
+class _LoadConnection(asyncio.Protocol):
+    """One connection that sends a request after each answer."""
 
     def __init__(self, load: Load) -> None:
         self._load = load
         self._parser = httptools.HttpResponseParser(self)
-        self._asked_at = 0.0
+        self._sent_at = 0.0
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self._ask()
+        self._send()
 
     def data_received(self, data: bytes) -> None:
         self._parser.feed_data(data)
@@ -132,47 +131,47 @@
 
     def on_message_complete(self) -> None:
         load = self._load
-        load.spans.append(time.perf_counter() - self._asked_at)
+        load.latencies_s.append(time.perf_counter() - self._sent_at)
         if self._parser.get_status_code() != 200:
             load.not_served += 1
-        if load.is_enough():
+        if load.is_complete():
             load.done.set()
         else:
-            self._ask()
+            self._send()
 
-    def _ask(self) -> None:
-        self._asked_at = time.perf_counter()
+    def _send(self) -> None:
+        self._sent_at = time.perf_counter()
         self.transport.write(next(self._load.requests))
 
 
 class Load:
-    """A closed loop of so many connections to one address, until `count` requests are answered."""
+    """A closed loop of `connections` to one address, until `count` answers."""
 
     def __init__(self, connections: int, count: int) -> None:
         self.connections, self.count = connections, count
         self.requests = requests()
-        self.spans: list[float] = []  # seconds
+        self.latencies_s: list[float] = []
         self.not_served = self.broken = 0
         self.is_over = False
         self.done = asyncio.Event()
 
-    def is_enough(self) -> bool:
-        return len(self.spans) >= self.count
+    def is_complete(self) -> bool:
+        return len(self.latencies_s) >= self.count
 
     async def run(self, port: int) -> float:
-        """Give the seconds that it took."""
+        """Run the load; return its seconds."""
         loop = asyncio.get_running_loop()
         began = time.perf_counter()
-        made = [
-            (await loop.create_connection(lambda: _Caller(self), HOST, port))[0]
+        transports = [
+            (await loop.create_connection(lambda: _LoadConnection(self), HOST, port))[0]
             for _ in range(self.connections)
         ]
         await self.done.wait()
-        took = time.perf_counter() - began
+        elapsed_s = time.perf_counter() - began
         self.is_over = True
-        for each in made:
-            each.close()
-        return took
+        for transport in transports:
+            transport.close()
+        return elapsed_s
 
 
 def requests() -> Iterator[bytes]:
@@ -185,21 +184,21 @@
         )
 
 
-def quantile(values: list[float], part: float) -> float:
+def quantile(values: list[float], q: float) -> float:
     ordered = sorted(values)
-    return ordered[min(int(part * len(ordered)), len(ordered) - 1)]
+    return ordered[min(int(q * len(ordered)), len(ordered) - 1)]
 
 
 def median(values: list[float]) -> float:
     return quantile(values, 0.5)
 
 
-def in_turn(first: Callable[[], float], second: Callable[[], float], rounds: int) -> list[float]:
-    """The ratios first/second, pair by pair, after a round that does not count."""
+def paired_ratios(first: Callable[[], float], second: Callable[[], float], rounds: int) -> list[float]:
+    """The ratios first/second, pair by pair, after a warm-up round."""
     first(), second()
     ratios = []
     for number in range(rounds):
-        # Each goes first every other time, so that a drift of the machine falls on both.
+        # The order alternates, so that a drift of the machine affects both alike.
         if number % 2:
             b, a = second(), first()
         else:
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,10 +1,10 @@
-"""Requests turned back while one process of a sidecar takes over from another, again and again.
+"""Requests lost in repeated hot restarts, when one process of a sidecar takes over from another.
 
     python benchmarks/upgrade.py [--upgrades 10] [--clients 24]
 
-Two thirds of the clients keep their connection for as long as it stays open, the others open one for each
-request. A request is turned back if its connection is refused, closed or reset before its answer came. Beside
-it the same is counted for processes that are stopped first and started after.
+Two thirds of the clients keep their connection while it stays open, the others open one per request.
+A request is lost if its connection is refused, closed or reset before the answer. For comparison the
+same is counted with each process stopped before the next one starts.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 class Counts:
     def __init__(self) -> None:
-        self.answered = self.turned_back = self.other = 0
+        self.answered = self.lost = self.other = 0
 
 
-async def client(port: int, keeps: bool, requests: Any, counts: Counts, over: asyncio.Event) -> None:
+async def client(port: int, keep_alive: bool, requests: Any, counts: Counts, over: asyncio.Event) -> None:
     streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
     while not over.is_set():
         await asyncio.sleep(_PAUSE_S)
@@ -42,12 +42,12 @@
             found = re.search(rb"content-length: (\d+)", head)
             await reader.readexactly(int(found[1]) if found is not None else 0)
         except (OSError, asyncio.IncompleteReadError):
-            counts.turned_back += 1
+            counts.lost += 1
             streams = None
             continue
         counts.answered += head.startswith(b"http/1.1 200")
         counts.other += not head.startswith(b"http/1.1 200")
-        if keeps and b"connection: close" not in head:
+        if keep_alive and b"connection: close" not in head:
             streams = (reader, writer)
         else:
             streams = None
@@ -55,23 +55,23 @@
 
 
 class Process:
-    """A daemon of this tree, on the address of the one before it."""
+    """A daemon of this tree, on its predecessor's address."""
 
-    def __init__(self, folder: Path, given: dict[str, Any]) -> None:
-        self._folder, self._given = folder, given
+    def __init__(self, folder: Path, config: dict[str, Any]) -> None:
+        self._folder, self._config = folder, config
         self.child: asyncio.subprocess.Process | None = None
 
     async def start(self, port: int) -> int:
         path = self._folder / f"config-{os.urandom(4).hex()}.json"
-        path.write_text(json.dumps({**self._given, "listen": f"{rig.HOST}:{port}"}))
+        path.write_text(json.dumps({**self._config, "listen": f"{rig.HOST}:{port}"}))
         env = {**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": str(self._folder)}
         self.child = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "micadeck", cwd=rig.ROOT, env=env, stderr=asyncio.subprocess.PIPE
         )
         assert self.child.stderr is not None
-        told = re.search(rb"serves on .*?:(\d+)", await self.child.stderr.readline())
-        assert told is not None
-        return int(told[1])
+        match = re.search(rb"serves on .*?:(\d+)", await self.child.stderr.readline())
+        assert match is not None
+        return int(match[1])
 
     async def stop(self) -> None:
         assert self.child is not None
@@ -79,12 +79,12 @@
         await self.child.wait()
 
 
-async def play(options: argparse.Namespace, addresses: list[str], side_by_side: bool) -> Counts:
+async def measure(options: argparse.Namespace, addresses: list[str], overlaps: bool) -> Counts:
     counts, over = Counts(), asyncio.Event()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        given = rig.configuration(addresses)
-        running = Process(folder, given)
+        config = rig.configuration(addresses)
+        running = Process(folder, config)
         port = await running.start(0)
         requests = rig.requests()
         clients = [
@@ -93,14 +93,14 @@
         ]
         for _ in range(options.upgrades):
             await asyncio.sleep(0.5)
-            following = Process(folder, given)
-            if side_by_side:
-                await following.start(port)
+            successor = Process(folder, config)
+            if overlaps:
+                await successor.start(port)
                 await running.stop()
             else:
                 await running.stop()
-                await following.start(port)
-            running = following
+                await successor.start(port)
+            running = successor
         await asyncio.sleep(0.5)
         over.set()
         await asyncio.gather(*clients)
@@ -115,12 +115,12 @@
     options = given.parse_args()
     cores = rig.spare_cores()
     with rig.servers(cores[-1], 4) as addresses:
-        for side_by_side in (True, False):
+        for overlaps in (True, False):
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-                counts = runner.run(play(options, addresses, side_by_side))
-            how = "side by side" if side_by_side else "one after the other"
+                counts = runner.run(measure(options, addresses, overlaps))
+            how = "side by side" if overlaps else "one after the other"
             print(
-                f"{how}: {counts.turned_back} turned back in {options.upgrades} upgrades,"
+                f"{how}: {counts.lost} turned back in {options.upgrades} upgrades,"
                 f" {counts.answered} served, {counts.other} answered otherwise"
             )
 
