--- a/tests/shim/test_failing_calls.py
+++ b/tests/shim/test_failing_calls.py
@@ -1,7 +1,6 @@
-"""One system call of the running daemon fails now and then: it lives, serves, and leaves nobody waiting.
+"""A system call of the daemon fails intermittently; it must keep running and answer every request.
 
-The shim is built with the C compiler of the machine, as the compiled decisions are.  The cases that need none
-are in `tests/test_failing_streams.py`.
+The shim needs a C compiler; cases without the shim are in `tests/test_failing_streams.py`.
 """
 
 from __future__ import annotations
@@ -25,9 +24,9 @@
 
 SOURCE = Path(__file__).parent / "failing_calls.c"
 COMPILER = shutil.which("cc")
-SHARE = 100  # of 1000 calls
+FAILURES_PER_1000 = 100
 ROUNDS = 40
-AT_ONCE = 10
+CONCURRENT_REQUESTS = 10
 
 CALLS = [
     ("getsockname", errno.ENOBUFS),
@@ -36,7 +35,7 @@
     ("epoll_ctl", errno.ENOSPC),
     ("accept4", errno.ENFILE),
     ("accept4", errno.ECONNABORTED),
-    ("setsockopt", errno.ENOBUFS),  # uvloop sets an option of each connection that it takes over
+    ("setsockopt", errno.ENOBUFS),  # uvloop sets an option on each accepted connection
     ("setsockopt", errno.ENOMEM),
     ("socket", errno.EMFILE),
     ("connect", errno.ENETUNREACH),
@@ -59,14 +58,14 @@
 
 
 @pytest.mark.parametrize(("call", "number"), CALLS, ids=lambda each: errno.errorcode.get(each, each))
-def test_a_call_that_fails_now_and_then_costs_no_request(call: str, number: int, shim: Path) -> None:
+def test_an_intermittently_failing_call_fails_no_request(call: str, number: int, shim: Path) -> None:
     async def work() -> None:
-        faults = {"SHIM_CALL": call, "SHIM_ERRNO": number, "SHIM_SHARE": SHARE, "SHIM_SEED": 7}
+        faults = {"SHIM_CALL": call, "SHIM_ERRNO": number, "SHIM_SHARE": FAILURES_PER_1000, "SHIM_SEED": 7}
         environment = {"LD_PRELOAD": str(shim), **{key: str(value) for key, value in faults.items()}}
         async with Daemon([LOADS["request: clients that leave at once"]], environment=environment) as daemon:
             served = []
             for _ in range(ROUNDS):
-                served += await asyncio.gather(*(is_served(daemon.port) for _ in range(AT_ONCE)))
+                served += await asyncio.gather(*(is_served(daemon.port) for _ in range(CONCURRENT_REQUESTS)))
                 await asyncio.sleep(0.01)
             assert daemon.exit_code is None, daemon.log
             assert served.count(False) == 0, daemon.log
@@ -77,8 +76,8 @@
 
 
 @pytest.mark.parametrize("number", [errno.ENOMEM, errno.ENOSPC], ids=errno.errorcode.get)
-def test_a_start_waits_out_a_loop_that_fails_as_it_begins(number: int, shim: Path, tmp_path: Path) -> None:
-    """Against an end with code 3: a loop that failed as it began can be neither run again nor closed."""
+def test_startup_retries_while_the_event_loop_fails_to_start(number: int, shim: Path, tmp_path: Path) -> None:
+    """The daemon could end with code 3: a loop that failed to start can't be run again or closed."""
     config = tmp_path / "config.json"
     config.write_text(json.dumps(GOOD))
     faults = {"LD_PRELOAD": str(shim), "SHIM_CALL": "epoll_ctl", "SHIM_ERRNO": str(number)}
--- a/tests/soak/soak_client.py
+++ b/tests/soak/soak_client.py
@@ -1,6 +1,6 @@
 """Clients of a soak run: open-loop load on several sidecars from one process.
 
-Run as `python soak_client.py FOLDER NUMBER START`; it writes what became of each request to
+Run as `python soak_client.py FOLDER NUMBER START`; it writes the outcome of each request to
 `clients-NUMBER.json`.
 """
 
@@ -18,53 +18,53 @@
 from pathlib import Path
 from typing import cast
 
-from soak_plan import DEADLINES_S, HOST, METHODS, NEW_CONNECTIONS_S, Fault, Kind, Plan, is_body_of
+from soak_plan import CONNECT_AFTER_TERM_S, DEADLINES_S, HOST, METHODS, Fault, Kind, Plan, is_body_of
 from soak_server import Log
 
-WAIT_BEYOND_S = 0.8  # a client looks for its answer so long after its deadline
-NONSENSE = (
+ANSWER_WAIT_S = 0.8  # a client waits this long after its deadline
+MALFORMED_REQUESTS = (
     b"\0\1\2\3\r\n\r\n",
     b"GET / HTTP/1.1\r\n\r\n",
     b"POST /x HTTP/1.1\r\nHost: a\r\n",
     b"PRI * HTTP/2.0\r\n\r\n",
 )
-FLOODS = (
+HEADER_FLOODS = (
     b"GET / HTTP/1.1\r\nHost: a\r\n" + b"a:\r\n" * 3_800,
     b"GET / HTTP/1.1\r\nHost: a\r\n" + b"a:\r\n" * 90,
     b"GET / HTTP/1.1\r\n\r\n" * 400,
     b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 60000\r\n\r\n" + b"x" * 50_000,
     b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n" + b"a:\r\n" * 3_800,
 )
-SENT: dict[Fault, Sequence[bytes]] = {
-    Fault.CROWD: (),
-    Fault.NONSENSE: NONSENSE,
-    Fault.HEADER_FLOOD: FLOODS,
-}  # by an idle or hostile crowd
+PAYLOADS: dict[Fault, Sequence[bytes]] = {
+    Fault.IDLE_CONNECTIONS: (),
+    Fault.MALFORMED_REQUESTS: MALFORMED_REQUESTS,
+    Fault.HEADER_FLOOD: HEADER_FLOODS,
+}  # what the connections of these faults send
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientRequest:
     """One request as its client saw it; times on the monotonic clock in seconds."""
 
     ident: str
     kind: str
     sidecar: int
     connection: int
-    place: int  # which request on its connection, from 1
+    place: int  # of the request on its connection, from 1
     connected_at: float
     sent_at: float
     timeout_s: float
-    left_at: float = 0.0  # when the client closed; 0: it did not
+    left_at: float = 0.0  # when the client closed; 0: never
     done_at: float = 0.0
     status: int = 0
-    is_right: bool = False  # the body of a 200
+    is_right: bool = False  # a 200 with this request's body
     end: str = "open"  # answer, eof, reset, late, left, garbled
-    partial: bool = False  # a part of an answer came
-    extra: bool = False  # more came than one answer
+    partial: bool = False  # only part of an answer arrived
+    extra: bool = False  # data arrived beyond one answer
 
 
 class Connection(asyncio.Protocol):
-    """One connection; it reads answers by hand, so that no parser is shared with the program."""
+    """One connection; parses answers itself, to share no parser with the program."""
 
     _numbers = iter(range(1, 1 << 40))
 
@@ -72,19 +72,21 @@
         self._pool = pool
         self.number = next(self._numbers)
         self.connected_at = time.monotonic()
-        self.asked = 0
-        self.request: Asked | None = None
+        self.sent_count = 0
+        self.request: ClientRequest | None = None
         self._data = b""
-        self._last: Asked | None = None
+        self._last: ClientRequest | None = None
         self._timers: list[asyncio.TimerHandle] = []
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def send(self, kind: Kind, ident: str, timeout_s: float, leaves_in_s: float | None) -> Asked:
+    def send(
+        self, kind: Kind, ident: str, timeout_s: float, disconnect_after_s: float | None
+    ) -> ClientRequest:
         assert self.transport is not None
-        self.asked += 1
+        self.sent_count += 1
         lines = [
             f"{METHODS[kind]} /api/{ident} HTTP/1.1",
             "Host: origin.svc",
@@ -98,24 +100,24 @@
             lines.append("Content-Length: 4")
         body = "" if kind is Kind.SAFE else "body"
         raw = ("\r\n".join(lines) + "\r\n\r\n" + body).encode()
-        self.request = Asked(
+        self.request = ClientRequest(
             ident,
             kind,
             self._pool.sidecar,
             self.number,
-            self.asked,
+            self.sent_count,
             self.connected_at,
             time.monotonic(),
             timeout_s,
         )
         self.transport.write(raw)
         loop = asyncio.get_running_loop()
-        self._timers = [loop.call_later(timeout_s + WAIT_BEYOND_S, self._leave, "late")]
-        if leaves_in_s is not None:
-            self._timers.append(loop.call_later(leaves_in_s, self._leave, "left"))
+        self._timers = [loop.call_later(timeout_s + ANSWER_WAIT_S, self._disconnect, "late")]
+        if disconnect_after_s is not None:
+            self._timers.append(loop.call_later(disconnect_after_s, self._disconnect, "left"))
         return self.request
 
-    def _leave(self, how: str) -> None:
+    def _disconnect(self, how: str) -> None:
         if self.request is not None and self.transport is not None:
             self.request.left_at = time.monotonic()
             self._close(how)
@@ -139,31 +141,31 @@
         parsed = self._parse()
         if parsed is None:
             return
-        status, body, keeps = parsed
+        status, body, keep_alive = parsed
         request = self.request
         self._close("answer")
         request.status, request.is_right = status, status == 200 and is_body_of(request.ident, body)
         request.partial = False
         request.extra = bool(self._data)
-        if keeps:
+        if keep_alive:
             self._pool.idle.append(self)
         elif self.transport is not None:
             self.transport.close()
 
     def _parse(self) -> tuple[int, bytes, bool] | None:
-        """The whole answer at the begin of what came, if it is there."""
+        """The first answer in the buffer, if it is complete."""
         head, blank, rest = self._data.partition(b"\r\n\r\n")
         if not blank:
             return None
         lines = head.decode("latin-1").lower().split("\r\n")
         headers = dict(line.split(": ", 1) for line in lines[1:])
-        keeps = headers.get("connection") != "close"
+        keep_alive = headers.get("connection") != "close"
         if "content-length" in headers:
             length = int(headers["content-length"])
             if len(rest) < length:
                 return None
             self._data = rest[length:]
-            return int(lines[0].split()[1]), rest[:length], keeps
+            return int(lines[0].split()[1]), rest[:length], keep_alive
         body = b""
         while True:
             size, line_end, rest = rest.partition(b"\r\n")
@@ -174,7 +176,7 @@
             rest = rest[length + 2 :]
             if not length:
                 self._data = rest
-                return int(lines[0].split()[1]), body, keeps
+                return int(lines[0].split()[1]), body, keep_alive
 
     def eof_received(self) -> None:
         self._close("eof")
@@ -192,47 +194,47 @@
         self.sidecar = sidecar
         self.port = port
         self.idle: list[Connection] = []
-        self.asked: list[Asked] = []
+        self.requests: list[ClientRequest] = []
         self._plan = plan
         self._start = start
-        self._drawn = random.Random(f"{plan.seed} clients {sidecar}")
-        self._idents = self._name()
-        self._leave = next(iter(plan.of(Fault.LEAVE)), None)
+        self._rng = random.Random(f"{plan.seed} clients {sidecar}")
+        self._idents = self._request_ids()
+        self._disconnects = next(iter(plan.of(Fault.DISCONNECT)), None)
 
-    def _name(self) -> Iterator[str]:
+    def _request_ids(self) -> Iterator[str]:
         number = 0
         while True:
             number += 1
-            yield f"{self.sidecar:02x}{number:06x}{self._drawn.getrandbits(32):08x}"
+            yield f"{self.sidecar:02x}{number:06x}{self._rng.getrandbits(32):08x}"
 
     async def run(self) -> None:
-        drawn = self._drawn
+        rng = self._rng
         by = self._start + self._plan.duration_s
-        asking: set[asyncio.Task[None]] = set()
+        tasks: set[asyncio.Task[None]] = set()
         while (now := time.monotonic()) < by + 2.0:
-            # After the last SIGTERM only open connections are used, until they are closed.
-            task = asyncio.create_task(self._ask(may_connect=now < by + NEW_CONNECTIONS_S))
-            asking.add(task)
-            task.add_done_callback(asking.discard)
-            await asyncio.sleep(drawn.expovariate(self._plan.requests_per_s))
-
-    async def _ask(self, *, may_connect: bool) -> None:
-        drawn = self._drawn
-        kind = drawn.choice(list(Kind))
-        timeout_s = DEADLINES_S[kind] * drawn.uniform(0.5, 1.0)
-        leaves_in_s = None
-        if self._leave is not None and drawn.random() < self._leave.figure:
-            leaves_in_s = drawn.choice([0.0, 0.001, drawn.uniform(0.0, 0.2)])
+            # After the final SIGTERM and a grace, only open connections are used until they close.
+            task = asyncio.create_task(self._send_request(may_connect=now < by + CONNECT_AFTER_TERM_S))
+            tasks.add(task)
+            task.add_done_callback(tasks.discard)
+            await asyncio.sleep(rng.expovariate(self._plan.requests_per_s))
+
+    async def _send_request(self, *, may_connect: bool) -> None:
+        rng = self._rng
+        kind = rng.choice(list(Kind))
+        timeout_s = DEADLINES_S[kind] * rng.uniform(0.5, 1.0)
+        disconnect_after_s = None
+        if self._disconnects is not None and rng.random() < self._disconnects.figure:
+            disconnect_after_s = rng.choice([0.0, 0.001, rng.uniform(0.0, 0.2)])
         ident = next(self._idents)
-        connection = self._take()
+        connection = self._take_idle()
         if connection is None and may_connect:
             connection = await self._connect()
         if connection is not None and connection.transport is not None:
-            self.asked.append(connection.send(kind, ident, timeout_s, leaves_in_s))
+            self.requests.append(connection.send(kind, ident, timeout_s, disconnect_after_s))
 
-    def _take(self) -> Connection | None:
+    def _take_idle(self) -> Connection | None:
         while self.idle:
-            connection = self.idle.pop(self._drawn.randrange(len(self.idle)))
+            connection = self.idle.pop(self._rng.randrange(len(self.idle)))
             if connection.transport is not None and not connection.transport.is_closing():
                 return connection
         return None
@@ -246,29 +248,29 @@
             return None
         return connection
 
-    async def crowd(self, begins_s: float, ends_s: float, count: int, sent: Sequence[bytes]) -> None:
-        """So many connections that each send one of these, or nothing."""
+    async def flood(self, begins_s: float, ends_s: float, count: int, payloads: Sequence[bytes]) -> None:
+        """Open `count` connections that each send one of `payloads`, or nothing."""
         await asyncio.sleep(max(self._start + begins_s - time.monotonic(), 0.0))
         ends = self._start + ends_s
-        held = []
+        sockets = []
         while time.monotonic() < ends:
             for _ in range(count):
                 each = socket.socket()
                 each.setblocking(False)
                 each.connect_ex((HOST, self.port))
-                held.append(each)
+                sockets.append(each)
             await asyncio.sleep(0.05)
-            for each in held if sent else []:
+            for each in sockets if payloads else []:
                 try:
-                    each.send(self._drawn.choice(sent))
+                    each.send(self._rng.choice(payloads))
                 except OSError:
                     pass
             await asyncio.sleep(0.2)
-            for each in held:
-                if self._drawn.random() < 0.5:
+            for each in sockets:
+                if self._rng.random() < 0.5:
                     each.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 each.close()
-            held.clear()
+            sockets.clear()
 
 
 async def main(folder: Path, number: int, start: float) -> None:
@@ -280,13 +282,15 @@
     pools = [Pool(each, ports[each], plan, start) for each in mine]
     work = [pool.run() for pool in pools]
     for pool in pools:
-        for event in plan.of(*SENT):
+        for event in plan.of(*PAYLOADS):
             if event.target == pool.sidecar:
-                work.append(pool.crowd(event.begins_s, event.ends_s, int(event.figure), SENT[event.fault]))
+                work.append(
+                    pool.flood(event.begins_s, event.ends_s, int(event.figure), PAYLOADS[event.fault])
+                )
     await asyncio.gather(*work)
-    await asyncio.sleep(max(DEADLINES_S.values()) + WAIT_BEYOND_S + 0.1)
+    await asyncio.sleep(max(DEADLINES_S.values()) + ANSWER_WAIT_S + 0.1)
     lag.cancel()
-    rows = [asdict(each) for pool in pools for each in pool.asked]
+    rows = [asdict(each) for pool in pools for each in pool.requests]
     (folder / f"clients-{number}.json").write_text(json.dumps({"asked": rows, "lags": log.lags}))
 
 
--- a/tests/soak/soak_oracle.py
+++ b/tests/soak/soak_oracle.py
@@ -1,4 +1,4 @@
-"""Judges a soak run by what its clients and servers recorded, against the rules of the pages."""
+"""Checks the records of a soak run's clients and servers against the documented guarantees."""
 
 from __future__ import annotations
 
@@ -9,38 +9,46 @@
 from itertools import pairwise
 from pathlib import Path
 
-from soak_client import Asked
-from soak_plan import KILL_AFTER_LONGEST_S, LONGEST_S, MEMORY_S, NEW_CONNECTIONS_S, SHARED_ROOM, Kind, Plan
+from soak_client import ClientRequest
+from soak_plan import (
+    CONNECT_AFTER_TERM_S,
+    CONNECTION_FLOODS,
+    DEDUPLICATION_WINDOW_S,
+    KILL_MARGIN_S,
+    MAX_DEADLINE_S,
+    Kind,
+    Plan,
+)
 from soak_server import Arrival
 
-LATE_S = 0.5  # beyond its time an answer earns nothing; later it is lost
-LEFT_S = 0.1  # an attempt may begin so long after its client closed
-TOLD_S = 0.15  # and tell so much more time than is left
-MEASURED_S = 0.03  # what the recording processes may be off by
-MEASURED_OVERLAP_S = 0.02
-SECOND_BOUND_S = 0.0095  # a second answer that comes later may be served (docs/design/reuse.md)
+ANSWER_GRACE_S = 0.5  # after its deadline an answer is late; after this too, it is lost
+DISCONNECT_GRACE_S = 0.1  # an attempt may still start this long after its client disconnected
+TIMEOUT_TOLERANCE_S = 0.15  # an attempt's timeout may exceed the client's remaining time by this
+TIMING_ERROR_S = 0.03  # timing error of the recording processes
+OVERLAP_TOLERANCE_S = 0.02
+SECOND_RESPONSE_BOUND_S = 0.0095  # a later second response may be served (docs/design/reuse.md)
 MEMORY_LIMIT_MB = 96
-MOST_MEMORY_MB = 0.5 * MEMORY_LIMIT_MB  # of anonymous resident memory: far under the limit
-TOLD_LIST_S = 6.0  # a change of the list counts as told
-GRACE_S = 0.5 + 0.05 + 0.15  # of a drain, on sockets, with a hold-up
+MAX_RESIDENT_MB = 0.5 * MEMORY_LIMIT_MB  # anonymous resident memory, far below the limit
+LIST_PROPAGATION_S = 6.0  # every sidecar has a list change after this
+DRAIN_GRACE_S = 0.5 + 0.05 + 0.15  # drain grace, plus socket delay and one pause
 
 
 @dataclass(slots=True)
-class Life:
-    """One process of a sidecar; times on the monotonic clock in seconds."""
+class ProcessRecord:
+    """One sidecar process; times on the monotonic clock in seconds."""
 
     sidecar: int
     started_at: float
     term_at: float = 0.0
-    kill_at: float = 0.0  # 0: it had ended by itself
+    kill_at: float = 0.0  # 0: it ended by itself
     ended_at: float = 0.0
     code: int | None = None
-    peak_mb: float = 0.0  # of its anonymous resident memory
+    peak_mb: float = 0.0  # anonymous resident memory
 
 
 @dataclass(slots=True)
-class Broken:
-    """One invariant that did not hold, with the story of its request."""
+class Violation:
+    """One violated invariant, and its request."""
 
     rule: str
     text: str
@@ -50,34 +58,38 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What a run showed."""
+    """The result of a run."""
 
-    broken: list[Broken] = field(default_factory=list)
-    asked: int = 0
+    violations: list[Violation] = field(default_factory=list)
+    requests: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
-    crossed: int = 0  # not read by the sidecar, which had closed the connection
-    unjudged: int = 0  # a timing rule looked broken while the recorder itself was held up
-    told_violations: int = 0  # that the program counted itself
-    peak_mb: float = 0.0  # of any sidecar
+    closed_unread: int = 0  # the sidecar closed the connection before reading the request
+    unjudged: int = 0  # timing violations while a recording process was stalled
+    logged_violations: int = 0  # logged by the program itself
+    peak_mb: float = 0.0  # highest of all sidecars
 
 
 class Oracle:
     """All records of one run."""
 
     def __init__(
-        self, folder: Path, plan: Plan, lives: list[Life], drains: list[tuple[int, float, float]]
+        self,
+        folder: Path,
+        plan: Plan,
+        process_records: list[ProcessRecord],
+        drains: list[tuple[int, float, float]],
     ) -> None:
         self._plan = plan
-        self._lives = lives
+        self._process_records = process_records
         self._drains = drains
-        self.asked: list[Asked] = []
+        self.requests: list[ClientRequest] = []
         self.arrivals: dict[str, list[Arrival]] = defaultdict(list)
         self._lags: list[tuple[float, float]] = []
         for path in sorted(folder.glob("clients-*.json")):
             given = json.loads(path.read_text())
-            self.asked += [Asked(**each) for each in given["asked"]]
+            self.requests += [ClientRequest(**each) for each in given["asked"]]
             self._lags += given["lags"]
         for path in sorted(folder.glob("servers-*.json")):
             given = json.loads(path.read_text())
@@ -87,27 +99,27 @@
 
     def judge(self) -> Verdict:
         verdict = Verdict()
-        known = {each.ident for each in self.asked}
-        for asked in self.asked:
-            arrivals = sorted(self.arrivals.get(asked.ident, []), key=lambda each: each.arrived_at)
-            self._count(asked, arrivals, verdict)
-            for broken in self._of_request(asked, arrivals):
-                is_beyond = broken.rule.startswith("time: lost: an answer that")
-                if is_beyond or (broken.rule.startswith("time: ") and self._is_held_up(broken.at)):
+        known = {each.ident for each in self.requests}
+        for request in self.requests:
+            arrivals = sorted(self.arrivals.get(request.ident, []), key=lambda each: each.arrived_at)
+            self._count(request, arrivals, verdict)
+            for violation in self._request_violations(request, arrivals):
+                is_beyond = violation.rule.startswith("time: lost: an answer that")
+                if is_beyond or (violation.rule.startswith("time: ") and self._is_stalled(violation.at)):
                     verdict.unjudged += 1
                 else:
-                    verdict.broken.append(broken)
+                    verdict.violations.append(violation)
         for ident in self.arrivals.keys() - known:
-            verdict.broken.append(Broken("a request that no client sent", "", 0.0, ident))
-        verdict.peak_mb = max(life.peak_mb for life in self._lives)
-        verdict.broken += self._of_lives()
-        verdict.broken += self._of_drains()
-        verdict.broken.sort(key=lambda each: each.at)
+            verdict.violations.append(Violation("a request that no client sent", "", 0.0, ident))
+        verdict.peak_mb = max(record.peak_mb for record in self._process_records)
+        verdict.violations += self._process_violations()
+        verdict.violations += self._drain_violations()
+        verdict.violations.sort(key=lambda each: each.at)
         return verdict
 
-    def story(self, ident: str, start: float) -> str:
-        """All that is known of one request, in order."""
-        lines = [f"    client: {_since(each, start)}" for each in self.asked if each.ident == ident]
+    def history(self, ident: str, start: float) -> str:
+        """The recorded events of one request, in order."""
+        lines = [f"    client: {_since(each, start)}" for each in self.requests if each.ident == ident]
         arrivals = sorted(self.arrivals.get(ident, []), key=lambda each: each.arrived_at)
         lines += [
             f"    server {each.server} connection {each.connection}: {each.arrived_at - start:.3f} "
@@ -116,134 +128,151 @@
         ]
         return "\n".join(lines)
 
-    def _count(self, asked: Asked, arrivals: list[Arrival], verdict: Verdict) -> None:
-        verdict.asked += 1
-        if asked.end == "answer":
-            verdict.served += asked.status == 200
-            verdict.refused += asked.status in (429, 503)
-            verdict.failed += asked.status not in (200, 429, 503)
-        elif asked.end in ("eof", "reset") and self._is_crossed(asked, arrivals):
-            verdict.crossed += 1
-
-    def _is_held_up(self, at: float) -> bool:
-        """Whether a recording process stood still around this time."""
+    def _count(self, request: ClientRequest, arrivals: list[Arrival], verdict: Verdict) -> None:
+        verdict.requests += 1
+        if request.end == "answer":
+            verdict.served += request.status == 200
+            verdict.refused += request.status in (429, 503)
+            verdict.failed += request.status not in (200, 429, 503)
+        elif request.end in ("eof", "reset") and self._was_closed_unread(request, arrivals):
+            verdict.closed_unread += 1
+
+    def _is_stalled(self, at: float) -> bool:
+        """Whether a recording process was stalled around this time."""
         return any(before - 0.05 <= at <= before + late_s + 0.1 for before, late_s in self._lags)
 
-    def _killed(self, asked: Asked) -> bool:
-        """Whether SIGKILL found it unanswered."""
+    def _was_killed(self, request: ClientRequest) -> bool:
+        """Whether SIGKILL ended the request unanswered."""
         return any(
-            life.sidecar == asked.sidecar and life.kill_at and -0.01 <= asked.done_at - life.kill_at < 0.2
-            for life in self._lives
+            record.sidecar == request.sidecar
+            and record.kill_at
+            and -0.01 <= request.done_at - record.kill_at < 0.2
+            for record in self._process_records
         )
 
-    def _is_crossed(self, asked: Asked, arrivals: list[Arrival]) -> bool:
-        """Whether the sidecar closed the connection without having read it."""
-        if arrivals or asked.partial or self._killed(asked):
+    def _was_closed_unread(self, request: ClientRequest, arrivals: list[Arrival]) -> bool:
+        """Whether the sidecar closed the connection before reading the request."""
+        if arrivals or request.partial or self._was_killed(request):
             return False
-        if asked.place > 1:
+        if request.place > 1:
             return True
-        crowded = any(each.target == asked.sidecar for each in self._plan.of(*SHARED_ROOM))
+        crowded = any(each.target == request.sidecar for each in self._plan.of(*CONNECTION_FLOODS))
         return crowded or any(
-            life.sidecar == asked.sidecar
-            and life.term_at
-            and asked.connected_at > life.term_at + NEW_CONNECTIONS_S - MEASURED_S
-            for life in self._lives
+            record.sidecar == request.sidecar
+            and record.term_at
+            and request.connected_at > record.term_at + CONNECT_AFTER_TERM_S - TIMING_ERROR_S
+            for record in self._process_records
         )
 
-    def _of_request(self, asked: Asked, arrivals: list[Arrival]) -> Iterator[Broken]:
-        ident, by = asked.ident, asked.sent_at + asked.timeout_s + LATE_S
-        if asked.extra:
-            yield Broken("lost: more than one answer", "", asked.done_at, ident)
-        if asked.end == "late":
-            yield Broken("lost: no answer in its time", "", by, ident)
-        elif asked.end in ("eof", "reset"):
-            if not self._is_crossed(asked, arrivals) and not self._was_cut(asked, arrivals):
-                killed = ", SIGKILL" if self._killed(asked) else ""
-                yield Broken(
-                    f"lost: its connection ended ({asked.end}) with no answer{killed}",
+    def _request_violations(self, request: ClientRequest, arrivals: list[Arrival]) -> Iterator[Violation]:
+        ident, by = request.ident, request.sent_at + request.timeout_s + ANSWER_GRACE_S
+        if request.extra:
+            yield Violation("lost: more than one answer", "", request.done_at, ident)
+        if request.end == "late":
+            yield Violation("lost: no answer in its time", "", by, ident)
+        elif request.end in ("eof", "reset"):
+            if not self._was_closed_unread(request, arrivals) and not self._was_broken_off(request, arrivals):
+                killed = ", SIGKILL" if self._was_killed(request) else ""
+                yield Violation(
+                    f"lost: its connection ended ({request.end}) with no answer{killed}",
                     "",
-                    asked.done_at,
+                    request.done_at,
                     ident,
                 )
-        elif asked.end == "answer" and asked.done_at > by + MEASURED_S:
-            yield Broken("time: lost: answered too late", f"{asked.done_at - by:.3f} s", asked.done_at, ident)
-        if asked.end == "answer" and asked.status == 200 and not asked.is_right:
+        elif request.end == "answer" and request.done_at > by + TIMING_ERROR_S:
+            yield Violation(
+                "time: lost: answered too late", f"{request.done_at - by:.3f} s", request.done_at, ident
+            )
+        if request.end == "answer" and request.status == 200 and not request.is_right:
             rule = "lost: an answer that is not this request's"
-            # The stand-in's own event loop may write a second answer later than it was drawn.
-            beyond = "time: " if self._has_second_beyond_bound(arrivals) else ""
-            yield Broken(f"{beyond}{rule}", "", asked.done_at, ident)
-        if asked.end == "answer" and asked.status == 400:
-            yield Broken("lost: a good request was called bad", "", asked.done_at, ident)
+            # The stand-in's own event loop may write a second response later than scheduled.
+            beyond = "time: " if self._has_late_second_response(arrivals) else ""
+            yield Violation(f"{beyond}{rule}", "", request.done_at, ident)
+        if request.end == "answer" and request.status == 400:
+            yield Violation("lost: a good request was called bad", "", request.done_at, ident)
         for arrival in arrivals:
-            left = asked.left_at
-            if left and arrival.arrived_at > left + LEFT_S + MEASURED_S:
+            left = request.left_at
+            if left and arrival.arrived_at > left + DISCONNECT_GRACE_S + TIMING_ERROR_S:
                 late_s = arrival.arrived_at - left
-                yield Broken(
+                yield Violation(
                     "time: lost: forwarded after its client left",
                     f"{late_s:.3f} s",
                     arrival.arrived_at,
                     ident,
                 )
-            left_s = asked.sent_at + asked.timeout_s - arrival.arrived_at
-            if arrival.told_s > max(left_s, 0.0) + TOLD_S + MEASURED_S:
+            left_s = request.sent_at + request.timeout_s - arrival.arrived_at
+            if arrival.told_s > max(left_s, 0.0) + TIMEOUT_TOLERANCE_S + TIMING_ERROR_S:
                 text = f"told {arrival.told_s:.3f} s, {left_s:.3f} s left"
-                yield Broken("time: told: more time than the client has", text, arrival.arrived_at, ident)
-        yield from self._of_attempts(asked, arrivals)
+                yield Violation("time: told: more time than the client has", text, arrival.arrived_at, ident)
+        yield from self._attempt_violations(request, arrivals)
 
-    def _has_second_beyond_bound(self, arrivals: list[Arrival]) -> bool:
-        """Whether a server sent a second answer, on a connection of these, later than the rest covers."""
-        ways = {(each.server, each.connection) for each in arrivals}
+    def _has_late_second_response(self, arrivals: list[Arrival]) -> bool:
+        """Whether a connection of these carried a second response after the covered delay."""
+        connections = {(each.server, each.connection) for each in arrivals}
         return any(
-            (each.server, each.connection) in ways and each.second_at > each.ended_at + SECOND_BOUND_S
+            (each.server, each.connection) in connections
+            and each.second_at > each.ended_at + SECOND_RESPONSE_BOUND_S
             for rows in self.arrivals.values()
             for each in rows
         )
 
     @staticmethod
-    def _was_cut(asked: Asked, arrivals: list[Arrival]) -> bool:
-        """Whether the server broke an answer of which a part was passed on."""
-        return asked.partial and any(each.how in ("reset", "served") for each in arrivals)
+    def _was_broken_off(request: ClientRequest, arrivals: list[Arrival]) -> bool:
+        """Whether a server broke off a partly forwarded response."""
+        return request.partial and any(each.how in ("reset", "served") for each in arrivals)
 
     @staticmethod
-    def _of_attempts(asked: Asked, arrivals: list[Arrival]) -> Iterator[Broken]:
-        ident = asked.ident
+    def _attempt_violations(request: ClientRequest, arrivals: list[Arrival]) -> Iterator[Violation]:
+        ident = request.ident
         for before, after in pairwise(arrivals):
-            if not before.ended_at or before.ended_at > after.arrived_at + MEASURED_OVERLAP_S:
-                yield Broken("time: duplicate: two attempts at once", "", after.arrived_at, ident)
-        if asked.kind == Kind.UNSAFE and len(arrivals) > 1:
-            yield Broken("duplicate: an unsafe request twice", "", arrivals[1].arrived_at, ident)
-        if asked.kind == Kind.UNSAFE and arrivals and asked.end == "answer" and asked.status in (429, 503):
-            yield Broken("duplicate: refused though it may have run", "", asked.done_at, ident)
-        if asked.kind == Kind.KEYED and arrivals:
+            if not before.ended_at or before.ended_at > after.arrived_at + OVERLAP_TOLERANCE_S:
+                yield Violation("time: duplicate: two attempts at once", "", after.arrived_at, ident)
+        if request.kind == Kind.UNSAFE and len(arrivals) > 1:
+            yield Violation("duplicate: an unsafe request twice", "", arrivals[1].arrived_at, ident)
+        if (
+            request.kind == Kind.UNSAFE
+            and arrivals
+            and request.end == "answer"
+            and request.status in (429, 503)
+        ):
+            yield Violation("duplicate: refused though it may have run", "", request.done_at, ident)
+        if request.kind == Kind.KEYED and arrivals:
             last = arrivals[-1].arrived_at
-            if last > arrivals[0].arrived_at + MEMORY_S + 0.05 + MEASURED_S:
-                yield Broken("time: duplicate: outside the window", "", last, ident)
-
-    def _of_lives(self) -> Iterator[Broken]:
-        for life in self._lives:
-            if life.code not in (0, None) and not life.kill_at:
-                yield Broken(f"crash: sidecar {life.sidecar} ended with {life.code}", "", life.ended_at)
-            if life.peak_mb > MOST_MEMORY_MB:
-                yield Broken(f"memory: sidecar {life.sidecar}", f"{life.peak_mb:.1f} MB", life.ended_at)
+            if last > arrivals[0].arrived_at + DEDUPLICATION_WINDOW_S + 0.05 + TIMING_ERROR_S:
+                yield Violation("time: duplicate: outside the window", "", last, ident)
+
+    def _process_violations(self) -> Iterator[Violation]:
+        for record in self._process_records:
+            if record.code not in (0, None) and not record.kill_at:
+                yield Violation(
+                    f"crash: sidecar {record.sidecar} ended with {record.code}", "", record.ended_at
+                )
+            if record.peak_mb > MAX_RESIDENT_MB:
+                yield Violation(
+                    f"memory: sidecar {record.sidecar}", f"{record.peak_mb:.1f} MB", record.ended_at
+                )
 
-    def _of_drains(self) -> Iterator[Broken]:
+    def _drain_violations(self) -> Iterator[Violation]:
         for server, drained_at, back_at in self._drains:
-            from_s = drained_at + TOLD_LIST_S + GRACE_S
+            from_s = drained_at + LIST_PROPAGATION_S + DRAIN_GRACE_S
             for arrivals in self.arrivals.values():
                 for each in arrivals:
                     if each.server == server and from_s < each.arrived_at < back_at:
-                        yield Broken("drain: sent to a server that drains", "", each.arrived_at, each.ident)
+                        yield Violation(
+                            "drain: sent to a server that drains", "", each.arrived_at, each.ident
+                        )
 
 
 def kill_after_s() -> float:
-    """When SIGKILL comes, in seconds after SIGTERM: the earliest that the pages allow."""
-    return LONGEST_S + KILL_AFTER_LONGEST_S
+    """Seconds from SIGTERM to SIGKILL: the documented minimum."""
+    return MAX_DEADLINE_S + KILL_MARGIN_S
 
 
-def _since(asked: Asked, start: float) -> str:
-    times = f"sent {asked.sent_at - start:.3f} done {asked.done_at - start:.3f}"
-    left = f" left {asked.left_at - start:.3f}" if asked.left_at else ""
+def _since(request: ClientRequest, start: float) -> str:
+    times = f"sent {request.sent_at - start:.3f} done {request.done_at - start:.3f}"
+    left = f" left {request.left_at - start:.3f}" if request.left_at else ""
     return (
-        f"{asked.ident} {asked.kind} to sidecar {asked.sidecar}, connection {asked.connection} "
-        f"place {asked.place}, {times}{left} timeout {asked.timeout_s:.3f}: {asked.end} {asked.status}"
+        f"{request.ident} {request.kind} to sidecar {request.sidecar}, connection {request.connection} "
+        f"place {request.place}, {times}{left} timeout {request.timeout_s:.3f}: "
+        f"{request.end} {request.status}"
     )
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -22,9 +22,19 @@
 from pathlib import Path
 from typing import Any
 
-from soak_oracle import MEMORY_LIMIT_MB, Life, Oracle, Verdict, kill_after_s
-from soak_plan import DEADLINES_S, HOST, MEMORY_S, REPEATS, Event, Fault, Kind, Plan, draw_plan
-from soak_server import LAG_S, Log
+from soak_oracle import MEMORY_LIMIT_MB, Oracle, ProcessRecord, Verdict, kill_after_s
+from soak_plan import (
+    DEADLINES_S,
+    DEDUPLICATION_WINDOW_S,
+    HOST,
+    IDEMPOTENCY,
+    Event,
+    Fault,
+    Kind,
+    Plan,
+    draw_plan,
+)
+from soak_server import STALL_THRESHOLD_S, Log
 
 from micadeck.stand_ins.discovery_server import StandInRoster
 from micadeck.stand_ins.hostile.daemon_under_load import anonymous_mb
@@ -33,9 +43,9 @@
 HERE = Path(__file__).parent
 READY_WITHIN_S = 10.0
 SIGNAL_SPACING_S = 0.02
-LONGEST_HOLD_UP_S = 0.15
-MEMORY_EVERY_S = 0.1
-# As the deploy file begins the program: signals wait until it hears them.
+MAX_PAUSE_S = 0.15
+MEMORY_SAMPLE_S = 0.1
+# As the deploy file starts the program: signals are blocked until its handlers are set.
 AS_DEPLOYED = "trap '' HUP; exec env --block-signal=HUP --block-signal=INT --block-signal=TERM \"$@\""
 SOCKETS = 256
 
@@ -47,10 +57,10 @@
             "name": str(kind),
             "giveUpUs": int(DEADLINES_S[kind] * 1e6),
             "promiseUs": int(DEADLINES_S[kind] * 0.4e6),
-            "repeat": REPEATS[kind],
+            "repeat": IDEMPOTENCY[kind],
         }
         if kind is Kind.KEYED:
-            given |= {"group": "all", "memorySpanUs": int(MEMORY_S * 1e6)}
+            given |= {"group": "all", "memorySpanUs": int(DEDUPLICATION_WINDOW_S * 1e6)}
         classes.append(given)
     return {
         "lanes": classes,
@@ -69,12 +79,12 @@
 
 @dataclass(slots=True)
 class Sidecar:
-    """One sidecar: its place and its process of now."""
+    """One sidecar and its current process."""
 
     number: int
     port: int
     process: asyncio.subprocess.Process | None = None
-    life: Life | None = None
+    record: ProcessRecord | None = None
 
 
 class Run:
@@ -83,10 +93,10 @@
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan = plan
         self.folder = folder
-        self.lives: list[Life] = []
+        self.process_records: list[ProcessRecord] = []
         self.drains: list[tuple[int, float, float]] = []
         self.start = 0.0
-        self._drawn = random.Random(f"run {plan.seed}")
+        self._rng = random.Random(f"run {plan.seed}")
         self._rosters = [StandInRoster(), StandInRoster()]
         self._sidecars = [Sidecar(number, free_port()) for number in range(plan.sidecars)]
         self._addresses: list[str] = []
@@ -113,12 +123,12 @@
             for roster in self._rosters:
                 roster.put(f"s-{number}", address)
         try:
-            await asyncio.gather(*(self._begin(each) for each in self._sidecars))
+            await asyncio.gather(*(self._start_sidecar(each) for each in self._sidecars))
             self.start = max(self.start, time.monotonic())
             clients = [
                 await self._spawn("soak_client.py", number) for number in range(self.plan.client_processes)
             ]
-            await asyncio.gather(*(self._do(event) for event in self.plan.events), self._end_all())
+            await asyncio.gather(*(self._inject(event) for event in self.plan.events), self._stop_all())
             for process in clients:
                 assert await process.wait() == 0
         finally:
@@ -134,15 +144,15 @@
         lag.cancel()
         memory.cancel()
         self._log.save()
-        return Oracle(self.folder, self.plan, self.lives, self.drains).judge()
+        return Oracle(self.folder, self.plan, self.process_records, self.drains).judge()
 
     async def _watch_memory(self) -> None:
         while True:
             for sidecar in self._sidecars:
-                life, process = sidecar.life, sidecar.process
-                if life is not None and process is not None and process.returncode is None:
-                    life.peak_mb = max(life.peak_mb, anonymous_mb(process.pid))
-            await asyncio.sleep(MEMORY_EVERY_S)
+                record, process = sidecar.record, sidecar.process
+                if record is not None and process is not None and process.returncode is None:
+                    record.peak_mb = max(record.peak_mb, anonymous_mb(process.pid))
+            await asyncio.sleep(MEMORY_SAMPLE_S)
 
     async def _spawn(self, script: str, number: int) -> asyncio.subprocess.Process:
         return await asyncio.create_subprocess_exec(
@@ -167,7 +177,7 @@
     def _config_path(self, sidecar: Sidecar) -> Path:
         return self.folder / f"n{sidecar.number}.json"
 
-    async def _begin(self, sidecar: Sidecar) -> None:
+    async def _start_sidecar(self, sidecar: Sidecar) -> None:
         """Start a process and wait until it is ready."""
         path = self._config_path(sidecar)
         path.write_text(self._config(sidecar, self._rosters[0]))
@@ -181,17 +191,17 @@
                 f"{self.plan.seed} {sidecar.number}", cwd=ROOT, stderr=log,
                 env={**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": str(self.folder)},
             )  # fmt: skip
-        sidecar.life = Life(sidecar.number, time.monotonic())
-        self.lives.append(sidecar.life)
+        sidecar.record = ProcessRecord(sidecar.number, time.monotonic())
+        self.process_records.append(sidecar.record)
         for event in self.plan.of(Fault.EARLY_SIGNALS):
-            await asyncio.sleep(self._drawn.uniform(0.0, event.figure))
-            for _ in range(self._drawn.randint(1, 3)):
+            await asyncio.sleep(self._rng.uniform(0.0, event.figure))
+            for _ in range(self._rng.randint(1, 3)):
                 self._signal(sidecar, signal.SIGHUP)
                 await asyncio.sleep(SIGNAL_SPACING_S)
         by = time.monotonic() + READY_WITHIN_S
         while time.monotonic() < by and not await self._is_ready(sidecar):
             if sidecar.process.returncode is not None:
-                sidecar.life.code, sidecar.life.ended_at = sidecar.process.returncode, time.monotonic()
+                sidecar.record.code, sidecar.record.ended_at = sidecar.process.returncode, time.monotonic()
                 return
             await asyncio.sleep(0.02)
 
@@ -213,39 +223,39 @@
                 sidecar.process.send_signal(what)
 
     async def _stop(self, sidecar: Sidecar, signals: int) -> None:
-        """SIGTERM in series, and SIGKILL at the earliest that is allowed."""
-        process, life = sidecar.process, sidecar.life
-        if process is None or life is None or process.returncode is not None:
+        """Send several SIGTERMs, and SIGKILL at the earliest allowed time."""
+        process, record = sidecar.process, sidecar.record
+        if process is None or record is None or process.returncode is not None:
             return
-        life.term_at = time.monotonic()
-        for _ in range(signals):
+        record.term_at = time.monotonic()
+        for number in range(signals):
             self._signal(
-                sidecar, self._drawn.choice([signal.SIGTERM, signal.SIGINT]) if _ else signal.SIGTERM
+                sidecar, self._rng.choice([signal.SIGTERM, signal.SIGINT]) if number else signal.SIGTERM
             )
             await asyncio.sleep(SIGNAL_SPACING_S)
-            if self._drawn.random() < 0.3:
+            if self._rng.random() < 0.3:
                 self._signal(sidecar, signal.SIGHUP)
         try:
-            async with asyncio.timeout(life.term_at + kill_after_s() - time.monotonic()):
-                life.code = await process.wait()
+            async with asyncio.timeout(record.term_at + kill_after_s() - time.monotonic()):
+                record.code = await process.wait()
         except TimeoutError:
-            life.kill_at = time.monotonic()
+            record.kill_at = time.monotonic()
             process.kill()
             process.send_signal(signal.SIGCONT)
-            life.code = await process.wait()
-        life.ended_at = time.monotonic()
+            record.code = await process.wait()
+        record.ended_at = time.monotonic()
 
-    async def _end_all(self) -> None:
+    async def _stop_all(self) -> None:
         await self._until(self.plan.duration_s)
         self._is_over = True
-        await asyncio.gather(*(self._stop(each, self._drawn.randint(1, 3)) for each in self._sidecars))
+        await asyncio.gather(*(self._stop(each, self._rng.randint(1, 3)) for each in self._sidecars))
 
     # Faults
 
     async def _until(self, at_s: float) -> None:
         await asyncio.sleep(max(self.start + at_s - time.monotonic(), 0.0))
 
-    async def _do(self, event: Event) -> None:
+    async def _inject(self, event: Event) -> None:
         await self._until(event.begins_s)
         match event.fault:
             case Fault.DRAIN:
@@ -256,23 +266,24 @@
                 sidecar = self._sidecars[event.target]
                 await self._stop(sidecar, int(event.figure))
                 if not self._is_over:
-                    await self._begin(sidecar)
-            case Fault.HOLD_UP:
+                    await self._start_sidecar(sidecar)
+            case Fault.PAUSE:
                 sidecar = self._sidecars[event.target]
                 began = time.monotonic()
                 self._signal(sidecar, signal.SIGSTOP)
                 await self._until(event.ends_s)
                 self._signal(sidecar, signal.SIGCONT)
                 took_s = time.monotonic() - began
-                if took_s > LONGEST_HOLD_UP_S + LAG_S:
-                    self._log.lags.append((began, took_s))  # longer than the pages allow: it shows nothing
+                if took_s > MAX_PAUSE_S + STALL_THRESHOLD_S:
+                    # Timing violations during a pause beyond the documented bound are not judged.
+                    self._log.lags.append((began, took_s))
             case Fault.SILENT_DISCOVERY:
                 for roster in self._rosters:
                     roster.fall_silent()
             case Fault.CLOCK_STEP:
                 (self.folder / "clock").write_text(str(event.figure))
             case _:
-                pass  # servers and clients see to it themselves
+                pass  # servers and clients inject these themselves
 
     async def _drain(self, event: Event) -> None:
         name, address = f"s-{event.target}", self._addresses[event.target]
@@ -286,70 +297,70 @@
 
     async def _reload(self, sidecar: Sidecar, signals: int) -> None:
         path = self._config_path(sidecar)
-        # A start that finds half a file ends with code 2, as it should: such are for what runs.
+        # Startup with a truncated file ends with code 2, by design: truncate only for running sidecars.
         restarts = any(each.target == sidecar.number for each in self.plan.of(Fault.RESTART))
         for number in range(signals):
             text = self._config(sidecar, self._rosters[number % 2])
-            is_cut = not restarts and self._drawn.random() < 0.2
+            is_cut = not restarts and self._rng.random() < 0.2
             path.write_text(text[: len(text) // 2] if is_cut else text)
             self._signal(sidecar, signal.SIGHUP)
-            await asyncio.sleep(self._drawn.uniform(0.0, 0.2))
+            await asyncio.sleep(self._rng.uniform(0.0, 0.2))
         path.write_text(self._config(sidecar, self._rosters[signals % 2]))
         self._signal(sidecar, signal.SIGHUP)
 
 
 @dataclass(slots=True)
-class Played:
-    """One run that is over."""
+class RunResult:
+    """A completed run."""
 
     plan: Plan
     verdict: Verdict
-    stories: list[str]
+    details: list[str]
 
 
-def play(plan: Plan) -> Played:
-    """Play one run in a folder of its own."""
+def play(plan: Plan) -> RunResult:
+    """Play one run in its own folder."""
     with tempfile.TemporaryDirectory(prefix=f"soak-{plan.seed}-") as name:
         folder = Path(name)
         run = Run(plan, folder)
         verdict = asyncio.run(run.play())
-        oracle = Oracle(folder, plan, run.lives, run.drains)
-        stories = [
-            f"  {each.rule} {each.text} at {each.at - run.start:.3f}\n{oracle.story(each.ident, run.start)}"
-            for each in verdict.broken[:STORIES]
+        oracle = Oracle(folder, plan, run.process_records, run.drains)
+        details = [
+            f"  {each.rule} {each.text} at {each.at - run.start:.3f}\n{oracle.history(each.ident, run.start)}"
+            for each in verdict.violations[:MAX_DETAILS]
         ]
         for log in sorted(folder.glob("n*.log")):
             for line in log.read_text(errors="replace").splitlines():
                 if "internal error" in line or "Traceback" in line:
-                    stories.append(f"  {log.name}: {line}")
+                    details.append(f"  {log.name}: {line}")
                 if "invariant violated" in line:
-                    stories.append(f"  {log.name}: {line}")
-                    verdict.told_violations += 1
-        return Played(plan, verdict, stories)
+                    details.append(f"  {log.name}: {line}")
+                    verdict.logged_violations += 1
+        return RunResult(plan, verdict, details)
 
 
-STORIES = 6
+MAX_DETAILS = 6
 
 
-def report(played: Played, *, is_full: bool) -> str:
-    verdict = played.verdict
-    rules = Counter(each.rule for each in verdict.broken)
-    faults = sorted({str(each.fault) for each in played.plan.events})
+def report(result: RunResult, *, is_full: bool) -> str:
+    verdict = result.verdict
+    rules = Counter(each.rule for each in verdict.violations)
+    faults = sorted({str(each.fault) for each in result.plan.events})
     lines = [
-        f"seed {played.plan.seed}: {played.plan.sidecars} sidecars, {verdict.asked} asked, "
+        f"seed {result.plan.seed}: {result.plan.sidecars} sidecars, {verdict.requests} asked, "
         f"{verdict.served} served, {verdict.refused} refused, {verdict.failed} failed, "
-        f"{verdict.crossed} crossed, {verdict.unjudged} unjudged, {len(verdict.broken)} broken, "
+        f"{verdict.closed_unread} crossed, {verdict.unjudged} unjudged, {len(verdict.violations)} broken, "
         f"{verdict.peak_mb:.1f} MB at most, faults: {', '.join(faults)}"
     ]
     lines += [f"  {count} x {rule}" for rule, count in rules.most_common()]
-    if verdict.broken and is_full:
+    if verdict.violations and is_full:
         lines += [
             f"  fault: {each.fault} {each.target} {each.begins_s:.2f} to {each.ends_s:.2f} {each.figure:.3f}"
-            for each in played.plan.events
-            if each.fault is not Fault.HOLD_UP
+            for each in result.plan.events
+            if each.fault is not Fault.PAUSE
         ]
-    if verdict.broken:
-        lines += played.stories
+    if verdict.violations:
+        lines += result.details
     return "\n".join(lines)
 
 
@@ -365,10 +376,10 @@
     total: Counter[str] = Counter()
     bad = 0
     for seed in range(first, end):
-        played = play(draw_plan(seed, given.seconds, only))
-        print(report(played, is_full=given.full), flush=True)
-        total.update(each.rule for each in played.verdict.broken)
-        bad += bool(played.verdict.broken)
+        result = play(draw_plan(seed, given.seconds, only))
+        print(report(result, is_full=given.full), flush=True)
+        total.update(each.rule for each in result.verdict.violations)
+        bad += bool(result.verdict.violations)
     print(f"{end - first} runs, {bad} with a broken rule: {dict(total)}")
     return 1 if bad else 0
 
--- a/tests/soak/soak_server.py
+++ b/tests/soak/soak_server.py
@@ -1,6 +1,6 @@
 """Stand-in servers of a soak run: several in one process, with the faults of its plan.
 
-Run as `python soak_server.py FOLDER NUMBER START`; it writes what came to `servers-NUMBER.jsonl`.
+Run as `python soak_server.py FOLDER NUMBER START`; it writes its arrivals to `servers-NUMBER.json`.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 from soak_plan import HOST, Event, Fault, Plan, body_of
 
-LARGE_PIECES = 2_000  # an answer that is passed on as it comes
+LARGE_PIECES = 2_000  # a response that is streamed
 MEAN_WORK_S = 0.008
-SECOND_WITHIN_S = 0.008  # of the answer, where a second one follows
-# What never ends, after the begin of an answer: a head, a trailer, a chunk's extension.
-ENDLESS = (
+SECOND_RESPONSE_MAX_DELAY_S = 0.008  # after the first response
+# The start of a response, and what repeats: in a head, a header, a trailer, a chunk extension.
+ENDLESS_RESPONSES = (
     (b"HTTP/1.1 200 OK\r\n", b"x-fill: 0123456789\r\n"),
     (b"HTTP/1.1 200 OK\r\n", b"a:\r\n"),
     (b"HTTP/1.1 200 OK\r\nx-fill: ", b"v"),
     (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nx: ", b"v"),
     (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=", b"e"),
 )
-ENDLESS_AT_ONCE = 64 << 10  # bytes
-ENDLESS_EVERY_S = 0.002
-LAG_STEP_S = 0.01
-LAG_S = 0.02  # the event loop was held up when a step takes so much longer
+ENDLESS_WRITE_BYTES = 64 << 10
+ENDLESS_INTERVAL_S = 0.002
+LAG_PROBE_S = 0.01
+STALL_THRESHOLD_S = 0.02  # a sleep that is late by more than this counts as a stall
 
 
 @dataclass(slots=True)
@@ -43,13 +43,13 @@
     connection: int
     arrived_at: float
     told_s: float
-    second_at: float = 0.0  # a second answer was written; 0: none was
-    ended_at: float = 0.0  # its answer was written, or the other side ended its connection
+    second_at: float = 0.0  # when a second response was written; 0: never
+    ended_at: float = 0.0  # when the response was written or the peer closed the connection
     how: str = "open"
 
 
 class Log:
-    """Keeps records until the end, and when this process was held up."""
+    """Collects arrivals and stalls of this process until the end."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -59,9 +59,9 @@
     async def watch_lag(self) -> None:
         while True:
             before = time.monotonic()
-            await asyncio.sleep(LAG_STEP_S)
-            late_s = time.monotonic() - before - LAG_STEP_S
-            if late_s > LAG_S:
+            await asyncio.sleep(LAG_PROBE_S)
+            late_s = time.monotonic() - before - LAG_PROBE_S
+            if late_s > STALL_THRESHOLD_S:
                 self.lags.append((before, late_s))
 
     def save(self) -> None:
@@ -70,28 +70,28 @@
 
 
 class Server:
-    """One server: a port, and the faults that hold for it now."""
+    """One server and its active faults."""
 
     def __init__(self, number: int, plan: Plan, start: float, log: Log) -> None:
         self.number = number
         self.log = log
         self.start = start
-        self.drawn = random.Random(f"{plan.seed} server {number}")
+        self.rng = random.Random(f"{plan.seed} server {number}")
         self._events = [each for each in plan.events if each.target in (number, -1)]
         self.connections = 0
 
     def fault(self, kind: Fault) -> Event | None:
-        """The event of this kind that holds now."""
+        """The active event of this kind."""
         now_s = time.monotonic() - self.start
-        return next((each for each in self._events if each.fault is kind and _holds(each, now_s)), None)
+        return next((each for each in self._events if each.fault is kind and _is_active(each, now_s)), None)
 
 
-def _holds(event: Event, now_s: float) -> bool:
+def _is_active(event: Event, now_s: float) -> bool:
     return event.begins_s <= now_s < event.ends_s
 
 
 class Connection(asyncio.Protocol):
-    """One connection; it reads requests by hand, so that no parser is shared with the program."""
+    """One connection; parses requests itself, to share no parser with the program."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -106,22 +106,22 @@
 
     def data_received(self, data: bytes) -> None:
         self._data += data
-        while self._take_one():
+        while self._parse_request():
             pass
 
     def eof_received(self) -> None:
-        self._ended()
+        self._mark_given_up()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._ended()
+        self._mark_given_up()
 
-    def _ended(self) -> None:
+    def _mark_given_up(self) -> None:
         now = time.monotonic()
         for each in self._open:
             each.ended_at, each.how = now, "given up"
         self._open.clear()
 
-    def _take_one(self) -> bool:
+    def _parse_request(self) -> bool:
         head, blank, rest = self._data.partition(b"\r\n\r\n")
         if not blank:
             return False
@@ -145,35 +145,35 @@
         )
         server.log.arrivals.append(arrival)
         self._open.append(arrival)
-        self._work(arrival)
+        self._handle(arrival)
         return True
 
-    def _work(self, arrival: Arrival) -> None:
-        server, drawn = self._server, self._server.drawn
+    def _handle(self, arrival: Arrival) -> None:
+        server, rng = self._server, self._server.rng
         loop = asyncio.get_running_loop()
         reset = server.fault(Fault.RESET)
         slow = server.fault(Fault.SLOW)
         if server.fault(Fault.HANG) is not None:
             return
-        if reset is not None and drawn.random() < reset.figure:
-            loop.call_later(drawn.uniform(0.0, 0.05), self._reset, arrival)
+        if reset is not None and rng.random() < reset.figure:
+            loop.call_later(rng.uniform(0.0, 0.05), self._reset, arrival)
             return
-        endless = server.fault(Fault.ENDLESS_ANSWER)
-        if endless is not None and drawn.random() < endless.figure:
-            first, piece = drawn.choice(ENDLESS)
-            self._go_on(first, piece * (ENDLESS_AT_ONCE // len(piece)))
+        endless = server.fault(Fault.ENDLESS_RESPONSE)
+        if endless is not None and rng.random() < endless.figure:
+            first, piece = rng.choice(ENDLESS_RESPONSES)
+            self._write_endlessly(first, piece * (ENDLESS_WRITE_BYTES // len(piece)))
             return
-        takes_s = drawn.expovariate(1.0 / MEAN_WORK_S) + (slow.figure if slow else 0.0)
+        takes_s = rng.expovariate(1.0 / MEAN_WORK_S) + (slow.figure if slow else 0.0)
         loop.call_later(takes_s, self._answer, arrival)
 
-    def _go_on(self, first: bytes, more: bytes) -> None:
-        """Write on until the other side ends the connection."""
+    def _write_endlessly(self, first: bytes, more: bytes) -> None:
+        """Write until the peer closes the connection."""
         transport = self._transport
         if transport is None or transport.is_closing() or not self._open:
             return
         if first or not transport.get_write_buffer_size():
             transport.write(first + more)
-        asyncio.get_running_loop().call_later(ENDLESS_EVERY_S, self._go_on, b"", more)
+        asyncio.get_running_loop().call_later(ENDLESS_INTERVAL_S, self._write_endlessly, b"", more)
 
     def _reset(self, arrival: Arrival) -> None:
         if arrival in self._open and self._transport is not None:
@@ -186,31 +186,33 @@
             return
         self._open.remove(arrival)
         arrival.ended_at, arrival.how = time.monotonic(), "served"
-        drawn = self._server.drawn
-        pieces = LARGE_PIECES if drawn.random() < 0.02 else drawn.randint(1, 8)
-        answer, closes = self._form(body_of(arrival.ident, pieces))
+        rng = self._server.rng
+        pieces = LARGE_PIECES if rng.random() < 0.02 else rng.randint(1, 8)
+        answer, closes = self._encode(body_of(arrival.ident, pieces))
         self._transport.write(answer)
         if closes:
             self._transport.close()
             return
-        second = self._server.fault(Fault.SECOND_ANSWER)
-        if second is not None and drawn.random() < second.figure:
-            delay_s = drawn.uniform(0.0, SECOND_WITHIN_S)
-            asyncio.get_running_loop().call_later(delay_s, self._again, arrival, answer)
+        second = self._server.fault(Fault.SECOND_RESPONSE)
+        if second is not None and rng.random() < second.figure:
+            delay_s = rng.uniform(0.0, SECOND_RESPONSE_MAX_DELAY_S)
+            asyncio.get_running_loop().call_later(delay_s, self._write_again, arrival, answer)
 
-    def _again(self, arrival: Arrival, answer: bytes) -> None:
+    def _write_again(self, arrival: Arrival, answer: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             arrival.second_at = time.monotonic()
             self._transport.write(answer)
 
-    def _form(self, body: bytes) -> tuple[bytes, bool]:
-        """An answer's bytes in one of the forms of HTTP/1.1, and whether the connection's end ends it."""
-        drawn = self._server.drawn.random()
-        if drawn < 0.8:
+    def _encode(self, body: bytes) -> tuple[bytes, bool]:
+        """A response in one of HTTP/1.1's framings; whether closing ends it."""
+        framing = self._server.rng.random()
+        if framing < 0.8:
             return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body), False
-        if drawn < 0.97:
-            cut = self._server.drawn.randrange(1, len(body))
-            parts = b"".join(b"%x\r\n%s\r\n" % (len(each), each) for each in (body[:cut], body[cut:]))
+        if framing < 0.97:
+            split_at = self._server.rng.randrange(1, len(body))
+            parts = b"".join(
+                b"%x\r\n%s\r\n" % (len(each), each) for each in (body[:split_at], body[split_at:])
+            )
             return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + parts + b"0\r\n\r\n", False
         return b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, True
 
@@ -226,7 +228,7 @@
         ports.append(listener.sockets[0].getsockname()[1])
     lag = loop.create_task(log.watch_lag())
     print(json.dumps(ports), flush=True)
-    await loop.run_in_executor(None, sys.stdin.read)  # until the run is over
+    await loop.run_in_executor(None, sys.stdin.read)  # until the driver closes standard input
     lag.cancel()
     log.save()
 
--- a/tests/soak/soak_sidecar.py
+++ b/tests/soak/soak_sidecar.py
@@ -1,4 +1,4 @@
-"""The program with faults of the machine under it: `python soak_sidecar.py FOLDER ACCEPT_ERRORS SEED`.
+"""The program with machine faults: `python soak_sidecar.py FOLDER ACCEPT_ERRORS SEED`.
 
 The wall clock is off by the seconds that the file `clock` of the folder holds, and `accept` fails with the
 given probability in one of the ways that Linux documents.
@@ -20,7 +20,7 @@
 
 
 def step_clock(folder: Path) -> None:
-    """Make the wall clock follow the file."""
+    """Offset the wall clock by the file's seconds."""
     real = time.time_ns
     clock = folder / "clock"
 
@@ -30,14 +30,14 @@
     time.time_ns = stepped
 
 
-def fail_accept(part: float, seed: str) -> None:
-    """Make so many calls of `accept` fail, with a connection waiting or without."""
-    drawn = random.Random(seed)
+def fail_accept(probability: float, seed: str) -> None:
+    """Fail `accept` with this probability, whether or not a connection is waiting."""
+    rng = random.Random(seed)
     real = socket.socket.accept
 
     def accept(self: socket.socket) -> tuple[socket.socket, Any]:
-        if drawn.random() < part:
-            raise OSError(drawn.choice(_ERRORS), "drawn")
+        if rng.random() < probability:
+            raise OSError(rng.choice(_ERRORS), "drawn")
         return real(self)
 
     socket.socket.accept = accept  # type: ignore[method-assign]
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Clock alignment: true time lies within the stated interval, with offsets, drift and clock steps."""
+"""Clock alignment: true time lies within the interval, with offsets, drift and steps."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ClockWorld:
-    """Sidecars with offset and drifting clocks, and the events they share."""
+    """Sidecars with offset, drifting clocks and shared events."""
 
     def __init__(self, seed: int, count: int, max_offset_s: float = 3.0, drift: float = 0.0) -> None:
         self.rng = random.Random(seed)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The incident console: navigation by keys on a small screen, growing files and large fleets."""
+"""The incident console: keys on a small screen, growing files, large fleets, bad input."""
 
 from __future__ import annotations
 
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -1,4 +1,4 @@
-"""Incident analysis: what is claimed and what is not, rule checks, commands, and damaged records."""
+"""Incident analysis: what is claimed and what isn't, rule checks, commands, damaged records."""
 
 from __future__ import annotations
 
