--- a/benchmarks/incidents.py
+++ b/benchmarks/incidents.py
@@ -22,7 +22,14 @@
 from micadeck.incidents.kinds import Span
 from micadeck.incidents.series import count_bad_attempts
 from micadeck.incidents.timeline import Timeline, build_timeline
-from micadeck.stand_ins.incident_days import BEGIN, QUIET, TROUBLES, Day, S, play
+from micadeck.stand_ins.incident_days import (
+    INCIDENT_KINDS,
+    NON_INCIDENT_KINDS,
+    START_US,
+    US_PER_S,
+    SimulatedRun,
+    simulate,
+)
 
 NEAR_S = 5.0
 BASELINE_SHARE, BASELINE_S = 0.02, 2
@@ -54,26 +61,30 @@
 
 
 def judge(seed: int, kind: str, missing: float) -> Told:
-    day = play(seed, kind)
+    day = simulate(seed, kind)
     archive = day.archive(missing, seed)
     story = build_timeline(archive)
     script = day.script
     onset = _on_reference(day, story)
     outer = [each for each in story.incidents if each.within is None]
-    near = [each for each in outer if abs(each.onset - onset) <= NEAR_S * S] if kind in TROUBLES else []
+    near = (
+        [each for each in outer if abs(each.onset - onset) <= NEAR_S * US_PER_S]
+        if kind in INCIDENT_KINDS
+        else []
+    )
     first = near[0].causes[0] if near and near[0].causes else None
     where = first.where.split("@")[0] if first else ""
     right = (
         first is not None and first.kind == KINDS.get(kind) and (not script.where or where == script.where)
     )
     claims, blamed = _baseline(archive)
-    wall = BEGIN + int(script.onset * S)
-    baseline_near = kind in TROUBLES and any(abs(each - wall) <= NEAR_S * S for each in claims)
+    wall = START_US + int(script.onset_s * US_PER_S)
+    baseline_near = kind in INCIDENT_KINDS and any(abs(each - wall) <= NEAR_S * US_PER_S for each in claims)
     return Told(
         kind,
         missing,
         len(outer),
-        tuple((each.onset - onset) / S for each in near[:1]),
+        tuple((each.onset - onset) / US_PER_S for each in near[:1]),
         right,
         len(claims),
         baseline_near,
@@ -82,15 +93,15 @@
     )
 
 
-def _on_reference(day: Day, story: Timeline) -> int:
+def _on_reference(day: SimulatedRun, story: Timeline) -> int:
     """The script's onset on the story's clock."""
-    true = BEGIN + int(day.script.onset * S)
+    true = START_US + int(day.script.onset_s * US_PER_S)
     if not story.archive.starts:
         return true
     head = story.archive.starts[story.clocks.reference].head
     for number, data in enumerate(day.sidecars):
         if head.start.encode() in data[:200] and head.sidecar.encode() in data[:200]:
-            return day.offset_of[number](true)
+            return day.to_local_time[number](true)
     return true
 
 
@@ -102,7 +113,7 @@
     for start in archive.starts:
         for each in start.records:
             if isinstance(each, Span):
-                second = each.until // S
+                second = each.until // US_PER_S
                 for one in each.classes:
                     bad[second] += one.refused + one.failed + one.late
                     ended[second] += one.served + one.refused + one.failed
@@ -115,13 +126,13 @@
         over = ended[second] > 0 and bad[second] / ended[second] > BASELINE_SHARE
         run = run + 1 if over and last == second - 1 else int(over)
         last = second
-        if run == BASELINE_S and not (claims and second * S - claims[-1] < 20 * S):
-            claims.append((second - BASELINE_S + 1) * S)
+        if run == BASELINE_S and not (claims and second * US_PER_S - claims[-1] < 20 * US_PER_S):
+            claims.append((second - BASELINE_S + 1) * US_PER_S)
     return claims, max(blame, key=lambda each: blame[each]) if blame else ""
 
 
 def _row(name: str, told: list[Told]) -> str:
-    troubles = [each for each in told if each.kind in TROUBLES]
+    troubles = [each for each in told if each.kind in INCIDENT_KINDS]
     found = sum(bool(each.errors_s) for each in troubles)
     claimed = sum(each.claimed for each in told)
     right = sum(each.is_right for each in troubles)
@@ -147,7 +158,7 @@
     given.add_argument("--missing", default="0,0.1,0.3,0.6")
     given.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
     options = given.parse_args()
-    kinds = (*TROUBLES, *QUIET)
+    kinds = (*INCIDENT_KINDS, *NON_INCIDENT_KINDS)
     days = [(options.first + number, kinds[number % len(kinds)]) for number in range(options.days)]
     print(
         "           days  precision  recall   cause   onset s (95%)  in doubt   baseline: prec. recall  cause"
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -40,7 +40,7 @@
 from micadeck.incidents.segments import SegmentName
 from micadeck.incidents.timeline import Timeline, build_timeline
 from micadeck.policy.events import ListedServer, ListKind
-from micadeck.stand_ins.incident_days import BEGIN, Day, S, play
+from micadeck.stand_ins.incident_days import START_US, US_PER_S, SimulatedRun, simulate
 
 # When it went wrong
 
@@ -88,16 +88,16 @@
 
 
 @cache
-def day(seed: int, kind: str) -> Day:
-    return play(seed, kind)
+def day(seed: int, kind: str) -> SimulatedRun:
+    return simulate(seed, kind)
 
 
-def onset(told: Day, story: Timeline) -> int:
+def onset(told: SimulatedRun, story: Timeline) -> int:
     head = story.start(story.clocks.reference).head
     for number, data in enumerate(told.sidecars):
         own = read(data).head
         if (own.sidecar, own.start) == (head.sidecar, head.start):
-            return told.offset_of[number](BEGIN + int(told.script.onset * S))
+            return told.to_local_time[number](START_US + int(told.script.onset_s * US_PER_S))
     raise AssertionError
 
 
@@ -139,7 +139,7 @@
     since, until = gap.missing[0]
     middle = story.clocks.to_common(number, (since + until) // 2)
     assert middle is not None
-    assert until - since < 2 * S or story.states.at(number, "s-0", middle.at) == UNKNOWN
+    assert until - since < 2 * US_PER_S or story.states.at(number, "s-0", middle.at) == UNKNOWN
     (one,) = [each for each in story.incidents if each.within is None]
     assert one.causes[0].kind == "zone" and one.missing > 0.0
     assert any("records lack" in each for each in story.rules.undetermined)
@@ -149,13 +149,13 @@
 
 
 def start(name: str, records: list[Record], at: int = 0, repeat: str = "unsafe") -> Start:
-    head = Head(1, name, f"{at:016x}", 0, at, at, [Kind("pay", repeat, S, 2 * S)], 500_000, 0)
+    head = Head(1, name, f"{at:016x}", 0, at, at, [Kind("pay", repeat, US_PER_S, 2 * US_PER_S)], 500_000, 0)
     return Start(head, [head, *records])
 
 
 def span(at: int, served: int = 10, failed: int = 0, servers: tuple[ServerCount, ...] = ()) -> Span:
     counts = ClassCount("pay", served + failed, served, 0, 0, failed, 0, b"")
-    return Span(at, at + S, at + S, 0, 1, None, 0.0, None, [counts], list(servers), 0)
+    return Span(at, at + US_PER_S, at + US_PER_S, 0, 1, None, 0.0, None, [counts], list(servers), 0)
 
 
 def state(at: int, server: str, held: str) -> State:
@@ -166,24 +166,27 @@
     return ServerCount(server, sent, last_sent_at, [sent])
 
 
-ENDED = Phase(9 * S, "ended")
+ENDED = Phase(9 * US_PER_S, "ended")
 
 
 def test_a_send_past_the_grace_of_a_drain_is_named_with_both_records() -> None:
-    drains, late = state(2 * S, "a", "draining"), span(4 * S, servers=(count("a", 4 * S + 100),))
+    drains, late = (
+        state(2 * US_PER_S, "a", "draining"),
+        span(4 * US_PER_S, servers=(count("a", 4 * US_PER_S + 100),)),
+    )
     good: list[Record] = [state(0, "a", "ready"), span(0, servers=(count("a", 500_000),)), drains]
-    in_grace = span(2 * S, servers=(count("a", 2 * S + 400_000),))
+    in_grace = span(2 * US_PER_S, servers=(count("a", 2 * US_PER_S + 400_000),))
     assert check_rules([start("n0", [*good, in_grace, ENDED])], Clocks(0)).violations == []
     (breach,) = check_rules([start("n0", [*good, in_grace, late, ENDED])], Clocks(0)).violations
     assert breach.rule == 3 and breach.first == (0, drains) and breach.second == (0, late)
-    back: list[Record] = [*good, state(3 * S, "a", "ready"), late, ENDED]
+    back: list[Record] = [*good, state(3 * US_PER_S, "a", "ready"), late, ENDED]
     assert check_rules([start("n0", back)], Clocks(0)).violations == []
 
 
 def test_an_unsafe_request_that_may_have_run_at_two_servers_is_named_across_sidecars() -> None:
-    one = Attempt(S, b"id", "pay", 0, "a", 2 * S, "dropped", True)
-    two = Attempt(3 * S, b"id", "pay", 0, "b", 4 * S, "dropped", True)
-    never = Attempt(3 * S, b"id", "pay", 0, "b", 4 * S, "dial_failed", False)
+    one = Attempt(US_PER_S, b"id", "pay", 0, "a", 2 * US_PER_S, "dropped", True)
+    two = Attempt(3 * US_PER_S, b"id", "pay", 0, "b", 4 * US_PER_S, "dropped", True)
+    never = Attempt(3 * US_PER_S, b"id", "pay", 0, "b", 4 * US_PER_S, "dial_failed", False)
     (breach,) = check_rules([start("n0", [one, ENDED]), start("n1", [two, ENDED])], Clocks(0)).violations
     assert breach.rule == 2 and breach.first == (0, one) and breach.second == (1, two)
     assert check_rules([start("n0", [one, ENDED]), start("n1", [never, ENDED])], Clocks(0)).violations == []
@@ -193,15 +196,15 @@
 
 def test_two_final_answers_are_named_and_what_breaks_off_can_t_be_told() -> None:
     ends: list[Record] = [
-        End(2 * S, b"id", "pay", S, "failed", False, 1),
-        End(3 * S, b"id", "pay", S, "served", True, 1),
+        End(2 * US_PER_S, b"id", "pay", US_PER_S, "failed", False, 1),
+        End(3 * US_PER_S, b"id", "pay", US_PER_S, "served", True, 1),
     ]
     verdict = check_rules([start("n0", list(ends))], Clocks(0))
     (breach,) = verdict.violations
     assert breach.rule == 1 and any("break off" in each for each in verdict.undetermined)
     later: list[Record] = [
         ends[0],
-        End(6 * S, b"id", "pay", 5 * S, "served", True, 1),
+        End(6 * US_PER_S, b"id", "pay", 5 * US_PER_S, "served", True, 1),
         ENDED,
     ]  # the client asked again
     assert check_rules([start("n0", list(later))], Clocks(0)).violations == []
@@ -214,8 +217,8 @@
         records: list[Record] = [state(0, f"s-{each}", "ready") for each in range(6)]
         for second in range(120):
             failed = drawn.randrange(2, 5) if 60 <= second < 90 else 0
-            servers = tuple(count(f"s-{each}", second * S, 3) for each in range(6))
-            records.append(span(second * S, 12, failed, servers))
+            servers = tuple(count(f"s-{each}", second * US_PER_S, 3) for each in range(6))
+            records.append(span(second * US_PER_S, 12, failed, servers))
         starts.append(start(f"n{number}", records))
     story = build_timeline(Archive(starts, []))
     assert story.clocks.unlinked  # they share nothing: each is told alone
@@ -227,7 +230,7 @@
 # The commands
 
 
-def folder(told: Day, path: Path) -> Path:
+def folder(told: SimulatedRun, path: Path) -> Path:
     path.mkdir()
     for data in told.sidecars:
         head = read(data).head
@@ -277,9 +280,9 @@
     records: list[Record] = [state(0, nasty, "ready")]
     for second in range(60):
         failed = 9 if 30 <= second < 45 else 0
-        bad = ServerCount(nasty, 10, second * S, [10 - failed, failed])
-        records.append(span(second * S, 10 - failed, failed, (bad, count("b", second * S, 10))))
-    records.append(End(31 * S, nasty.encode(), "pay", 30 * S, "failed", True, 1))
+        bad = ServerCount(nasty, 10, second * US_PER_S, [10 - failed, failed])
+        records.append(span(second * US_PER_S, 10 - failed, failed, (bad, count("b", second * US_PER_S, 10))))
+    records.append(End(31 * US_PER_S, nasty.encode(), "pay", 30 * US_PER_S, "failed", True, 1))
     told = start("n0", records)
     page = html(build_timeline(Archive([told], [])))
     assert "<script>alert" not in page and "&lt;script&gt;alert" in page
@@ -299,27 +302,27 @@
     drawn = random.Random(count)
     starts = []
     for number in range(count):
-        offset = drawn.randrange(-7_000, 7_000) * S
+        offset = drawn.randrange(-7_000, 7_000) * US_PER_S
         records: list[Record] = [state(offset, "a", "ready"), state(offset, "b", "ready")]
         for second in range(seconds):
-            now = offset + second * S
+            now = offset + second * US_PER_S
             if second % 20 == 0:
                 heard = now + drawn.randrange(300_000)
                 records.append(Listed(heard, second // 20 + 1, "changes" if second else "complete", 1))
             failed = 4 if number in hurt and 60 <= second < 75 else 0
             attempts = ServerCount("a", 10, now, [10 - failed, failed])
             records.append(span(now, 10 - failed, failed, (attempts,)))
-        starts.append(start(f"n{number}", [*records, Phase(offset + seconds * S, "ended")], offset))
+        starts.append(start(f"n{number}", [*records, Phase(offset + seconds * US_PER_S, "ended")], offset))
     return starts
 
 
 def test_of_two_hundred_sidecars_twenty_suffice_to_claim_an_incident() -> None:
     story = build_timeline(Archive(fleet(200, range(20)), []))
     (one,) = story.incidents
-    assert len(story.linked) == 200 and 13 * S <= one.end - one.onset <= 17 * S
+    assert len(story.linked) == 200 and 13 * US_PER_S <= one.end - one.onset <= 17 * US_PER_S
     assert {number for number, count in one.impact.by_sidecar.items() if count} == set(range(20))
     reference = story.start(story.clocks.reference).head.at
-    assert abs(one.onset - (reference + 60 * S)) <= one.uncertainty
+    assert abs(one.onset - (reference + 60 * US_PER_S)) <= one.uncertainty
     assert build_timeline(Archive(fleet(30, range(0)), [])).incidents == []
 
 
@@ -335,17 +338,17 @@
 def test_a_partition_in_which_each_half_holds_the_other_s_servers_for_dead_is_disagreement() -> None:
     starts = fleet(6, range(0))
     for number, each in enumerate(starts):
-        at = each.head.at + 40 * S
+        at = each.head.at + 40 * US_PER_S
         lost = "b" if number < 3 else "a"
         ejected = State(at, lost, "ejected", "silent", "east", 1, True)
         each.records.append(ejected)
         each.records.sort(key=lambda record: getattr(record, "until", record.at))
     story = build_timeline(Archive(starts, []))
-    when = story.start(story.clocks.reference).head.at + 100 * S
+    when = story.start(story.clocks.reference).head.at + 100 * US_PER_S
     for server in ("a", "b"):
         view = story.states.consensus(server, when, story.linked)
         assert view.disagrees and view.counts == {"ready": 3, "ejected": 3}
-    before = story.states.consensus("a", when - 80 * S, story.linked)
+    before = story.states.consensus("a", when - 80 * US_PER_S, story.linked)
     assert not before.disagrees and before.state == "ready"
     assert [each.disagreement for each in ConsoleModel(story).rows(100)] == ["3 ready, 3 ejected"] * 2
 
@@ -361,9 +364,11 @@
 def test_segments_that_were_rotated_away_leave_a_story_of_what_is_there(tmp_path: Path) -> None:
     encoder, paths = Encoder(), []
     for number in range(4):
-        at = number * 60 * S
-        head = Head(1, "n0", "0" * 16, number, at, at, [Kind("pay", "safe", S, 2 * S)], 0, 0)
-        more = [span(at + second * S, 10, 4 if number == 3 and second > 30 else 0) for second in range(60)]
+        at = number * 60 * US_PER_S
+        head = Head(1, "n0", "0" * 16, number, at, at, [Kind("pay", "safe", US_PER_S, 2 * US_PER_S)], 0, 0)
+        more = [
+            span(at + second * US_PER_S, 10, 4 if number == 3 and second > 30 else 0) for second in range(60)
+        ]
         path = tmp_path / str(SegmentName("0" * 16, number, "n0"))
         every: list[Record] = [head, state(at, "a", "ready"), *more]
         path.write_bytes(MAGIC + b"".join(map(encoder.frame, every)))
@@ -378,7 +383,7 @@
     encoder = Encoder()
     head = Head(1, "n0", "0" * 16, 0, 0, 0, [], 0, 0)
     every: list[Record] = [head, state(0, "a", "ejected"), state(5, "b", "ready")]
-    every += [span(second * S) for second in range(30)]
+    every += [span(second * US_PER_S) for second in range(30)]
     data = bytearray(MAGIC + b"".join(map(encoder.frame, every)))
     at = len(MAGIC)
     for number in range(len(every)):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -12,7 +12,7 @@
 from micadeck.incidents.frames import read
 from micadeck.incidents.kinds import Span, State
 from micadeck.policy.outcomes import Outcome
-from micadeck.stand_ins.incident_days import World
+from micadeck.stand_ins.incident_days import SimulatedFleet
 
 WORK_S = 0.066  # of the mean request, on a server with room
 
@@ -28,7 +28,7 @@
     failed: float
 
 
-class Surge(World):
+class Surge(SimulatedFleet):
     """From the 20th second to the 40th `times` of what the servers can do is asked for, and no more."""
 
     def __init__(
@@ -36,18 +36,21 @@
     ) -> None:
         super().__init__(seed, "overload", sidecars, 7, reports)
         self.times, self.slowed = times, slow
-        self.queue = 80.0  # they say full only when all would be late: the sidecars have to know sooner
+        # They say full only when all would be late: the sidecars have to know sooner.
+        self.queue_factor = 80.0
         self.capacity = sum(each.capacity for each in self.servers.values()) / WORK_S
 
-    def churn(self) -> None:
+    def replace_server(self) -> None:
         pass
 
-    def trouble(self) -> None:
-        self.surge = max(self.times * self.capacity / sum(each.rate for each in self.sidecars), 1.0)
-        self.slow = self.slowed
+    def start_incident(self) -> None:
+        self.arrival_factor = max(
+            self.times * self.capacity / sum(each.requests_per_s for each in self.sidecars), 1.0
+        )
+        self.work_time_factor = self.slowed
 
     def play(self) -> Surge:
-        self.between(20.0, 40.0)
+        self.set_incident_times(20.0, 40.0)
         self.run()
         return self
 
@@ -103,8 +106,8 @@
     """One sidecar's connections break one time in ten, whatever the server."""
 
     def work(self, sidecar: Any, name: str, kind: str, done: Callable[[Outcome, float], None]) -> None:
-        if sidecar.number == 0 and self.drawn.random() < 0.1:
-            self.after(3_000, lambda: done(Outcome.CONNECTION_LOST, 0.0))
+        if sidecar.number == 0 and self.rng.random() < 0.1:
+            self.schedule(3_000, lambda: done(Outcome.CONNECTION_LOST, 0.0))
         else:
             super().work(sidecar, name, kind, done)
 
