--- a/micadeck/engine/__init__.py
+++ b/micadeck/engine/__init__.py
@@ -1,7 +1,7 @@
 """The engine: exactly one final answer for every request.
 
 It owns the decisions, their timers, the open requests and their attempts.  Listeners submit requests, a
-transport sends attempts to servers, a source reports the endpoint list; `ports` has their interfaces.
+transport sends attempts to servers, a source reports the endpoint list; `ports` defines them.
 """
 
 from micadeck.engine.engine import Engine, RequestIdInUseError
--- a/micadeck/engine/engine.py
+++ b/micadeck/engine/engine.py
@@ -121,7 +121,7 @@
         self._open = OpenRequests()
         self._answers = FinalAnswers(ports.network, ports.transport, self._open, self.invariants)
         self.outcomes = self._answers.outcomes
-        self._drain_deadline_us: int | None = None  # all must be answered by then; set while draining
+        self._drain_deadline_us: int | None = None  # latest time of final answers; None: not draining
 
     def start(self, known: EndpointUpdate) -> None:
         """Use the last known endpoint list, and subscribe to updates from the source."""
--- a/micadeck/graceful_shutdown.py
+++ b/micadeck/graceful_shutdown.py
@@ -86,7 +86,7 @@
             requested_at: When the end was requested, on the network's clock in seconds; None: now.  The time
                 until SIGKILL counts from then, however late the event loop reacts.
             deadlines_s: The deadlines of the service classes, in seconds.
-            enter_stopping: Enters the stopping phase, given the time of the request.
+            enter_stopping: Enters the stopping phase; gets `requested_at`, or now.
         """
         network, engine, listener = self._network, self._engine, self._listener
         started = network.time() if requested_at is None else requested_at
--- a/micadeck/policy/admission.py
+++ b/micadeck/policy/admission.py
@@ -11,7 +11,7 @@
 from micadeck.policy.decaying_rate import DecayingRate
 from micadeck.policy.settings import ServiceClass, Settings, Tenant
 
-TRAFFIC_OBJECTIVES: Final = 4.0  # traffic is averaged over this many longest objectives
+TRAFFIC_OBJECTIVES: Final = 4.0  # time constant of the traffic's average, in longest objectives
 FULL_LIMIT_PRESSURE: Final = 4.0  # near a full limit, one in fifty requests of median priority is admitted
 PRESSURE_SPREAD: Final = 2.0  # the lowest priority gets this many times the pressure, the highest almost none
 
@@ -95,6 +95,6 @@
         tenant = self._tenants.get(traffic.tenant or "")
         if tenant is None or tenant_rate <= 0.0:
             return weight
-        within_quota = min(1.0, total * tenant.share / self._total_share / tenant_rate)
-        over_weight = self._context.settings.over_share_priority_weight
-        return weight * (within_quota + (1.0 - within_quota) * over_weight)
+        within_share = min(1.0, total * tenant.share / self._total_share / tenant_rate)
+        over_share_weight = self._context.settings.over_share_priority_weight
+        return weight * (within_share + (1.0 - within_share) * over_share_weight)
--- a/micadeck/policy/balancer.py
+++ b/micadeck/policy/balancer.py
@@ -128,7 +128,7 @@
             case SettingsChanged():
                 self._settings_changed(event.settings)
             case _:
-                pass  # probes and peer messages are never sent, so nothing is expected of them
+                pass  # results of probes and peer messages are ignored: this balancer sends neither
         self._arm_timer()
         return context.actions
 
@@ -137,7 +137,7 @@
         return self._endpoints.listed_count()
 
     def avoided(self) -> int:
-        """Return how many of these get only probation attempts; safe on any thread."""
+        """Return how many of these are draining or ejected; safe on any thread."""
         return self._endpoints.listed_count() - self._endpoints.available_count()
 
     def statistics(self) -> BalancerStatistics:
@@ -272,7 +272,7 @@
             return False  # rule 2: no second effect
         is_ready = endpoint.state is ServerState.READY
         if not is_ready and not may_finish_session(request, endpoint, now, settings.rules):
-            return False  # rule 3: from the moment the state is known, the grace period is not used
+            return False  # rule 3: not even within the permitted grace period
         return self._slow_start.has_budget(endpoint, request.relative_cost)  # rule 4
 
     # Final answers
@@ -316,7 +316,7 @@
             if not request.is_answered:
                 self._close(request)
         elif event.outcome is Outcome.REJECTED and not request.is_answered:
-            # The request is at fault: another server would reject it too.
+            # The request is invalid: another server would reject it too.
             self._context.actions.append(Fail(request.request_id))
             self._close(request)
         elif not request.is_answered:
@@ -356,7 +356,7 @@
             if self._retry_budget.withdraw():
                 self._dispatch(request)
         elif limits.may_cancel and self._retry_budget.has_retry():
-            # The retry follows when the cancelled attempt ends, and is withdrawn from the budget then.
+            # The retry follows when the cancelled attempt ends, and uses the budget only then.
             self._outliers.prolong_cancelled_probation(attempt)
             context.actions.append(Cancel(request.request_id, attempt.index))
 
--- a/micadeck/policy/concurrency_limit.py
+++ b/micadeck/policy/concurrency_limit.py
@@ -14,28 +14,28 @@
 from micadeck.policy.decaying_rate import DecayingRate
 from micadeck.policy.open_requests import Attempt
 
-TARGET_OBJECTIVE_FRACTION: Final = 0.3  # of the typical response; above it the servers are overloaded
-TARGET_OBJECTIVE_FRACTION_LOW_TRAFFIC: Final = 0.4  # the typical response is noisy there
-IDLE_LATENCY_HEADROOM: Final = 1.2  # the target is at least this multiple of the fraction of idle servers
+TARGET_OBJECTIVE_FRACTION: Final = 0.3  # target for the typical response, unless idle servers are slower
+TARGET_OBJECTIVE_FRACTION_LOW_TRAFFIC: Final = 0.4  # higher: the typical response is noisy there
+IDLE_LATENCY_HEADROOM: Final = 1.2  # the target is at least this multiple of the estimate for idle servers
 MAX_TARGET_OBJECTIVE_FRACTION: Final = 0.5
 MIN_OBJECTIVE_FRACTION: Final = 0.02  # faster responses count as this
 MAX_OBJECTIVE_FRACTION: Final = 1.0  # upper bound of the average
 OVERLOAD_OBJECTIVE_FRACTION: Final = 2.0  # recorded for a request whose servers were full or overdue
 OBJECTIVE_FRACTION_SMOOTHING: Final = 0.06  # weight of one response in the geometric mean
-IDLE_FRACTION_RISE: Final = 0.0008  # the most by which one response raises the fraction of idle servers
+IDLE_FRACTION_RISE: Final = 0.0008  # the most by which one response raises the estimate for idle servers
 IDLE_FRACTION_RISE_UNDER_LOAD: Final = 0.00008  # slower: latency under load is not that of idle servers
 MIN_IDLE_OBJECTIVE_FRACTION: Final = 0.04
-LATE_FRACTION_SMOOTHING: Final = 0.02
+LATE_FRACTION_SMOOTHING: Final = 0.02  # weight of one response
 LATE_FRACTION_ALLOWED: Final = 0.05  # while fewer responses are late, servers are not overloaded
 LATE_FRACTION_WITH_IDLE_CORES: Final = 0.15  # from here on a resource other than cores is exhausted
 UTILIZATION_SMOOTHING: Final = 0.1  # weight of one load report
 TARGET_UTILIZATION: Final = 0.85  # below it the limit may grow
 SATURATED_UTILIZATION: Final = 0.95
 IDLE_UTILIZATION: Final = 0.8  # below it late responses do not come from too many requests
-ADJUSTMENT_OBJECTIVES: Final = 0.5  # longest objectives in which the limit changes by a factor of e, at most
+ADJUSTMENT_OBJECTIVES: Final = 0.5  # longest objectives, in which the limit changes by a factor of e at most
 MIN_LIMIT: Final = 0.1  # above 0: some requests are always admitted, so that recovery is noticed
 HIGH_TRAFFIC_REQUESTS: Final = 8.0  # with fewer requests in flight, averages are mostly noise
-MAX_AVERAGING_FACTOR: Final = 4.0
+MAX_AVERAGING_FACTOR: Final = 4.0  # see `averaging_factor`
 UNRESTRICTED_FILL: Final = 0.5  # up to this part of the limit all requests are admitted
 ABANDONED_DURATION_MULTIPLE: Final = 1.0  # of its duration: how long an abandoned attempt still counts
 
@@ -55,14 +55,14 @@
         self.objective_fraction = 0.0  # of the typical response
         self.late_fraction = 0.0  # part of the responses that miss their objective
         self.utilization: float | None = None  # of the servers' cores, averaged; None: not reported
-        self._idle_objective_fraction: float | None = None  # of idle servers: a recent minimum
+        self._idle_objective_fraction: float | None = None  # at idle servers: a slowly rising minimum
         self._answered_objectives = DecayingRate(context.longest_objective_us)
         self._has_rejected = False  # since the limit was last adjusted
         self._load_updated_at = 0
         self.adjusted_at = 0
         self.pending_attempts = 0
-        self.transferring_attempts = 0  # of these, only transferring bytes
-        self._pending_at_ejected = 0  # of these, at ejected endpoints
+        self.transferring_attempts = 0  # of the pending ones, those that only transfer bytes
+        self._pending_at_ejected = 0  # of the pending ones, those at ejected endpoints
         self.abandoned_until: list[int] = []  # a heap: when each abandoned attempt stops counting
 
     # Attempts in flight
@@ -104,8 +104,8 @@
     def load(self) -> int:
         """Return the own requests in flight at endpoints that are not ejected, abandoned ones included.
 
-        Computed from running counts, since every event needs it.  Abandoned attempts take at most the part of
-        the limit up to which all are admitted, or an outage would follow the recovery of hung servers.
+        Computed from running counts, since every event needs it.  Abandoned attempts count up to the part of
+        the limit that is unrestricted: after hung servers recover, they alone must not cause rejections.
         """
         while self.abandoned_until and self.abandoned_until[0] <= self._context.now:
             heapq.heappop(self.abandoned_until)
@@ -124,7 +124,7 @@
             self.mean_load += (load - self.mean_load) * (1.0 - math.exp(-elapsed / span))
 
     def averaging_factor(self) -> float:
-        """Return how much longer than with high traffic averaging must last to filter noise."""
+        """Return the factor, above 1 with low traffic, on averaging times and response weights."""
         return max(1.0, min(HIGH_TRAFFIC_REQUESTS / max(self.mean_load, 1e-9), MAX_AVERAGING_FACTOR))
 
     def fill(self) -> float:
@@ -186,7 +186,7 @@
 
         The limit bounds requests in flight, not arrivals: a surge reaches it at once, and slower servers
         admit less without adjustment.  By Little's law, the current rate of answers within the target needs
-        rate times target in flight; the limit stays above that, or delayed measurements would close it.
+        rate times target in flight; the limit is not cut below that, since measurements lag.
         """
         context = self._context
         factor = self.averaging_factor()
--- a/micadeck/policy/context.py
+++ b/micadeck/policy/context.py
@@ -20,7 +20,7 @@
         self.actions: list[Action] = []
         self.random = generator
         self.settings = settings
-        self.longest_objective_us = _longest_objective_us(settings)
+        self.longest_objective_us = _longest_objective_us(settings)  # of all classes' latency objectives
 
     def replace_settings(self, settings: Settings) -> None:
         """Apply new settings."""
--- a/micadeck/policy/discovery_polling.py
+++ b/micadeck/policy/discovery_polling.py
@@ -10,7 +10,7 @@
 from micadeck.policy.timers import DISCOVERY_POLL, NO_ATTEMPT, TimerQueue
 
 FIRST_BACKOFF_FRACTION: Final = 0.02  # of the longest permitted poll interval
-MAX_BACKOFF_FRACTION: Final = 0.25  # of the longest permitted poll interval: room for three failures in a row
+MAX_BACKOFF_FRACTION: Final = 0.25  # of that interval, so that three failures in a row fit into it
 MAX_BACKOFF_NOTIFICATION_FRACTION: Final = 1 / 6  # of the deadline for notifications
 MAX_BACKOFF_DOUBLINGS: Final = 8
 
@@ -30,7 +30,7 @@
         self._next_poll: int | None = None  # None while the list is watched
 
     def poll(self) -> None:
-        """Subscribe if discovery does not push; poll again in case no answer comes."""
+        """Subscribe, unless discovery pushes; plan a poll in case no answer comes."""
         if self._context.settings.discovery is DiscoveryMode.ON_REQUEST:
             self._context.actions.append(WatchEndpoints(True))
             self._poll_after(MAX_BACKOFF_FRACTION * self._context.settings.rules.max_poll_interval_us)
--- a/micadeck/policy/endpoints.py
+++ b/micadeck/policy/endpoints.py
@@ -17,7 +17,7 @@
     from micadeck.policy.open_requests import Attempt
 
 MIN_SUBSET_SIZE: Final = 4.0  # endpoints that an idle balancer uses
-SUBSET_PER_REQUEST_IN_FLIGHT: Final = 1.0  # further endpoints, so that some are idle
+SUBSET_PER_REQUEST_IN_FLIGHT: Final = 1.0  # endpoints added for each, so that some are idle
 
 
 def subset_size(mean_load: float) -> int:
@@ -35,7 +35,7 @@
     ended_attempts: DecayingRate  # all attempts that ended
     zone: str = ""
     cell: int = 0
-    nominal: float = 1.0
+    nominal: float = 1.0  # size as listed
     relative_latency: float = 1.0  # 1.0: the typical latency
     state: ServerState = ServerState.REMOVED
     state_changed_at: int = 0
@@ -53,9 +53,9 @@
     full_backoffs: dict[str, FullBackoff] = field(default_factory=dict)  # by class of requests
     consecutive_failures: int = 0
     malformed_responses: int = 0  # in a row
-    ejections: int = 0  # in a row
+    ejections: int = 0  # since it was last readmitted
     ejected_until: int | None = None  # None: not ejected
-    refuses_connections: bool = False  # ejected since no server listens there
+    refuses_connections: bool = False  # ejected because no server listens there
     probation_attempt: Attempt | None = None  # the single attempt that may readmit it
 
 
@@ -156,8 +156,8 @@
     def forget_if_removed(self, endpoint: Endpoint) -> None:
         """Forget a removed endpoint once its last attempt has ended.
 
-        Otherwise memory would grow where servers are replaced all day, and endpoints that were ejected and
-        then removed would count as listed.  One that is listed again is cold by its listed start time.
+        Otherwise memory would grow where servers are replaced all day, and removed endpoints would count as
+        ejected.  One that is listed again is cold by its listed start time.
         """
         if endpoint.state is ServerState.REMOVED and endpoint.in_flight == 0:
             if self.by_name.get(endpoint.name) is endpoint:
--- a/micadeck/policy/full_backoff.py
+++ b/micadeck/policy/full_backoff.py
@@ -12,8 +12,8 @@
 from micadeck.policy.context import DecisionContext
 from micadeck.policy.endpoints import Endpoint
 
-FIRST_BACKOFF_OBJECTIVES: Final = 0.5  # longest objectives; doubles with every full response in a row
-MAX_BACKOFF_OBJECTIVES: Final = 4.0
+FIRST_BACKOFF_OBJECTIVES: Final = 0.5  # in longest objectives; doubles with every full response in a row
+MAX_BACKOFF_OBJECTIVES: Final = 4.0  # in longest objectives
 
 
 @dataclass(slots=True, eq=False)
--- a/micadeck/policy/latency.py
+++ b/micadeck/policy/latency.py
@@ -72,7 +72,7 @@
         self.adjust_endpoint(endpoint, request, int(MAX_RELATIVE_LATENCY * self.typical_us(request)))
 
     def adjust_endpoint(self, endpoint: Endpoint, request: OpenRequest, elapsed_us: int) -> None:
-        """Average the relative latency of an endpoint; faster with low traffic."""
+        """Average a latency into the endpoint's; it weighs more in low traffic."""
         ratio = min(elapsed_us / max(self.typical_us(request), 1.0), MAX_RELATIVE_LATENCY)
         smoothing = ENDPOINT_SMOOTHING * self._concurrency.averaging_factor()
         endpoint.relative_latency += smoothing * (ratio - endpoint.relative_latency)
--- a/micadeck/policy/locality.py
+++ b/micadeck/policy/locality.py
@@ -8,9 +8,9 @@
 from micadeck.policy.context import DecisionContext
 from micadeck.policy.endpoints import EndpointRegistry
 
-MIN_REMOTE_WEIGHT: Final = 0.25  # of endpoints in other zones while the own zone is as fast
-EQUAL_WEIGHT_LAG: Final = 0.3  # with the own zone this much slower, all zones have equal weight
-EQUAL_WEIGHT_OBJECTIVE_FRACTION: Final = 0.12  # also with the typical response at twice this
+MIN_REMOTE_WEIGHT: Final = 0.25  # of endpoints in other zones while the own zone is as fast as those
+EQUAL_WEIGHT_LAG: Final = 0.3  # own zone slower by this fraction: all zones have equal weight
+EQUAL_WEIGHT_OBJECTIVE_FRACTION: Final = 0.12  # a typical response of twice this also gives equal weights
 
 
 class LocalityWeights:
--- a/micadeck/policy/open_requests.py
+++ b/micadeck/policy/open_requests.py
@@ -16,7 +16,7 @@
     endpoint: Endpoint
     zone: str  # of the endpoint when the attempt was sent: a later list may change it
     cell: int
-    sent_at: int
+    sent_at: int  # or when the request was complete, if that was later
     answers_before: int  # count of answers by all endpoints when it was sent
     is_pending: bool = True
     may_have_run: bool = True  # until an outcome proves that it did not
--- a/micadeck/policy/outlier_detection.py
+++ b/micadeck/policy/outlier_detection.py
@@ -31,13 +31,13 @@
 CONSECUTIVE_MALFORMED_RESPONSES: Final = 6  # higher: the network path may have damaged them
 SIGNIFICANCE_LEVEL: Final = 1e-4  # failures in a row that are likelier than this by chance do not eject
 FAILURE_RATE_OBJECTIVES: Final = 4.0  # failure rates are averaged over this many longest objectives
-MIN_ENDED_ATTEMPTS: Final = 50.0  # at the other endpoints in that time, to estimate their failure rate
-FIRST_EJECTION_OBJECTIVES: Final = 2.0  # longest objectives; doubles with every failed probation
-MAX_EJECTION_OBJECTIVES: Final = 16.0
+MIN_ENDED_ATTEMPTS: Final = 50.0  # at the other endpoints in this time, to estimate their failure rate
+FIRST_EJECTION_OBJECTIVES: Final = 2.0  # in longest objectives; doubles with every failed probation
+MAX_EJECTION_OBJECTIVES: Final = 16.0  # in longest objectives
 MAX_EJECTION_DOUBLINGS: Final = 8
-MAX_EJECTED_FRACTION: Final = 0.6  # of the list: the rest must carry the load
+MAX_EJECTED_FRACTION: Final = 0.6  # of the endpoints in use: the rest must carry the load
 MAX_SILENT_FRACTION: Final = 0.34  # if a larger part is silent, the cause is overload
-MIN_ENDPOINTS_LEFT: Final = 4  # after ejections for refused connections
+MIN_ENDPOINTS_LEFT: Final = 4  # while as many are left, refused connections may exceed MAX_EJECTED_FRACTION
 MIN_ANSWERS_SINCE_SENT: Final = 4  # by all endpoints: fewer do not distinguish a silent one
 
 
--- a/micadeck/policy/overdue_attempts.py
+++ b/micadeck/policy/overdue_attempts.py
@@ -11,8 +11,8 @@
 from micadeck.policy.outlier_detection import OutlierDetector
 from micadeck.policy.timers import TimerQueue
 
-SILENCE_MULTIPLE: Final = 2.0  # of the time until an attempt is overdue: then its endpoint is silent
-MIN_SILENCE_OBJECTIVE_FRACTION: Final = 0.5
+SILENCE_MULTIPLE: Final = 2.0  # of the time until an attempt is overdue: from then on its endpoint is silent
+MIN_SILENCE_OBJECTIVE_FRACTION: Final = 0.5  # of the latency objective: never silent sooner
 
 
 class OverdueDetector:
--- a/micadeck/policy/retry_policy.py
+++ b/micadeck/policy/retry_policy.py
@@ -13,9 +13,9 @@
 RETRIES_PER_REQUEST: Final = 0.2  # retries after failures that one request adds to the budget
 RETRY_BUDGET_REQUESTS: Final = 50.0  # the budget holds at most the retries of this many requests
 MAX_UNCOUNTED_DIALS: Final = 8  # refused connections of a request that do not count as attempts
-DELIVERY_DIAL_FRACTION: Final = 0.2  # of the dial timeout: the longest delivery of a request to a server
+DELIVERY_DIAL_FRACTION: Final = 0.2  # of the dial timeout: assumed time to deliver a request, at most
 MAX_DELIVERY_WINDOW_FRACTION: Final = 0.1  # of the idempotency window
-RETRY_AFTER_OBJECTIVE_FRACTION: Final = 0.15
+RETRY_AFTER_OBJECTIVE_FRACTION: Final = 0.15  # of the latency objective: the mean Retry-After
 
 
 class RetryBudget:
@@ -69,7 +69,7 @@
     if first is None or idempotency is Idempotency.IDEMPOTENT:
         return None
     if idempotency is Idempotency.NON_IDEMPOTENT:
-        return 0
+        return 0  # never
     window = request.service_class.idempotency_window_us
     delivery = min(
         DELIVERY_DIAL_FRACTION * settings.limits.dial_timeout_us, MAX_DELIVERY_WINDOW_FRACTION * window
--- a/micadeck/policy/settings.py
+++ b/micadeck/policy/settings.py
@@ -130,7 +130,7 @@
     session_drain_grace_us: int = 0  # of drain_grace_us, for requests with session affinity
     slow_start_initial_share: float = 0.1
     slow_start_us: int = 30_000_000
-    overload_multiple: float = 1.0
+    overload_multiple: float = 1.0  # of what a warm server of equal capacity serves: a cold one may get it
     overload_window_us: int = 2_000_000
     full_may_have_run: bool = False  # a full response does not prove that the request did not run
     close_idle_within_us: int | None = None  # idle connections to draining servers; None: no such rule
--- a/micadeck/policy/slow_start.py
+++ b/micadeck/policy/slow_start.py
@@ -76,7 +76,7 @@
     def begin(self, endpoint: Endpoint, since: int) -> None:
         """Begin slow start of an endpoint, as of this time.
 
-        Its budget starts at a random level: from 0, all balancers would first send at one time, and late.
+        Its budget starts at a random level: from 0, all first requests would come late and together.
         """
         endpoint.cold_since = since
         self._cold[endpoint.name] = endpoint
--- a/micadeck/policy/stale_connections.py
+++ b/micadeck/policy/stale_connections.py
@@ -9,10 +9,10 @@
 from micadeck.policy.endpoints import Endpoint, EndpointRegistry
 from micadeck.policy.open_requests import Attempt
 
-MIN_IDLE_OBJECTIVES: Final = 0.25  # longest objectives: a connection idle for less is assumed to be alive
-FAILURE_WEIGHT: Final = 0.5  # one silent idle connection makes stale ones as likely as not
+MIN_IDLE_OBJECTIVES: Final = 0.25  # in longest objectives: a connection idle for less is assumed to be alive
+FAILURE_WEIGHT: Final = 0.5  # one silent idle connection raises the probability from 0 to a half
 ANSWER_WEIGHT: Final = 0.3  # lower: other servers' idle connections may be stale in spite of an answer
-MEMORY_OBJECTIVES: Final = 16.0  # longest objectives: time constant of the probability's decay
+MEMORY_OBJECTIVES: Final = 16.0  # in longest objectives: time constant of the probability's decay
 DISTRUST_PROBABILITY: Final = 0.25  # from here on idle connections are closed, not reused
 
 
@@ -21,7 +21,7 @@
 
     Owns the probability that an idle connection is stale, and the shortest idle time at which one was.  A
     request on a stale connection gets no answer although the endpoint is healthy; this prevents its
-    ejection.  Hung servers look alike, so a few of them cost handshakes.
+    ejection.  Hung servers look the same, and cost handshakes.
     """
 
     def __init__(self, context: DecisionContext, endpoints: EndpointRegistry) -> None:
--- a/micadeck/sidecar.py
+++ b/micadeck/sidecar.py
@@ -32,7 +32,7 @@
     from micadeck.mysql.service import MysqlService
 
 _REQUEST_BYTES_PER_MB = (1 << 20) // 8  # for unanswered requests, per MB of the memory limit
-_LIST_TIMEOUT_S = 2.0  # after the start; then it is ready with the list in the configuration
+_LIST_TIMEOUT_S = 2.0  # after the start; from then on it is ready with the list in the configuration alone
 _SIBLING_POLL_S = 0.1
 _SIBLING_IDS_S = 0.1  # after a poll, until a sibling has published the ids of its open requests
 
--- a/micadeck/stand_ins/incident_days.py
+++ b/micadeck/stand_ins/incident_days.py
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Script:
-    """The incident of a run; its times are true ones, since the start."""
+    """The incident of a run; times are true, since its start."""
 
     kind: str
     where: str
@@ -110,7 +110,7 @@
 
 
 def _without_some(data: bytes, lost_part: float, rng: random.Random) -> bytes:
-    """Drop some runs of frames, never the head, and some bytes at the end."""
+    """Drop some frames, never the head, and some bytes at the end."""
     if lost_part <= 0.0:
         return data
     frames, offset = [], len(MAGIC)
@@ -168,7 +168,7 @@
         return server
 
     def set_incident_times(self, onset_s: float, end_s: float) -> None:
-        """Set the times of the incident, in seconds since the start."""
+        """Set the times of the incident."""
         self.script = Script(self.script.kind, self.script.where, onset_s, end_s)
 
     def schedule(self, delay_us: int, work: Callable[[], None]) -> None:
@@ -193,7 +193,7 @@
         return int(self.rng.uniform(6, 16) * US_PER_S)
 
     def replace_server(self) -> None:
-        """Replace a random server, after draining; repeat at random intervals."""
+        """Drain and replace a random server; repeat this at intervals."""
         ready = [
             server
             for server in self.servers.values()
