--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -40,7 +40,7 @@
 from micadeck.incidents.segments import SegmentName
 from micadeck.incidents.timeline import Timeline, build_timeline
 from micadeck.policy.events import ListedServer, ListKind
-from micadeck.stand_ins.incident_days import BEGIN, Day, S, play
+from micadeck.stand_ins.incident_days import START_US, US_PER_S, SimulatedRun, simulate
 
 # Detection of episodes
 
@@ -88,16 +88,16 @@
 
 
 @cache
-def day(seed: int, kind: str) -> Day:
-    return play(seed, kind)
+def day(seed: int, kind: str) -> SimulatedRun:
+    return simulate(seed, kind)
 
 
-def onset(recorded: Day, timeline: Timeline) -> int:
+def onset(recorded: SimulatedRun, timeline: Timeline) -> int:
     head = timeline.start(timeline.clocks.reference).head
     for number, data in enumerate(recorded.sidecars):
         own = read(data).head
         if (own.sidecar, own.start) == (head.sidecar, head.start):
-            return recorded.offset_of[number](BEGIN + int(recorded.script.onset * S))
+            return recorded.to_local_time[number](START_US + int(recorded.script.onset_s * US_PER_S))
     raise AssertionError
 
 
@@ -140,7 +140,7 @@
     since, until = truncated.missing[0]
     middle = timeline.clocks.to_common(number, (since + until) // 2)
     assert middle is not None
-    assert until - since < 2 * S or timeline.states.at(number, "s-0", middle.at) == UNKNOWN
+    assert until - since < 2 * US_PER_S or timeline.states.at(number, "s-0", middle.at) == UNKNOWN
     (one,) = [each for each in timeline.incidents if each.within is None]
     assert one.causes[0].kind == "zone" and one.missing > 0.0
     assert any("records lack" in each for each in timeline.rules.undetermined)
@@ -150,13 +150,13 @@
 
 
 def start(name: str, records: list[Record], at: int = 0, repeat: str = "unsafe") -> Start:
-    head = Head(1, name, f"{at:016x}", 0, at, at, [Kind("pay", repeat, S, 2 * S)], 500_000, 0)
+    head = Head(1, name, f"{at:016x}", 0, at, at, [Kind("pay", repeat, US_PER_S, 2 * US_PER_S)], 500_000, 0)
     return Start(head, [head, *records])
 
 
 def span(at: int, served: int = 10, failed: int = 0, servers: tuple[ServerCount, ...] = ()) -> Span:
     counts = ClassCount("pay", served + failed, served, 0, 0, failed, 0, b"")
-    return Span(at, at + S, at + S, 0, 1, None, 0.0, None, [counts], list(servers), 0)
+    return Span(at, at + US_PER_S, at + US_PER_S, 0, 1, None, 0.0, None, [counts], list(servers), 0)
 
 
 def state(at: int, server: str, name: str) -> State:
@@ -167,24 +167,27 @@
     return ServerCount(server, sent, last_sent_at, [sent])
 
 
-ENDED = Phase(9 * S, "ended")
+ENDED = Phase(9 * US_PER_S, "ended")
 
 
 def test_a_send_after_the_drain_grace_is_reported_with_both_records() -> None:
-    draining, late_send = state(2 * S, "a", "draining"), span(4 * S, servers=(count("a", 4 * S + 100),))
+    draining, late_send = (
+        state(2 * US_PER_S, "a", "draining"),
+        span(4 * US_PER_S, servers=(count("a", 4 * US_PER_S + 100),)),
+    )
     good: list[Record] = [state(0, "a", "ready"), span(0, servers=(count("a", 500_000),)), draining]
-    in_grace = span(2 * S, servers=(count("a", 2 * S + 400_000),))
+    in_grace = span(2 * US_PER_S, servers=(count("a", 2 * US_PER_S + 400_000),))
     assert check_rules([start("n0", [*good, in_grace, ENDED])], Clocks(0)).violations == []
     (violation,) = check_rules([start("n0", [*good, in_grace, late_send, ENDED])], Clocks(0)).violations
     assert violation.rule == 3 and violation.first == (0, draining) and violation.second == (0, late_send)
-    readmitted: list[Record] = [*good, state(3 * S, "a", "ready"), late_send, ENDED]
+    readmitted: list[Record] = [*good, state(3 * US_PER_S, "a", "ready"), late_send, ENDED]
     assert check_rules([start("n0", readmitted)], Clocks(0)).violations == []
 
 
 def test_a_non_idempotent_request_run_at_two_servers_is_reported_across_sidecars() -> None:
-    one = Attempt(S, b"id", "pay", 0, "a", 2 * S, "dropped", True)
-    two = Attempt(3 * S, b"id", "pay", 0, "b", 4 * S, "dropped", True)
-    never = Attempt(3 * S, b"id", "pay", 0, "b", 4 * S, "dial_failed", False)
+    one = Attempt(US_PER_S, b"id", "pay", 0, "a", 2 * US_PER_S, "dropped", True)
+    two = Attempt(3 * US_PER_S, b"id", "pay", 0, "b", 4 * US_PER_S, "dropped", True)
+    never = Attempt(3 * US_PER_S, b"id", "pay", 0, "b", 4 * US_PER_S, "dial_failed", False)
     (violation,) = check_rules([start("n0", [one, ENDED]), start("n1", [two, ENDED])], Clocks(0)).violations
     assert violation.rule == 2 and violation.first == (0, one) and violation.second == (1, two)
     assert check_rules([start("n0", [one, ENDED]), start("n1", [never, ENDED])], Clocks(0)).violations == []
@@ -194,15 +197,15 @@
 
 def test_two_final_answers_are_reported_and_truncated_records_are_undetermined() -> None:
     ends: list[Record] = [
-        End(2 * S, b"id", "pay", S, "failed", False, 1),
-        End(3 * S, b"id", "pay", S, "served", True, 1),
+        End(2 * US_PER_S, b"id", "pay", US_PER_S, "failed", False, 1),
+        End(3 * US_PER_S, b"id", "pay", US_PER_S, "served", True, 1),
     ]
     verdict = check_rules([start("n0", list(ends))], Clocks(0))
     (violation,) = verdict.violations
     assert violation.rule == 1 and any("break off" in each for each in verdict.undetermined)
     later: list[Record] = [
         ends[0],
-        End(6 * S, b"id", "pay", 5 * S, "served", True, 1),
+        End(6 * US_PER_S, b"id", "pay", 5 * US_PER_S, "served", True, 1),
         ENDED,
     ]  # the client sent the request again
     assert check_rules([start("n0", list(later))], Clocks(0)).violations == []
@@ -215,8 +218,8 @@
         records: list[Record] = [state(0, f"s-{each}", "ready") for each in range(6)]
         for second in range(120):
             failed = rng.randrange(2, 5) if 60 <= second < 90 else 0
-            servers = tuple(count(f"s-{each}", second * S, 3) for each in range(6))
-            records.append(span(second * S, 12, failed, servers))
+            servers = tuple(count(f"s-{each}", second * US_PER_S, 3) for each in range(6))
+            records.append(span(second * US_PER_S, 12, failed, servers))
         starts.append(start(f"n{number}", records))
     timeline = build_timeline(Archive(starts, []))
     assert timeline.clocks.unlinked  # they share no events: each is analysed on its own
@@ -228,7 +231,7 @@
 # The commands
 
 
-def write_records(recorded: Day, path: Path) -> Path:
+def write_records(recorded: SimulatedRun, path: Path) -> Path:
     path.mkdir()
     for data in recorded.sidecars:
         head = read(data).head
@@ -278,9 +281,9 @@
     records: list[Record] = [state(0, untrusted, "ready")]
     for second in range(60):
         failed = 9 if 30 <= second < 45 else 0
-        bad = ServerCount(untrusted, 10, second * S, [10 - failed, failed])
-        records.append(span(second * S, 10 - failed, failed, (bad, count("b", second * S, 10))))
-    records.append(End(31 * S, untrusted.encode(), "pay", 30 * S, "failed", True, 1))
+        bad = ServerCount(untrusted, 10, second * US_PER_S, [10 - failed, failed])
+        records.append(span(second * US_PER_S, 10 - failed, failed, (bad, count("b", second * US_PER_S, 10))))
+    records.append(End(31 * US_PER_S, untrusted.encode(), "pay", 30 * US_PER_S, "failed", True, 1))
     recorded = start("n0", records)
     page = html(build_timeline(Archive([recorded], [])))
     assert "<script>alert" not in page and "&lt;script&gt;alert" in page
@@ -300,27 +303,27 @@
     rng = random.Random(count)
     starts = []
     for number in range(count):
-        offset = rng.randrange(-7_000, 7_000) * S
+        offset = rng.randrange(-7_000, 7_000) * US_PER_S
         records: list[Record] = [state(offset, "a", "ready"), state(offset, "b", "ready")]
         for second in range(seconds):
-            now = offset + second * S
+            now = offset + second * US_PER_S
             if second % 20 == 0:
                 received_at = now + rng.randrange(300_000)
                 records.append(Listed(received_at, second // 20 + 1, "changes" if second else "complete", 1))
             failed = 4 if number in failing_sidecars and 60 <= second < 75 else 0
             attempts = ServerCount("a", 10, now, [10 - failed, failed])
             records.append(span(now, 10 - failed, failed, (attempts,)))
-        starts.append(start(f"n{number}", [*records, Phase(offset + seconds * S, "ended")], offset))
+        starts.append(start(f"n{number}", [*records, Phase(offset + seconds * US_PER_S, "ended")], offset))
     return starts
 
 
 def test_twenty_failing_sidecars_of_two_hundred_make_an_incident() -> None:
     timeline = build_timeline(Archive(fleet(200, range(20)), []))
     (one,) = timeline.incidents
-    assert len(timeline.linked) == 200 and 13 * S <= one.end - one.onset <= 17 * S
+    assert len(timeline.linked) == 200 and 13 * US_PER_S <= one.end - one.onset <= 17 * US_PER_S
     assert {number for number, count in one.impact.by_sidecar.items() if count} == set(range(20))
     reference = timeline.start(timeline.clocks.reference).head.at
-    assert abs(one.onset - (reference + 60 * S)) <= one.uncertainty
+    assert abs(one.onset - (reference + 60 * US_PER_S)) <= one.uncertainty
     assert build_timeline(Archive(fleet(30, range(0)), [])).incidents == []
 
 
@@ -337,17 +340,17 @@
 def test_a_partition_where_each_half_ejects_a_different_server_is_a_disagreement() -> None:
     starts = fleet(6, range(0))
     for number, each in enumerate(starts):
-        at = each.head.at + 40 * S
+        at = each.head.at + 40 * US_PER_S
         lost = "b" if number < 3 else "a"
         ejected = State(at, lost, "ejected", "silent", "east", 1, True)
         each.records.append(ejected)
         each.records.sort(key=lambda record: getattr(record, "until", record.at))
     timeline = build_timeline(Archive(starts, []))
-    when = timeline.start(timeline.clocks.reference).head.at + 100 * S
+    when = timeline.start(timeline.clocks.reference).head.at + 100 * US_PER_S
     for server in ("a", "b"):
         consensus = timeline.states.consensus(server, when, timeline.linked)
         assert consensus.disagrees and consensus.counts == {"ready": 3, "ejected": 3}
-    before = timeline.states.consensus("a", when - 80 * S, timeline.linked)
+    before = timeline.states.consensus("a", when - 80 * US_PER_S, timeline.linked)
     assert not before.disagrees and before.state == "ready"
     assert [each.disagreement for each in ConsoleModel(timeline).rows(100)] == ["3 ready, 3 ejected"] * 2
 
@@ -363,9 +366,11 @@
 def test_after_rotation_the_timeline_covers_the_remaining_segments(tmp_path: Path) -> None:
     encoder, paths = Encoder(), []
     for number in range(4):
-        at = number * 60 * S
-        head = Head(1, "n0", "0" * 16, number, at, at, [Kind("pay", "safe", S, 2 * S)], 0, 0)
-        spans = [span(at + second * S, 10, 4 if number == 3 and second > 30 else 0) for second in range(60)]
+        at = number * 60 * US_PER_S
+        head = Head(1, "n0", "0" * 16, number, at, at, [Kind("pay", "safe", US_PER_S, 2 * US_PER_S)], 0, 0)
+        spans = [
+            span(at + second * US_PER_S, 10, 4 if number == 3 and second > 30 else 0) for second in range(60)
+        ]
         path = tmp_path / str(SegmentName("0" * 16, number, "n0"))
         records: list[Record] = [head, state(at, "a", "ready"), *spans]
         path.write_bytes(MAGIC + b"".join(map(encoder.frame, records)))
@@ -384,7 +389,7 @@
     encoder = Encoder()
     head = Head(1, "n0", "0" * 16, 0, 0, 0, [], 0, 0)
     records: list[Record] = [head, state(0, "a", "ejected"), state(5, "b", "ready")]
-    records += [span(second * S) for second in range(30)]
+    records += [span(second * US_PER_S) for second in range(30)]
     data = bytearray(MAGIC + b"".join(map(encoder.frame, records)))
     at = len(MAGIC)
     for number in range(len(records)):
