--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -126,8 +126,8 @@
     def check_counts(self) -> None:
         in_flight: dict[str, int] = dict.fromkeys(SERVERS, 0)
         for request in self.requests.values():
-            for each in request["attempts"]:
-                in_flight[each["server"]] += each["pending"]
+            for attempt in request["attempts"]:
+                in_flight[attempt["server"]] += attempt["pending"]
         for name, server in self.balancer._endpoints.by_name.items():
             assert server.in_flight == in_flight[name], "the count of requests in flight is off"
 
@@ -154,12 +154,14 @@
 
     def end_one(self, number: int, index: int, outcome: Outcome) -> None:
         request = self.requests[number]
-        each = request["attempts"][index]
-        each["pending"], each["outcome"] = False, outcome
+        attempt = request["attempts"][index]
+        attempt["pending"], attempt["outcome"] = False, outcome
         if outcome is Outcome.DELIVERED:
             request["over"] = True
-        self.update_close_deadline(each["server"])
-        self.handle(Ended(number, index, each["server"], outcome, self.now - each["at"], request["over"]))
+        self.update_close_deadline(attempt["server"])
+        self.handle(
+            Ended(number, index, attempt["server"], outcome, self.now - attempt["at"], request["over"])
+        )
 
     def update_close_deadline(self, server: str) -> None:
         """Restart the deadline for idle connections to a server that isn't ready."""
--- a/tests/test_both_orders.py
+++ b/tests/test_both_orders.py
@@ -186,7 +186,7 @@
     assert seen == {"first", "other"}
 
 
-def test_word_of_a_drain_and_the_dial_that_comes_up() -> None:
+def test_a_drain_and_the_established_connection() -> None:
     def holds(simulation: Simulation) -> None:
         drain_came_first = simulation.order[0] == "other"
         # A request written before the drain may complete at that server.
@@ -196,7 +196,7 @@
     both_orders((ConnectionPool, "_write"), lambda simulation: simulation.drain("s-1"), holds)
 
 
-def test_a_client_that_leaves_and_the_dial_that_comes_up() -> None:
+def test_a_client_disconnect_and_the_established_connection() -> None:
     def holds(simulation: Simulation) -> None:
         # Bytes written in that instant may still be lost.
         assert simulation.reached == [] or simulation.order[0] == "first"
@@ -207,7 +207,7 @@
 
 
 @pytest.mark.parametrize("what", ["the other server drains", "the client leaves"])
-def test_an_attempt_that_breaks_and_what_forbids_the_next_one(what: str) -> None:
+def test_a_broken_attempt_and_an_event_that_forbids_its_retry(what: str) -> None:
     def other(simulation: Simulation) -> None:
         if what == "the client leaves":
             simulation.disconnect_client()
@@ -222,7 +222,7 @@
     both_orders((Engine, "_attempt_ended"), other, holds, reply="resets first", listed=("s-1", "s-2"))
 
 
-def test_the_end_of_a_request_s_time_and_its_answer() -> None:
+def test_the_deadline_of_a_request_and_its_answer() -> None:
     def holds(simulation: Simulation) -> None:
         assert len(simulation.answers) == 1 and simulation.answers[0] in ("served", "failed", "refused")
         assert simulation.engine.open_requests == 0
--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -102,12 +102,14 @@
         "a drain and a cold return in the decisions",
     ],
 )
-def test_a_change_costs_the_same_among_many(made: Callable[[int], Callable[[], object]]) -> None:
+def test_the_cost_of_a_change_does_not_grow_with_the_list(
+    made: Callable[[int], Callable[[], object]],
+) -> None:
     few, many = instructions(made(FEW)), instructions(made(MANY))
     assert 20 < few and many < 1.5 * few  # a binary search takes a few steps more
 
 
-def test_of_a_list_read_again_only_the_entry_that_changed_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_changed_entries_of_a_polled_list_are_parsed(monkeypatch: pytest.MonkeyPatch) -> None:
     parsed: list[Any] = []
     parse = ServiceView._parse_entry
 
@@ -129,7 +131,7 @@
     ]
 
 
-def test_changes_of_the_view_and_a_complete_list_come_to_the_same() -> None:
+def test_incremental_changes_and_a_complete_list_give_the_same_view() -> None:
     """Compare incremental changes with the same answers read by a new view each time."""
     view = ServiceView()
     held: dict[tuple[str, int], Precedence] = {}
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -49,13 +49,13 @@
 
 @pytest.mark.parametrize("is_new", [False, True])
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_start_told_by_a_stepped_clock_is_as_cold_as_one_told_right(step_s: float, is_new: bool) -> None:
+def test_a_start_time_from_a_stepped_clock_is_treated_as_cold(step_s: float, is_new: bool) -> None:
     expected = sent_after_restart(0.0, is_new=is_new)
     allowed = 6 if is_new else 1  # seconds by which its age may be overestimated
     assert sent_after_restart(step_s, is_new=is_new) <= expected + 12 * allowed
 
 
-def test_a_start_told_for_an_hour_ahead_is_warm_after_its_own_time() -> None:
+def test_a_start_time_an_hour_ahead_is_warm_after_the_slow_start_period() -> None:
     balancer = Balancer(settings(rules={"cold_us": 10 * S, "cold_from": 0.1}), seed=3)
     update_list(balancer, BEGIN, ListKind.COMPLETE, *(ListedServer(each, started_at=S) for each in NAMES))
     sent_to_cold(balancer, BEGIN + S)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -68,14 +68,14 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECTION_LOST, Outcome.ERROR, Outcome.CONNECT_FAILED])
 @pytest.mark.parametrize(("probability", "max_ejections"), [(0.02, 1), (0.10, 2), (0.30, 3)])
-def test_what_meets_all_alike_ejects_next_to_nobody(
+def test_faults_shared_by_all_servers_eject_almost_none(
     probability: float, max_ejections: int, outcome: Outcome
 ) -> None:
     _, ejected = _simulate(15, _fail_everywhere(probability, outcome), seconds=10, per_s=150, seed=3)
     assert sum(map(len, ejected.values())) <= max_ejections
 
 
-def test_where_all_fail_nobody_is_worse_than_the_rest() -> None:
+def test_no_server_is_an_outlier_where_all_fail() -> None:
     _, ejected = _simulate(15, _fail_everywhere(1.0), seconds=3, per_s=100, seed=4)
     assert sum(map(len, ejected.values())) <= 2  # the first to fail, while the others' results are unknown
 
@@ -89,7 +89,7 @@
         (3, 1, 60, 1, 6),  # one request a second
     ],
 )
-def test_servers_that_fail_among_healthy_ones_are_left_at_once(
+def test_servers_that_fail_among_healthy_ones_get_few_requests(
     count: int, failing_count: int, seconds: int, per_s: int, max_requests: int
 ) -> None:
     """Whether ejected or no longer drawn, failing servers must get few requests."""
@@ -105,7 +105,7 @@
     assert not any(at for name, at in ejected.items() if name not in failing)
 
 
-def test_a_failing_server_is_found_among_noise_and_only_that() -> None:
+def test_a_failing_server_is_found_among_random_errors_and_few_others_are_ejected() -> None:
     failing, given = names(15)[4], [0]
     noise = _fail_at([failing], noise=0.10)
 
--- a/tests/test_extremes.py
+++ b/tests/test_extremes.py
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("value", VALUES)
 @pytest.mark.parametrize("key", LIMITS)
-def test_a_limit_of_any_size_is_served_by(key: str, value: int) -> None:
+def test_requests_are_answered_with_extreme_limits(key: str, value: int) -> None:
     if (key, value) == ("sendCap", 0):
         with pytest.raises(ConfigError, match=r"settings\.limits\.max_attempts: at least 1"):
             check_requests_answered(bounds={key: value})
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("value", [1, LARGEST])
 @pytest.mark.parametrize("key", RULES)
-def test_a_rule_s_figure_of_any_size_is_served_by(key: str, value: int) -> None:
+def test_requests_are_answered_with_extreme_rules(key: str, value: int) -> None:
     check_requests_answered(guarantees={key: value})
 
 
@@ -71,5 +71,5 @@
     ],
     ids=str,
 )
-def test_settings_unlike_any_other_s_are_served_by(settings: dict[str, Any], discovery: str) -> None:
+def test_requests_are_answered_with_unusual_settings(settings: dict[str, Any], discovery: str) -> None:
     check_requests_answered(discovery=discovery, **settings)
--- a/tests/test_message_races.py
+++ b/tests/test_message_races.py
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("how", ["ends", "resets"])
 @pytest.mark.parametrize("behind", [0, 1, 400])
-def test_a_client_that_sent_much_ahead_and_left_is_noticed_before_anything_is_sent_on(
+def test_the_disconnect_of_a_pipelining_client_is_noticed_before_anything_is_forwarded(
     behind: int, how: str, may_cancel: bool
 ) -> None:
     # The end of its stream is queued behind pipelined requests that are not read yet.
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("how", ["ends", "resets"])
 @pytest.mark.parametrize("waits_for", ["a dial", "a retry"])
-def test_nothing_begins_for_a_client_that_left_unseen_however_rarely_the_front_looks(
+def test_no_attempt_starts_for_a_disconnected_client_however_rarely_the_listener_checks(
     waits_for: str, how: str
 ) -> None:
     # The end of its stream is queued behind pipelined requests, and the timeout sweep runs once a minute.
@@ -131,7 +131,7 @@
     play(work)
 
 
-def test_a_client_that_sends_ahead_and_stays_has_all_its_answers() -> None:
+def test_a_pipelining_client_that_stays_gets_all_its_answers() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             with raw_client(scene) as client:
@@ -145,7 +145,7 @@
     play(work)
 
 
-def test_a_request_that_comes_as_its_connection_is_closed_is_never_sent_on_and_nothing_is_reset() -> None:
+def test_a_request_received_during_the_close_is_not_forwarded_and_nothing_is_reset() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             with raw_client(scene) as client:
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("behind", [b"", b"GET /api/7f", request("lodge")], ids=["", "half", "whole"])
-def test_the_last_answer_comes_whole_whatever_the_client_sends_in_that_instant(behind: bytes) -> None:
+def test_the_last_answer_is_complete_whatever_the_client_sends_at_that_moment(behind: bytes) -> None:
     async def work() -> None:
         async with stage(None) as scene:
             with raw_client(scene) as client:
@@ -195,7 +195,7 @@
     play(work)
 
 
-def test_an_answer_that_is_passed_on_as_the_time_ends_is_cut_off_and_not_taken_for_whole() -> None:
+def test_an_answer_forwarded_past_the_deadline_is_visibly_truncated() -> None:
     async def work() -> None:
         errors: list[dict[str, object]] = []
         loop = asyncio.get_running_loop()
@@ -222,7 +222,7 @@
     play(work)
 
 
-def test_a_client_that_never_ends_its_side_is_cut_off_soon_after_ours_ended() -> None:
+def test_a_client_that_never_closes_its_side_is_disconnected_soon_after_the_close() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             with raw_client(scene) as client:
@@ -234,7 +234,7 @@
     play(work)
 
 
-def test_who_connects_as_the_listener_closes_is_answered() -> None:
+def test_a_client_that_connects_as_the_listener_closes_is_answered() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             frontend, clients = scene.sidecar.listener, []
@@ -257,7 +257,7 @@
 
 
 @pytest.mark.parametrize("held_up_s", [0.0, 1.0])
-def test_what_is_open_is_answered_in_the_time_that_runs_from_the_signal(held_up_s: float) -> None:
+def test_open_requests_are_answered_in_time_measured_from_the_signal(held_up_s: float) -> None:
     # Guards against a kill before the last answers, where a busy event loop handles the signal late.
     async def work() -> None:
         kind = {"name": "lodge", "giveUpUs": 1_500_000, "promiseUs": 1_200_000, "repeat": "non_idempotent"}
@@ -278,7 +278,7 @@
     play(work)
 
 
-def test_the_time_of_a_signal_is_that_of_the_signal_also_while_the_event_loop_is_held_up() -> None:
+def test_a_signal_is_timestamped_on_arrival_while_the_event_loop_is_blocked() -> None:
     async def work() -> None:
         numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
         before = {number: signal.getsignal(number) for number in numbers}
@@ -302,7 +302,7 @@
     play(work)
 
 
-def test_a_request_on_every_connection_that_stays_open_is_answered_up_to_the_end() -> None:
+def test_requests_on_new_connections_are_answered_until_listening_stops() -> None:
     async def work() -> None:
         async def answer(heard: Heard) -> bytes:
             return OK
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -65,7 +65,9 @@
 
 @pytest.mark.parametrize("reports", [True, False])
 @pytest.mark.parametrize(("times", "min_share"), [(1.5, 0.85), (3.0, 0.7)])
-def test_past_capacity_most_of_it_is_served_in_time(times: float, min_share: float, reports: bool) -> None:
+def test_beyond_capacity_most_of_the_capacity_is_served_in_time(
+    times: float, min_share: float, reports: bool
+) -> None:
     world = Surge(1, times, reports=reports).simulate()
     during, after = world.counts(26, 39), world.counts(46, 58)
     assert during.arrived > 1.2 * world.capacity
@@ -85,13 +87,13 @@
     assert during.refused < 0.01 * during.arrived and during.in_time > 0.98 * during.arrived
 
 
-def test_servers_slower_by_half_at_once_are_no_overload_while_they_have_room() -> None:
+def test_servers_that_slow_down_by_half_are_not_overload_while_capacity_remains() -> None:
     world = Surge(3, 0.4, slow=1.5).simulate()
     during = world.counts(20, 40)
     assert during.refused < 0.01 * during.arrived and during.in_time > 0.97 * during.arrived
 
 
-def test_sidecars_before_the_same_servers_come_to_like_windows() -> None:
+def test_sidecars_of_the_same_servers_converge_to_similar_limits() -> None:
     world = Surge(4, 2.0, sidecars=3).simulate()
     served_shares = []
     for sidecar in world.all_sidecars:
@@ -111,7 +113,7 @@
             super().work(sidecar, name, kind, done)
 
 
-def test_one_sidecar_of_four_that_sees_only_noise_refuses_nobody_for_it() -> None:
+def test_random_connection_losses_at_one_sidecar_cause_almost_no_refusals() -> None:
     world = Noisy(5, 0.5).simulate()
     for sidecar in world.all_sidecars:
         records = [each for _, each in read(sidecar.data).records]
@@ -124,15 +126,15 @@
         assert len(ejected) <= (12 if sidecar.number == 0 else 1)
 
 
-def test_what_was_given_up_on_refuses_nobody_by_itself() -> None:
+def test_timed_out_attempts_alone_cause_no_refusals() -> None:
     """Guards against timed out attempts counting as load: after a hang, all was refused for two seconds."""
     harness = PolicyHarness()
     harness.list_servers(names(3))
     harness.serve(60)
     hung = [harness.request("pay") for _ in range(12)]
     harness.advance(1_900 * MS)
-    for each in hung:
-        harness.end_attempt(each, Outcome.TIMED_OUT)
+    for request in hung:
+        harness.end_attempt(request, Outcome.TIMED_OUT)
     harness.balancer._concurrency.limit = 8.0
     sent = 0
     for _ in range(40):  # one at a time, each answered soon: only the timed out attempts still count as load
--- a/tests/test_policy_constants.py
+++ b/tests/test_policy_constants.py
@@ -36,7 +36,7 @@
     assert start == last_update - 6 * S
 
 
-def test_discovery_is_asked_again_within_a_second_after_any_number_of_failures() -> None:
+def test_discovery_is_polled_again_within_a_second_after_any_number_of_failures() -> None:
     """With 1 s to connect and 1.5 s to answer, a lost call can still be repeated within the 6 s."""
     harness = PolicyHarness(settings(discovery="on_request", rules={"ask_within_us": 100 * S}))
     harness.list_servers(names(3))
@@ -63,7 +63,7 @@
     assert len(balancer._endpoints.ejected) == 60
 
 
-def test_a_server_that_stays_full_for_a_class_is_passed_over_for_four_aims_at_most() -> None:
+def test_a_server_that_stays_full_for_a_class_is_avoided_for_at_most_four_latency_objectives() -> None:
     """It is tried again about as often as an answer takes."""
     harness = _harness()
     endpoint = _endpoints(harness)[0]
@@ -86,7 +86,7 @@
     assert (endpoint.ejected_until is not None) == is_ejected
 
 
-def test_a_keyed_repeat_leaves_a_tenth_of_its_window_for_its_way_to_the_server() -> None:
+def test_a_keyed_retry_leaves_a_tenth_of_its_window_for_transit() -> None:
     """The server expires the key by its own clock; a slow dial must not deliver a retry after that."""
     given = settings()
     given = replace(given, limits=replace(given.limits, dial_timeout_us=60 * S))
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(("balance", "is_cancelled"), [(0.95, False), (1.0, True)])
-def test_a_silent_attempt_is_cancelled_only_if_a_whole_retry_is_left(
+def test_a_silent_attempt_is_cancelled_only_if_the_budget_allows_a_retry(
     balance: float, is_cancelled: bool
 ) -> None:
     """Otherwise the request would lose its attempt and get no other."""
--- a/tests/test_refused_dials.py
+++ b/tests/test_refused_dials.py
@@ -40,7 +40,7 @@
     return dials
 
 
-def test_a_request_passes_over_those_that_are_gone_without_an_attempt_or_a_retrys_allowance() -> None:
+def test_servers_that_refuse_connections_use_up_no_attempt_and_no_retry_budget() -> None:
     harness = _harness(30)
     down = set(names(30)[:18])  # six in ten, as after a release that the list doesn't show yet
     requests = [harness.request(name) for name in ("look", "pay", "amend") * 20]
@@ -52,7 +52,7 @@
     assert budget.balance == pytest.approx(10.0)  # refused dials take nothing from the retry budget
 
 
-def test_each_that_turned_one_down_is_dialled_by_nobody_else_but_one_trial_at_a_time() -> None:
+def test_a_server_that_refused_a_connection_gets_one_probation_request_at_a_time() -> None:
     harness = _harness(30)
     down = set(names(30)[:18])
     dials = 0
@@ -75,7 +75,7 @@
     assert len(probations) == len(set(probations)) > 0
 
 
-def test_who_listens_again_is_found_and_is_cold() -> None:
+def test_a_server_that_listens_again_is_readmitted_as_cold() -> None:
     harness = _harness(6)
     name = _first_drawn(harness)
     _eject_by_refused_dials(harness, name)
@@ -87,7 +87,7 @@
     assert harness.balancer._slow_start.is_cold(harness.balancer._endpoints.by_name[name])
 
 
-def test_a_new_process_that_the_list_tells_of_ends_it_at_once() -> None:
+def test_a_newly_listed_process_is_readmitted_at_once() -> None:
     harness = _harness(6)
     name = _first_drawn(harness)
     _eject_by_refused_dials(harness, name)
@@ -98,7 +98,7 @@
     )
 
 
-def test_where_all_turn_dials_down_some_stay_in_the_draw_and_each_request_is_refused_at_once() -> None:
+def test_where_all_servers_refuse_connections_some_stay_eligible_and_requests_are_refused_at_once() -> None:
     harness = _harness(10)
     for _ in range(30):
         request = harness.request("pay")
@@ -112,7 +112,7 @@
     assert not any(isinstance(action, Refuse) for _, action in harness.log[before:])
 
 
-def test_a_sick_server_is_ejected_as_well_where_most_are_gone() -> None:
+def test_a_failing_server_is_also_ejected_where_most_refuse_connections() -> None:
     # Guards against servers that are down using up the share of servers that may be ejected.
     harness = _harness(30, attempts=1)
     first = [each.name for each in harness.balancer._endpoints.ready]
@@ -133,7 +133,7 @@
     assert {f"ejected {each}: error" for each in failing} & ejected
 
 
-def test_what_timed_out_or_broke_is_an_attempt_as_before() -> None:
+def test_timed_out_and_broken_connections_count_as_attempts() -> None:
     for outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST):
         harness = _harness(10)
         request = harness.request()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -68,7 +68,7 @@
     )
 
 
-def test_of_two_reloads_in_a_row_the_second_counts() -> None:
+def test_of_two_successive_reloads_the_second_takes_effect() -> None:
     versions = SettingsVersions(settings())
     versions.announce(settings(TRACK), 0)
     last = settings(CHECK)
@@ -121,7 +121,7 @@
     assert attempts == max_attempts
 
 
-def test_an_open_request_keeps_its_class_and_a_new_one_has_the_new() -> None:
+def test_an_open_request_keeps_its_class_and_a_new_one_gets_the_new_class() -> None:
     policy = make_balancer(3)
     (old,) = sends(policy.handle(2_000, arrival(1, "check")))
     policy.handle(2_100, SettingsChanged(settings({**CHECK, "repeat": "non_idempotent"})))
@@ -130,7 +130,7 @@
     assert not sends(policy.handle(2_400, attempt_failed(new, 0)))  # non-idempotent by now
 
 
-def test_what_is_known_of_servers_survives() -> None:
+def test_server_state_survives_a_settings_change() -> None:
     policy = make_balancer(3)
     (sent,) = sends(policy.handle(2_000, arrival(1)))
     policy.handle(2_100, SettingsChanged(settings(TRACK)))
@@ -154,7 +154,7 @@
     }
 
 
-def test_a_file_cut_off_anywhere_is_turned_down(tmp_path: Path) -> None:
+def test_a_truncated_file_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     complete = json.dumps(valid_config()).encode()
     for length in range(len(complete)):
@@ -202,7 +202,7 @@
     ],
     ids=str,
 )
-def test_a_broken_file_changes_nothing_and_its_key_is_named(given: dict[str, Any], key: str) -> None:
+def test_an_invalid_file_is_rejected_with_its_key(given: dict[str, Any], key: str) -> None:
     running = parse(valid_config())
     with pytest.raises(ConfigError) as error:
         parse(given).check_replaces(running)
@@ -213,7 +213,7 @@
 
 
 @played
-async def test_a_reload_brings_classes_and_drops_them_while_requests_are_open() -> None:
+async def test_a_reload_adds_and_removes_classes_while_requests_are_open() -> None:
     async def slow_for_lodge(heard: Heard) -> bytes:
         await asyncio.sleep(0.2 if heard.headers["request-class"] == "lodge" else 0.0)
         return OK
@@ -246,7 +246,7 @@
 
 
 @played
-async def test_without_a_request_that_needs_them_they_are_in_force_after_a_while() -> None:
+async def test_new_settings_take_effect_after_a_delay_without_a_request_that_needs_them() -> None:
     async with stage(OK) as scene:
         sidecar = scene.sidecar
         sidecar.reload(replace(sidecar._runtime.config, settings=settings(CHECK)))
@@ -256,7 +256,7 @@
 
 
 @played
-async def test_a_reload_that_takes_the_one_before_back_leaves_the_settings_as_they_are() -> None:
+async def test_a_reload_that_reverts_a_pending_one_leaves_the_settings_unchanged() -> None:
     async with stage(OK) as scene:
         sidecar = scene.sidecar
         running = sidecar._runtime.config
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,7 +21,7 @@
 # Rule 1: one final answer in time
 
 
-def test_an_unanswered_request_gets_its_final_answer_before_its_time_is_up() -> None:
+def test_an_unanswered_request_gets_its_final_answer_before_its_deadline() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(5))
     request = harness.request("pay", remaining_us=900 * MS)
@@ -42,7 +42,7 @@
     assert len([1 for at, _ in harness.sends(request) if at > START + 300 * MS]) == 0
 
 
-def test_a_request_whose_time_is_up_on_arrival_is_refused_unsent() -> None:
+def test_a_request_past_its_deadline_on_arrival_is_refused_unsent() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(3))
     request = harness.request("pay", remaining_us=0)
@@ -50,13 +50,13 @@
     assert [each.request for each in harness.actions(Refuse)] == [request]
 
 
-def test_no_server_at_all_means_a_refusal_at_once() -> None:
+def test_without_servers_a_request_is_refused_at_once() -> None:
     harness = PolicyHarness()
     request = harness.request("pay")
     assert [each.request for each in harness.actions(Refuse)] == [request]
 
 
-def test_no_attempts_allowed_means_a_refusal() -> None:
+def test_without_allowed_attempts_a_request_is_refused() -> None:
     harness = PolicyHarness(settings(limits={"max_attempts": 0}))
     harness.list_servers(names(3))
     request = harness.request("look")
@@ -64,7 +64,7 @@
     assert [each.request for each in harness.actions(Refuse)] == [request]
 
 
-def test_late_and_unknown_news_is_ignored() -> None:
+def test_late_and_unknown_events_are_ignored() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(3))
     request = harness.request()
@@ -77,7 +77,7 @@
     assert len(harness.log) == before
 
 
-def test_a_client_that_left_is_owed_nothing_and_its_attempt_is_called_off() -> None:
+def test_a_disconnected_client_gets_no_answer_and_its_attempt_is_cancelled() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(3))
     request = harness.request("pay")
@@ -119,7 +119,7 @@
     return [ListedServer(name, zone="east", cell=index % 2) for index, name in enumerate(names(8))]
 
 
-def test_a_group_is_that_of_the_attempt_whatever_a_list_says_of_its_server_later() -> None:
+def test_a_keyed_retry_uses_the_cell_at_the_time_of_the_attempt() -> None:
     harness = PolicyHarness()
     harness.list_servers([ListedServer("first", zone="east", cell=1)])
     request = harness.request("amend", remaining_us=3 * S)
@@ -130,7 +130,7 @@
     assert len(harness.sends(request)) == 1
 
 
-def test_a_repeat_says_until_when_it_may_be_written_and_a_first_attempt_may_be_at_any_time() -> None:
+def test_a_keyed_retry_has_a_write_deadline_and_a_first_attempt_has_none() -> None:
     harness = PolicyHarness(settings(limits={"dial_timeout_us": 250 * MS}))
     harness.list_servers([ListedServer(each, zone="east", cell=1) for each in names(3)])
     request = harness.request("amend", remaining_us=4 * S)
@@ -157,7 +157,7 @@
         assert len({cell_of[each] for each in targets}) == 1
 
 
-def test_a_keyed_request_is_not_sent_again_once_servers_forget() -> None:
+def test_a_keyed_request_is_not_retried_after_the_deduplication_window() -> None:
     harness = PolicyHarness()
     harness.list_servers(_servers_in_two_cells())
     request = harness.request("amend", remaining_us=4 * S)
@@ -167,7 +167,7 @@
     assert [each.request for each in harness.actions(Fail)] == [request]
 
 
-def test_a_second_copy_waits_for_the_first_where_only_one_may_be_out() -> None:
+def test_a_retry_waits_for_the_first_attempt_where_hedging_is_not_allowed() -> None:
     harness = PolicyHarness(settings(limits={"second_copies": False}))
     harness.list_servers(names(6))
     harness.serve(100)
@@ -187,7 +187,7 @@
 # Rule 3: no traffic to draining or removed servers
 
 
-def test_a_drained_or_vanished_server_gets_nothing_from_the_moment_of_hearing() -> None:
+def test_a_draining_or_removed_server_gets_no_requests_once_listed_so() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(4))
     harness.drain("10.0.0.1:80")
@@ -207,20 +207,20 @@
     assert len(harness.sends(harness.request())) == 1
 
 
-def test_the_list_is_followed_from_the_first_event() -> None:
+def test_the_endpoint_list_is_watched_from_the_first_event() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(2), ListKind.REMEMBERED)
     assert harness.actions(WatchEndpoints) == [WatchEndpoints(True)]
 
 
-def test_nothing_is_asked_where_changes_come_unasked() -> None:
+def test_no_polls_are_made_where_changes_are_pushed() -> None:
     harness = PolicyHarness(settings(discovery="pushed"))
     harness.list_servers(names(2), ListKind.REMEMBERED)
     harness.advance(60 * S)
     assert harness.actions(WatchEndpoints) == [] and harness.actions(FetchList) == []
 
 
-def test_failed_calls_are_repeated_with_growing_waits_and_never_given_up() -> None:
+def test_failed_polls_are_retried_with_growing_backoff_without_end() -> None:
     harness = PolicyHarness()
     called_at = []
     harness.list_servers(names(2), ListKind.REMEMBERED)
@@ -235,7 +235,7 @@
     assert waits[-1] > 2 * waits[0]
 
 
-def test_a_call_that_is_never_answered_is_made_again_in_time() -> None:
+def test_an_unanswered_poll_is_repeated_in_time() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(2), ListKind.REMEMBERED)
     harness.advance(10 * S)
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize(("interval_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
-def test_a_cold_server_gets_no_more_than_its_part(interval_us: int, burst: int) -> None:
+def test_a_cold_server_gets_no_more_than_its_slow_start_share(interval_us: int, burst: int) -> None:
     harness = PolicyHarness()
     harness.list_servers(names(6))
     harness.serve(300, interval_us=10 * MS)
@@ -259,9 +259,9 @@
     while harness.now < started_at + 10 * S:
         requests = [harness.request() for _ in range(burst)]
         harness.advance(interval_us)
-        for each in requests:
-            if harness.sends(each):
-                harness.end_attempt(each)
+        for request in requests:
+            if harness.sends(request):
+                harness.end_attempt(request)
     times = [at for at, each in harness.sends() if each.server == "10.0.0.6:80" and at >= started_at]
     for end in times:
         warmth = 0.2 + 0.8 * max(end - 2 * S - started_at, 0) / (10 * S)
@@ -281,7 +281,7 @@
 # The checks in `_send`, independent of the code that calls it
 
 
-def test_the_gate_lets_nothing_out_to_a_draining_or_gone_server() -> None:
+def test_the_send_check_blocks_draining_and_removed_servers() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(3))
     request = harness.balancer._requests[harness.request()]
@@ -299,7 +299,7 @@
     assert not harness.balancer._send(other, server)
 
 
-def test_the_gate_lets_no_second_copy_out_where_only_one_is_allowed() -> None:
+def test_the_send_check_blocks_a_second_copy_where_hedging_is_not_allowed() -> None:
     for allowed in (False, True):
         harness = PolicyHarness(settings(limits={"second_copies": allowed}))
         harness.list_servers(names(3))
@@ -343,7 +343,7 @@
         assert len(harness.sends(request)) == 2 and harness.actions(Refuse) == []
 
 
-def test_where_full_is_no_proof_a_safe_request_is_drawn_again_all_the_same() -> None:
+def test_where_full_is_no_proof_a_safe_request_is_still_retried() -> None:
     harness = _harness_without_full_proof()
     request = harness.request("look")
     harness.end_attempt(request, Outcome.FULL)
@@ -353,7 +353,7 @@
 # Further rule: idle connections to draining servers are closed
 
 
-def test_idle_connections_are_closed_on_hearing_and_when_attempts_end_there() -> None:
+def test_idle_connections_are_closed_when_a_drain_is_listed_and_when_attempts_end_there() -> None:
     harness = PolicyHarness(settings(rules={"close_idle_within_us": 500 * MS}))
     harness.list_servers(names(1))
     request = harness.request("pay")
@@ -369,7 +369,7 @@
 
 
 @pytest.mark.parametrize("kind", [ListKind.COMPLETE, ListKind.REMEMBERED])
-def test_a_drain_heard_in_a_whole_list_closes_too_and_one_called_off_does_not(kind: ListKind) -> None:
+def test_a_drain_in_a_complete_list_closes_connections_and_a_cancelled_one_does_not(kind: ListKind) -> None:
     harness = PolicyHarness(settings(rules={"close_idle_within_us": 500 * MS}))
     harness.list_servers(names(2))
     harness.list_servers([names(2)[1], ListedServer("10.0.0.1:80", "east", state=ServerState.DRAINING)], kind)
@@ -388,7 +388,7 @@
 
 
 @pytest.mark.parametrize("new_takes", [0.1, 0.5, 1.0])
-def test_two_processes_that_hand_over_push_no_cold_server_over_together(new_takes: float) -> None:
+def test_two_processes_in_a_hot_restart_do_not_overload_a_cold_server_together(new_takes: float) -> None:
     """A hot restart hands over in steps; cold servers join before, during and after it."""
     old, new = PolicyHarness(seed=1), PolicyHarness(seed=2)
     old.list_servers(names(6))
@@ -402,8 +402,8 @@
         if tick in (0, 150, 300, 600):
             name = f"10.0.1.{tick}:80"
             cold_since[name] = started_at + tick * 10 * MS
-            for each in (old, new):
-                each.list_servers(
+            for harness in (old, new):
+                harness.list_servers(
                     [ListedServer(name, zone="east", started_at=cold_since[name])], ListKind.CHANGES
                 )
         new_share = 0.0 if tick < 100 else new_takes if tick < 400 else 1.0
@@ -412,8 +412,8 @@
         credit -= active is new
         request = active.request()
         sent += [(active.now, each.server) for _, each in active.sends(request) if each.server in cold_since]
-        for each in (old, new):
-            each.advance(10 * MS)
+        for harness in (old, new):
+            harness.advance(10 * MS)
         if active.sends(request):
             active.end_attempt(request)
     assert sent
@@ -423,7 +423,7 @@
         assert in_window <= 3 * warmth * 2 * 100 / 6
 
 
-def test_small_balancers_send_to_a_cold_server_at_an_even_rate_and_not_all_at_once() -> None:
+def test_low_rate_balancers_spread_their_first_requests_to_a_cold_server() -> None:
     first: list[int] = []
     for seed in range(120):
         harness = PolicyHarness(seed=seed)
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -25,7 +25,7 @@
 from micadeck.policy.outcomes import Outcome
 
 
-def test_the_least_busy_of_the_drawn_wins() -> None:
+def test_the_least_busy_drawn_server_is_chosen() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(4))  # few enough that every draw has all of them
     for _ in range(40):
@@ -33,7 +33,7 @@
     assert set(Counter(each.server for _, each in harness.sends()).values()) == {10}
 
 
-def test_a_server_that_said_full_is_left_out_and_the_last_redraw_sees_the_whole_list() -> None:
+def test_a_full_server_is_skipped_and_the_last_redraw_considers_every_server() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(5))
     request = harness.request("pay")
@@ -45,7 +45,7 @@
     assert [each.request for each in harness.actions(Refuse)] == [request]
 
 
-def test_the_only_server_left_is_used() -> None:
+def test_the_only_remaining_server_is_used() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(1))
     assert harness.target(harness.request()) == names(1)[0]
@@ -63,7 +63,7 @@
     assert late[slow] < 0.6 * sum(late.values()) / 12
 
 
-def test_nominal_size_stands_in_for_pace_until_answers_tell() -> None:
+def test_nominal_weight_is_used_until_latency_is_measured() -> None:
     harness = PolicyHarness()
     harness.list_servers(
         [ListedServer(name, "east", nominal=4.0 if name == names(8)[0] else 1.0) for name in names(8)]
@@ -75,7 +75,7 @@
     assert first[names(8)[0]] > 40 / 8
 
 
-def test_an_attempt_given_up_on_still_counts_for_a_while() -> None:
+def test_a_timed_out_attempt_counts_as_load_for_a_while() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(2))
     request = harness.request("pay", remaining_us=400 * MS)
@@ -110,7 +110,7 @@
     return hung, pending
 
 
-def test_a_silent_server_is_ejected_while_its_peers_answer_and_its_repeatable_requests_are_saved() -> None:
+def test_a_silent_server_is_ejected_and_its_idempotent_requests_are_sent_elsewhere() -> None:
     harness = PolicyHarness()
     hung, pending = _serve_with_hung_server(harness, 20)
     assert any(each.text.startswith(f"ejected {hung}") for each in harness.actions(Log))
@@ -118,7 +118,7 @@
     assert len(copies) > 1 and hung not in copies[1:]
 
 
-def test_an_ejected_server_comes_back_by_one_trial_at_a_time() -> None:
+def test_an_ejected_server_gets_one_probation_request_at_a_time() -> None:
     harness = PolicyHarness()
     hung, pending = _serve_with_hung_server(harness, 20)
     before = len([1 for _, each in harness.sends() if each.server == hung])
@@ -136,7 +136,7 @@
     assert harness.actions(Log)[-1].text == f"readmitted {hung}"
 
 
-def test_a_trial_that_is_called_off_for_silence_has_failed() -> None:
+def test_a_probation_request_cancelled_without_a_response_has_failed() -> None:
     # Guards against repeated probation attempts at a hung server: a cancelled one must count as failed.
     harness = PolicyHarness(settings(limits={"second_copies": False}))
     hung, pending = _serve_with_hung_server(harness, 20, response_us=10 * MS)
@@ -168,7 +168,7 @@
     assert len(ejected) <= 2
 
 
-def test_quick_errors_do_not_draw_more_work() -> None:
+def test_quick_errors_do_not_attract_more_requests() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(6))
     bad = names(6)[2]
@@ -183,7 +183,7 @@
     assert sum(1 for _, each in harness.sends() if each.server == bad) < 300 / 6
 
 
-def test_a_timeout_of_a_server_that_answers_others_is_no_strike() -> None:
+def test_a_timeout_at_a_server_that_answers_other_requests_does_not_eject_it() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(1))
     for _ in range(6):
@@ -198,7 +198,7 @@
     assert not any("ejected" in each.text for each in harness.actions(Log))
 
 
-def test_repeats_after_failures_are_bounded() -> None:
+def test_retries_after_failures_are_bounded() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(40))
     for _ in range(400):
@@ -224,7 +224,7 @@
     return sum(1 for _, each in late if each.server not in same_zone) / len(late)
 
 
-def test_the_own_zone_comes_first_while_it_is_as_quick_and_crossing_has_a_price() -> None:
+def test_the_own_zone_is_preferred_while_equally_fast_and_cross_zone_traffic_is_priced() -> None:
     total_share = sum(
         _cross_zone_share(PolicyHarness(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
         for seed in range(5)
@@ -232,7 +232,7 @@
     assert total_share < 5 * 0.3
 
 
-def test_a_slow_own_zone_is_left() -> None:
+def test_a_slow_own_zone_loses_its_preference() -> None:
     assert _cross_zone_share(PolicyHarness(settings(prices={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
 
 
@@ -252,7 +252,7 @@
                 harness.end_attempt(request, attempt=0)
 
 
-def test_a_surge_is_refused_early_and_the_less_worthy_more() -> None:
+def test_a_surge_is_refused_early_and_lower_priority_classes_more() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(4))
     harness.serve(200)
@@ -264,7 +264,7 @@
     assert len(unsent) > 0.5 * len(harness.actions(Refuse))
 
 
-def test_the_window_lets_all_in_again_once_the_load_falls() -> None:
+def test_the_concurrency_limit_admits_all_again_once_the_load_falls() -> None:
     harness = PolicyHarness()
     harness.serve(1)
     _overload(harness, 400)
@@ -280,7 +280,7 @@
     assert len(harness.actions(Refuse)) == refused
 
 
-def test_a_quiet_fleet_is_never_refused() -> None:
+def test_nothing_is_refused_at_low_load() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(4))
     harness.serve(800)
@@ -339,7 +339,7 @@
         harness.advance(interval_us - response_us)
 
 
-def test_a_small_balancer_knows_few_of_many_servers_and_meets_others_when_those_go() -> None:
+def test_a_low_rate_balancer_uses_few_servers_and_replaces_those_removed() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(60))
     _serve_one_at_a_time(harness, 200)
@@ -352,14 +352,14 @@
     assert later and not later & used
 
 
-def test_a_busy_balancer_reaches_all_servers() -> None:
+def test_a_high_rate_balancer_uses_all_servers() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(30))
     harness.serve(2_000, interval_us=5 * MS, response_us=250 * MS)
     assert len({each.server for _, each in harness.sends()}) == 30
 
 
-def test_small_balancers_draw_different_servers() -> None:
+def test_low_rate_balancers_use_different_servers() -> None:
     first: set[str] = set()
     for seed in range(12):
         harness = PolicyHarness(seed=seed)
@@ -369,7 +369,7 @@
     assert len(first) > 25
 
 
-def test_a_small_balancer_refuses_a_part_of_what_comes_while_every_answer_is_late() -> None:
+def test_a_low_rate_balancer_refuses_some_requests_while_every_answer_is_late() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(8))
     for _ in range(120):  # rarely two in flight, so a concurrency limit of two would never refuse
@@ -387,7 +387,7 @@
     assert len(harness.actions(Refuse)) == refused
 
 
-def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
+def test_two_concurrent_requests_are_not_overload_for_a_low_rate_balancer() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(8))
     harness.balancer._concurrency.limit = 1.0
@@ -416,7 +416,7 @@
     return refused
 
 
-def test_late_answers_from_servers_with_idle_cores_are_not_taken_for_overload() -> None:
+def test_late_answers_from_servers_with_idle_cores_are_not_overload() -> None:
     seeds = range(7, 13)
     # The first requests have no report yet.
     assert sum(_refusals_of_late_answers(0.4, seed) for seed in seeds) < 5 * 6
@@ -433,26 +433,26 @@
         request = harness.request()
         if harness.sends(request):
             in_flight.append((harness.now + (550 if late(request) else 300) * MS, request))
-        due = [each for each in in_flight if each[0] <= harness.now]
+        due = [answer for answer in in_flight if answer[0] <= harness.now]
         while due and (not in_order or in_flight[0][0] <= harness.now):
-            each = in_flight[0] if in_order else due[0]
-            in_flight.remove(each)
-            due.remove(each)
-            harness.end_attempt(each[1], attempt=0, report={"util": cores})
+            answer = in_flight[0] if in_order else due[0]
+            in_flight.remove(answer)
+            due.remove(answer)
+            harness.end_attempt(answer[1], attempt=0, report={"util": cores})
     return len(harness.actions(Refuse))
 
 
-def test_reported_cores_do_not_hold_the_window_open_where_many_are_in_flight() -> None:
+def test_reported_idle_cores_do_not_keep_the_limit_open_with_many_requests_in_flight() -> None:
     assert _refusals_of_600(lambda n: n % 8 == 0, 0.5, in_order=True) > 50  # nearly half of them late
 
 
-def test_the_window_does_not_keep_itself_small_while_a_fifth_of_the_cores_is_free() -> None:
+def test_late_answers_cause_few_refusals_while_a_fifth_of_the_cores_is_idle() -> None:
     # Guards against noise taken for overload: refusals lower the load, and the limit then stays at that load.
     assert _refusals_of_600(lambda n: n % 12 == 0, 0.6) <= 6
     assert _refusals_of_600(lambda n: n % 12 == 0, 0.9) > 50
 
 
-def test_silence_is_not_flattered_by_the_last_report() -> None:
+def test_an_old_load_report_does_not_stop_shedding_when_servers_stop_answering() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(8))
     for _ in range(20):
@@ -466,7 +466,7 @@
     assert len(harness.actions(Refuse)) > 100
 
 
-def test_pace_moves_faster_where_answers_are_few() -> None:
+def test_latency_estimates_adapt_faster_where_answers_are_rare() -> None:
     def change(interval_us: int, response_us: int, one_at_a_time: bool) -> float:
         harness = PolicyHarness()
         harness.list_servers(names(4))
@@ -484,7 +484,7 @@
     assert change(400 * MS, 60 * MS, True) > 2 * change(5 * MS, 60 * MS, False) > 0.0
 
 
-def test_full_answers_that_a_redraw_makes_good_are_not_taken_for_overload() -> None:
+def test_full_responses_that_a_retry_recovers_are_not_overload() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(12))
     for _ in range(200):
@@ -496,7 +496,7 @@
     assert harness.actions(Refuse) == []
 
 
-def test_full_answers_that_no_redraw_makes_good_are_overload() -> None:
+def test_full_responses_that_no_retry_recovers_are_overload() -> None:
     harness = PolicyHarness(settings(limits={"max_attempts": 3}))
     harness.list_servers(names(12))
     unsent = 0
@@ -510,7 +510,7 @@
     assert unsent > 20
 
 
-def test_a_small_balancer_with_quick_but_uneven_answers_refuses_next_to_nothing() -> None:
+def test_a_low_rate_balancer_with_fast_but_uneven_answers_refuses_almost_nothing() -> None:
     refused = 0
     for seed in range(4):
         chance = random.Random(seed)
@@ -540,12 +540,12 @@
     return cross_zone / (6 * 100)
 
 
-def test_most_of_a_small_balancers_reach_is_in_its_own_zone_where_crossing_has_a_price() -> None:
+def test_a_low_rate_balancer_stays_mostly_in_its_zone_where_cross_zone_traffic_is_priced() -> None:
     assert _low_rate_cross_zone_share(0.05, 40 * MS) < 0.4
     assert _low_rate_cross_zone_share(0.0, 40 * MS) > 0.6
 
 
-def test_zones_even_out_as_the_typical_answer_takes_more_of_its_aim() -> None:
+def test_zone_preference_fades_as_typical_latency_nears_the_objective() -> None:
     assert _low_rate_cross_zone_share(0.05, 180 * MS) > _low_rate_cross_zone_share(0.05, 40 * MS) + 0.15
 
 
@@ -579,7 +579,7 @@
     return lost
 
 
-def test_idle_connections_that_go_dead_are_not_relied_on_and_not_blamed_on_servers() -> None:
+def test_broken_idle_connections_are_avoided_and_eject_no_server() -> None:
     lost = closed = 0
     for seed in range(4):
         harness = PolicyHarness(seed=seed)
@@ -596,7 +596,7 @@
     assert harness.actions(CloseIdle) == []
 
 
-def test_a_class_keeps_off_a_server_that_is_always_full_for_it_and_others_do_not() -> None:
+def test_a_class_avoids_a_server_that_is_always_full_for_it_and_other_classes_do_not() -> None:
     harness = PolicyHarness()
     harness.list_servers(names(12))
     _serve_one_at_a_time(harness, 10)
@@ -619,14 +619,14 @@
     assert 1 <= tried < 30 and used_by_look > 30
 
 
-def test_a_server_that_is_full_for_a_class_is_used_when_nothing_else_is_left() -> None:
+def test_a_server_that_is_full_for_a_class_is_used_when_no_other_remains() -> None:
     harness = PolicyHarness(settings(limits={"max_attempts": 1}))
     harness.list_servers(names(1))
     harness.end_attempt(harness.request("pay"), Outcome.FULL)
     assert len(harness.sends(harness.request("pay"))) == 1
 
 
-def test_bodies_on_their_way_are_no_load_and_their_servers_are_not_busy() -> None:
+def test_requests_with_incomplete_bodies_do_not_count_as_load() -> None:
     # Guards against slow uploads being counted as busy servers or as an overloaded fleet.
     balancer = Balancer(settings(), 3)
     balancer.handle(1, ServersListed(ListKind.COMPLETE, [ListedServer("a"), ListedServer("b")], 1))
@@ -658,7 +658,7 @@
     )
 
 
-def test_a_request_has_its_time_from_its_last_byte() -> None:
+def test_the_deadline_runs_from_the_last_byte_of_the_request() -> None:
     balancer = Balancer(settings(), 3)
     balancer.handle(1, ServersListed(ListKind.COMPLETE, [ListedServer("a")], 1))
     balancer.handle(2, RequestArrived(1, "look", None, None, 60_000_000, is_complete=False))
@@ -670,7 +670,7 @@
     assert [each for each in due if isinstance(each, Refuse | Fail)]
 
 
-def test_what_is_not_kept_goes_to_nobody_else_and_is_refused_only_if_it_never_ran() -> None:
+def test_a_request_without_a_kept_body_is_not_retried_and_refused_only_if_it_never_ran() -> None:
     for outcome, answer in ((Outcome.CONNECT_FAILED, Refuse), (Outcome.CONNECTION_LOST, Fail)):
         balancer = Balancer(settings(), 3)
         balancer.handle(1, ServersListed(ListKind.COMPLETE, [ListedServer(name) for name in "abc"], 1))
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -31,7 +31,7 @@
     return number
 
 
-def test_a_bound_request_goes_to_its_server_and_counts_there_as_others_do() -> None:
+def test_a_sticky_request_goes_to_its_server_and_counts_as_load_there() -> None:
     harness = _sticky_harness()
     for _ in range(20):
         assert harness.target(_request_sticky(harness)) == STICKY_SERVER
@@ -44,7 +44,7 @@
     "outcome",
     [Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.CONNECTION_LOST, Outcome.FULL, Outcome.ERROR],
 )
-def test_a_bound_request_is_never_sent_again_or_elsewhere(name: str, outcome: Outcome) -> None:
+def test_a_sticky_request_is_never_retried_or_sent_elsewhere(name: str, outcome: Outcome) -> None:
     harness = _sticky_harness()
     request = _request_sticky(harness, name)
     harness.end_attempt(request, outcome, answered=False)
@@ -65,7 +65,7 @@
         (ServerState.REMOVED, 0, False),
     ],
 )
-def test_what_is_bound_to_a_draining_server_may_go_there_for_a_part_of_the_grace(
+def test_sticky_requests_reach_a_draining_server_during_the_session_grace(
     state: ServerState, waited: int, is_sent: bool
 ) -> None:
     harness = _sticky_harness()
@@ -81,7 +81,7 @@
         assert all(harness.target(each) != STICKY_SERVER for each in others)
 
 
-def test_without_that_part_a_drain_ends_it_at_once_and_an_unknown_server_is_none() -> None:
+def test_without_session_grace_a_draining_or_unknown_server_gets_no_sticky_requests() -> None:
     harness = PolicyHarness(settings())
     harness.list_servers(SERVERS)
     harness.drain(STICKY_SERVER)
@@ -90,7 +90,7 @@
     assert len(harness.actions(Refuse)) == 2
 
 
-def test_a_word_said_twice_gives_no_more_time() -> None:
+def test_a_repeated_drain_does_not_extend_the_session_grace() -> None:
     harness = _sticky_harness()
     harness.drain(STICKY_SERVER)
     harness.advance(100 * MS)
@@ -99,7 +99,7 @@
     assert not harness.sends(_request_sticky(harness))
 
 
-def test_bound_requests_count_against_a_cold_servers_part() -> None:
+def test_sticky_requests_count_against_the_slow_start_share() -> None:
     harness = _sticky_harness()
     harness.serve(60)
     harness.list_servers([ListedServer(STICKY_SERVER, zone="east", started_at=harness.now)], ListKind.CHANGES)
@@ -113,7 +113,7 @@
     assert 0 < sent < 60  # of a hundred, sent in two of the ten seconds of slow start
 
 
-def test_a_bound_request_is_no_trial_of_an_ejected_server() -> None:
+def test_a_sticky_request_is_no_probation_request() -> None:
     harness = _sticky_harness()
     harness.serve(20)
     for _ in range(8):
@@ -174,9 +174,7 @@
         (Outcome.TIMED_OUT, (FailureCause.SERVERS, True)),
     ],
 )
-def test_an_answer_that_has_begun_is_ended_by_its_own_attempt_and_no_other(
-    outcome: Outcome, told: object
-) -> None:
+def test_a_started_answer_is_ended_only_by_its_own_attempt(outcome: Outcome, told: object) -> None:
     ports, engine = _engine()
     handler = Handler()
     number = engine.submit(_engine_request(), handler)
@@ -186,7 +184,7 @@
     assert engine.open_requests == engine.unanswered_requests == 0
 
 
-def test_past_its_time_an_answer_that_has_begun_is_left_to_its_transport() -> None:
+def test_a_started_answer_past_its_deadline_is_left_to_the_transport() -> None:
     ports, engine = _engine()
     handler = Handler()
     number = engine.submit(_engine_request(), handler)
@@ -198,7 +196,7 @@
     assert engine.open_requests == 0
 
 
-def test_nothing_begins_for_one_who_went_away() -> None:
+def test_no_response_starts_for_a_disconnected_client() -> None:
     ports, engine = _engine()
     number = engine.submit(_engine_request(), Handler())
     assert number is not None
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -51,7 +51,7 @@
         ({**MINIMAL, "prices": []}, "prices"),
     ],
 )
-def test_nonsense_is_named(given: dict[str, Any], key: str) -> None:
+def test_invalid_settings_are_named_in_the_error(given: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError) as error:
         Settings.from_mapping(given)
     assert str(error.value).startswith(key + ":")
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -71,7 +71,7 @@
     )
 
 
-def test_a_killed_instance_forgets_all_and_may_begin_again_in_the_same_batch() -> None:
+def test_a_killed_instance_loses_its_state_and_may_restart_in_the_same_batch() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
     end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
     code, reply, _ = run_batches(begin(), [work, ["EXIT", "sidecar-1"], *begin()], [end])
@@ -193,7 +193,7 @@
     assert answer in [each[0] for each in again[len(reply) :]]
 
 
-def test_let_go_reaches_the_decision() -> None:
+def test_the_idle_close_setting_reaches_the_decision() -> None:
     drain = ["PAGE", 1, [["10.0.0.1:80", "east", "box", 0, "draining", 1]]]
     drain_messages = [drain, ["TARGETS", "sidecar-1", "delta", 1, 2]]
     _, reply, _ = run_batches(begin(settings=_settings_with_rules({"letGoInUs": 500_000})), drain_messages)
@@ -202,7 +202,7 @@
     assert "SHUT_IDLE" not in [each[0] for each in reply]
 
 
-def test_every_setting_of_the_wire_that_is_carried_arrives() -> None:
+def test_every_supported_wire_setting_is_read() -> None:
     given = settings_from_wire(
         {
             **SETTINGS,
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -23,16 +23,14 @@
 
 @pytest.mark.parametrize("sidecars", [1, 30, 230])
 @pytest.mark.parametrize("scenario", SCENARIOS)
-def test_the_sum_of_all_sidecars_stays_within_what_is_put_down_to_chance(
-    sidecars: int, scenario: str
-) -> None:
+def test_all_sidecars_together_stay_within_the_slow_start_share(sidecars: int, scenario: str) -> None:
     # The settings allow N requests per window; 2 * sqrt(N) + 2 more are allowed for chance.
     worst, _ = FleetSimulation(sidecars, **SCENARIOS[scenario]).run().max_window_use()
     assert 0.0 < worst < 0.6
 
 
 @pytest.mark.parametrize("sidecars", [30, 230])
-def test_a_tier_that_sends_more_than_its_part_is_found(sidecars: int) -> None:
+def test_a_fleet_that_exceeds_the_slow_start_share_is_detected(sidecars: int) -> None:
     # Cold servers are drawn as if they were warm, and their latency is not learnt.
     def keep_latency(self: Any, endpoint: Any, request: Any, elapsed_us: int) -> None:
         """Keep the relative latency as it is."""
@@ -48,6 +46,6 @@
 
 
 @pytest.mark.parametrize(("sidecars", "min_share"), [(1, 0.3), (30, 0.1), (230, 0.05)])
-def test_servers_that_start_are_put_to_use(sidecars: int, min_share: float) -> None:
+def test_cold_servers_get_a_share_of_their_capacity(sidecars: int, min_share: float) -> None:
     # A share of their capacity; the fewer requests a sidecar has, the later it sends them any.
     assert FleetSimulation(sidecars).run().capacity_use(3.0, 8.0) > min_share
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(("event", "record"), _LATER_KINDS)
-def test_a_kind_that_came_after_the_stored_trace_keeps_its_form(event: Event, record: str) -> None:
+def test_an_event_kind_added_after_the_stored_trace_keeps_its_form(event: Event, record: str) -> None:
     stored = decode((FIXTURES / "decisions.trace").read_bytes())
     data = encode(stored.settings, stored.seed, [(5, event)])
     assert gzip.decompress(data).endswith(bytes.fromhex(record))
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -74,7 +74,7 @@
     return recording
 
 
-def test_what_is_recorded_comes_back_and_replays_action_for_action() -> None:
+def test_a_recorded_trace_is_read_back_and_replays_identically() -> None:
     run = _simulate()
     trace = decode(encode(settings(limits={"second_copies": False}), 7, run.events))
     assert trace.is_complete and trace.seed == 7
@@ -84,7 +84,7 @@
     assert [again.handle(now, event) for now, event in trace.events] == run.actions
 
 
-def test_a_replay_counts_what_happened_and_tells_the_decisions_state() -> None:
+def test_a_replay_counts_events_and_reports_the_policy_state() -> None:
     run = _simulate()
     trace = decode(encode(settings(limits={"second_copies": False}), 7, run.events))
     listed = list(spans(trace, 0.5))
@@ -100,7 +100,7 @@
     assert [each.end_s for each in listed] == [0.5 * number for number in range(1, len(listed) + 1)]
 
 
-def test_a_trace_that_breaks_off_is_read_as_far_as_it_is_whole() -> None:
+def test_a_truncated_trace_is_read_up_to_its_last_complete_entry() -> None:
     run = _simulate(60)
     encoder = Encoder(settings(), 7)
     data = b""
@@ -136,7 +136,7 @@
         return super().handle(now, event)
 
 
-def test_two_builds_are_told_apart_at_the_first_action_that_differs() -> None:
+def test_a_replay_reports_the_first_action_that_differs_between_builds() -> None:
     run = _simulate()
     trace = decode(encode(settings(limits={"second_copies": False}), 7, run.events))
     assert compare(trace, Balancer, Balancer) is None
@@ -161,7 +161,7 @@
     recorder.close()
 
 
-def test_the_daemon_records_what_it_heard_and_the_commands_read_it(tmp_path: Path) -> None:
+def test_the_daemon_records_its_events_and_the_commands_read_them(tmp_path: Path) -> None:
     path = tmp_path / "day.trace"
 
     async def work() -> None:
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("value", [5, ["x"]])
-def test_a_trace_that_is_no_path_is_named(value: Any) -> None:
+def test_an_invalid_trace_path_is_named_in_the_error(value: Any) -> None:
     from micadeck.config import ConfigError, parse
 
     with pytest.raises(ConfigError, match="trace: the path"):
@@ -236,7 +236,7 @@
         assert not [line for line in scene.log if "internal error" in line]
 
 
-def test_each_kind_of_event_has_its_place_in_a_trace() -> None:
+def test_each_kind_of_event_is_stored_in_a_trace() -> None:
     """Guards against a new kind of event that the recorder doesn't know."""
     assert set(KINDS) == set(get_args(Event)) and len(KINDS) == len(get_args(Event))
 
